--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/KindAges.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/KindAges.java
@@ -10,16 +10,16 @@
 import java.util.Optional;
 
 /**
- * How old what a node knows of each kind is. A node tells it of all kinds with its answers for the one that is asked
- * for at short intervals, so the age of the others is known without a message of their own.
+ * The age of a node's state for each kind. A watcher includes the ages of all its kinds in its answers for the one kind
+ * that is requested at short intervals, so the other kinds need no message of their own for this.
  */
 final class KindAges {
 
     /** The watches of this node. */
     private final List<SharedKindWatch> watches = new ArrayList<>();
 
-    /** What watching nodes told last, by kind. */
-    private final Map<String, Told> told = new HashMap<>();
+    /** The latest report of a watcher, by kind. */
+    private final Map<String, Report> reports = new HashMap<>();
 
     /**
      * Adds a watch of this node.
@@ -31,12 +31,12 @@
     }
 
     /**
-     * Returns how old what this node knows of each kind is.
+     * Returns the age of this node's state for each kind.
      *
      * @param tick The tick.
-     * @return The ages of the kinds of which anything is known.
+     * @return The ages of the kinds for which this node has any state.
      */
-    List<WatchMessage.KindAge> own(Tick tick) {
+    List<WatchMessage.KindAge> localAges(Tick tick) {
         List<WatchMessage.KindAge> ages = new ArrayList<>();
         for (SharedKindWatch watch : watches) {
             watch.confirmedAt()
@@ -47,40 +47,40 @@
     }
 
     /**
-     * Takes what a watching node told.
+     * Records the ages that a watcher reported.
      *
-     * @param ages The ages at that node.
-     * @param writtenAt The earliest time at which it can have written them.
-     * @param now The present.
+     * @param ages The ages at the watcher.
+     * @param writtenAt The earliest time at which the watcher can have written the report.
+     * @param now The current time.
      */
-    void take(List<WatchMessage.KindAge> ages, MonotonicTime writtenAt, MonotonicTime now) {
+    void apply(List<WatchMessage.KindAge> ages, MonotonicTime writtenAt, MonotonicTime now) {
         for (WatchMessage.KindAge age : ages) {
             Duration confirmedAge = Duration.ofMillis(age.confirmedAgeMillis());
-            told.put(age.kind(), new Told(age.changedAt(), writtenAt.plus(confirmedAge.negated()), now));
+            reports.put(age.kind(), new Report(age.changedAt(), writtenAt.plus(confirmedAge.negated()), now));
         }
     }
 
-    /** Forgets what was told, as the machine was suspended since and its clock stood still meanwhile. */
+    /** Discards all reports after the VM was suspended, as its clock stopped meanwhile. */
     void suspended() {
-        told.clear();
+        reports.clear();
     }
 
     /**
-     * Returns what a watching node told last of a kind.
+     * Returns the latest report of a watcher for a kind.
      *
      * @param kind The kind.
-     * @return What it told, or empty if none did.
+     * @return The report, or empty if there is none.
      */
-    Optional<Told> told(String kind) {
-        return Optional.ofNullable(told.get(kind));
+    Optional<Report> report(String kind) {
+        return Optional.ofNullable(reports.get(kind));
     }
 
     /**
-     * What a watching node told of a kind.
+     * A watcher's report on its state of a kind.
      *
-     * @param changedAt The version of the latest change that it knows.
-     * @param confirmedAt When the platform surely held nothing beyond that.
-     * @param at When it was told.
+     * @param changedAt The version of the latest change that the watcher has received.
+     * @param confirmedAt The time as of which the watcher's state is guaranteed to be complete.
+     * @param receivedAt When the report was received.
      */
-    record Told(long changedAt, MonotonicTime confirmedAt, MonotonicTime at) {}
+    record Report(long changedAt, MonotonicTime confirmedAt, MonotonicTime receivedAt) {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/KindConfirmation.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/KindConfirmation.java
@@ -13,30 +13,40 @@
 import java.util.Optional;
 
 /**
- * Asks the platform, in one short call beside all others, whether what a node knows of a kind still holds. It bounds
- * the age of that by itself: however many nodes and paths fail one after the other, a node that reaches the platform
- * learns what is so in time.
+ * Confirms this node's state of a kind with one short call to the platform, independent of all other calls. This alone
+ * bounds the age of the state: however many nodes and network paths fail one after the other, a node that reaches the
+ * platform receives changes in time.
  */
 final class KindConfirmation {
 
-    /** How long the platform may hold the call, which is to be answered at once. */
-    private static final Duration NO_WAIT = Duration.ofMillis(1);
+    /** How long the platform may hold the call: hardly at all, as the call is to be answered immediately. */
+    private static final Duration MINIMUM_WAIT = Duration.ofMillis(1);
 
-    /** How late the answer may come before the platform counts as away: a slow one answers within this time. */
+    /**
+     * How late an answer may arrive before the platform is considered unreachable. A slow platform answers within this
+     * time.
+     */
     private static final Duration ALLOWED_DELAY = Duration.ofMillis(400);
 
-    /** For how long a failed call tells that the platform is unavailable: until the next one is made and judged. */
+    /**
+     * How long a failed call marks the platform as unreachable: until the next call was made and has been evaluated.
+     */
     private static final Duration FAILURE_VALIDITY = Duration.ofMillis(2500);
 
-    /** The time between two ticks of an idle node, by which a call may be made and judged later. */
-    private static final Duration TICK_TIME = Duration.ofMillis(100);
+    /** The time between two ticks of an idle node, by which a call may be made or evaluated late. */
+    private static final Duration IDLE_TICK_INTERVAL = Duration.ofMillis(100);
 
-    /** The longest wait before the next call after a failure, such that it is judged while the failure is valid. */
-    private static final Duration BACK_OFF =
-            FAILURE_VALIDITY.minus(ALLOWED_DELAY).minus(TICK_TIME.multipliedBy(2));
+    /**
+     * The longest delay of the next call after a failure, such that it is evaluated while the failure is still valid.
+     */
+    private static final Duration BACKOFF =
+            FAILURE_VALIDITY.minus(ALLOWED_DELAY).minus(IDLE_TICK_INTERVAL.multipliedBy(2));
 
-    /** How much of the time between two looks counts as waiting. A node that stood still for longer did not wait. */
-    private static final Duration LONGEST_STEP = Duration.ofMillis(200);
+    /**
+     * The maximum time between two ticks that counts as waiting. A node that was paused for longer did not wait
+     * meanwhile.
+     */
+    private static final Duration MAXIMUM_STEP = Duration.ofMillis(200);
 
     /** The kind. */
     private final String kind;
@@ -47,8 +57,11 @@
     /** The calls that wait for their answers. */
     private final PlatformCalls calls;
 
-    /** When the next call may be made. Calls for changes have another, as their failures must not delay this one. */
-    private final CallBackOff backOff = new CallBackOff(BACK_OFF, BACK_OFF);
+    /**
+     * Delays calls after a failure. Calls for changes have a backoff of their own, as their failures must not delay
+     * this call.
+     */
+    private final CallBackOff backoff = new CallBackOff(BACKOFF, BACKOFF);
 
     /** Whether a call waits for its answer. */
     private boolean calling;
@@ -56,29 +69,30 @@
     /** When the latest call was sent. */
     private MonotonicTime sentAt = new MonotonicTime(Long.MIN_VALUE / 2);
 
-    /** How long the call has been waited for while this node ran. */
+    /** How long this node has waited for the answer, without the time for which it was paused. */
     private Duration waited = Duration.ZERO;
 
-    /** When this node last looked for an answer. */
-    private Optional<MonotonicTime> lookedAt = Optional.empty();
+    /** When this node last checked for an answer. */
+    private Optional<MonotonicTime> checkedAt = Optional.empty();
 
-    /** When the latest call failed, if it did. */
+    /** When the latest call failed, or empty if it succeeded. */
     private Optional<MonotonicTime> failedAt = Optional.empty();
 
     /**
-     * Whether the platform no longer knows the changes since what is known, such that all objects have to be listed.
+     * Whether the platform no longer retains the changes since this node's version, such that all objects have to be
+     * listed.
      */
-    private boolean forgotten;
+    private boolean relistNeeded;
 
-    /** What the answer of this tick brought. */
+    /** The answer that was received in this tick. */
     private Optional<Answer> answer = Optional.empty();
 
     /**
-     * Creates a confirmation that was not asked for yet.
+     * Creates a confirmation that has made no call.
      *
      * @param kind The kind.
      * @param purpose The purpose of the calls.
-     * @param tokens Hands out the tokens of calls.
+     * @param tokens Allocates the tokens of calls.
      */
     KindConfirmation(String kind, PlatformPurpose purpose, PlatformTokens tokens) {
         this.kind = kind;
@@ -87,46 +101,46 @@
     }
 
     /**
-     * Takes the answer of a tick.
+     * Processes the answer to the call if it arrived with a tick.
      *
      * @param tick The tick.
-     * @return The answer, if one arrived that tells what is so.
+     * @return The answer, or empty if none arrived or it holds no objects or changes.
      */
     Optional<Answer> receive(Tick tick) {
-        Duration step = lookedAt.map(tick.now()::since).orElse(Duration.ZERO);
-        waited = waited.plus(step.compareTo(LONGEST_STEP) < 0 ? step : LONGEST_STEP);
-        lookedAt = Optional.of(tick.now());
+        Duration step = checkedAt.map(tick.now()::since).orElse(Duration.ZERO);
+        waited = waited.plus(step.compareTo(MAXIMUM_STEP) < 0 ? step : MAXIMUM_STEP);
+        checkedAt = Optional.of(tick.now());
         answer = Optional.empty();
         calls.answer(tick);
         return answer;
     }
 
     /**
-     * Asks the platform, unless a call waits for its answer or has failed a short time ago.
+     * Calls the platform, unless a call is pending or has failed a short time ago.
      *
      * @param tick The tick.
-     * @param version The version up to which changes are known.
+     * @param version The version up to which this node's state is complete.
      */
-    void ask(Tick tick, long version) {
-        if (calling || !backOff.allows(tick.now())) {
+    void request(Tick tick, long version) {
+        if (calling || !backoff.allows(tick.now())) {
             return;
         }
         calling = true;
         sentAt = tick.now();
         waited = Duration.ZERO;
-        boolean lists = forgotten;
+        boolean lists = relistNeeded;
         calls.call(
                 tick,
                 token -> lists
                         ? new PlatformEffect.ListKind(token, purpose, kind)
-                        : new PlatformEffect.Watch(token, purpose, kind, version, Optional.of(NO_WAIT)),
-                (then, event) -> receive(then, event, version, lists));
+                        : new PlatformEffect.Watch(token, purpose, kind, version, Optional.of(MINIMUM_WAIT)),
+                (later, event) -> receive(later, event, version, lists));
     }
 
     /**
-     * Returns whether the platform does not answer.
+     * Returns whether the platform is unreachable.
      *
-     * @param now The present.
+     * @param now The current time.
      * @return {@code true} if the latest call failed a short time ago, or its answer is overdue.
      */
     boolean isPlatformAway(MonotonicTime now) {
@@ -136,9 +150,9 @@
     }
 
     /**
-     * Takes note that the machine was suspended, such that its clock stood still meanwhile.
+     * Adjusts all times after the VM was suspended, while its clock stopped.
      *
-     * @param gap How long it was.
+     * @param gap How long the VM was suspended.
      */
     void suspended(Duration gap) {
         sentAt = sentAt.plus(gap.negated());
@@ -146,36 +160,36 @@
     }
 
     /**
-     * Takes the answer of a call.
+     * Processes the answer to a call.
      *
      * @param tick The tick.
      * @param event The answer.
-     * @param version The version up to which changes were known.
-     * @param lists Whether all objects were asked for.
+     * @param version The version up to which this node's state was complete when the call was made.
+     * @param lists Whether the call listed all objects.
      */
     private void receive(Tick tick, PlatformEvent event, long version, boolean lists) {
         calling = false;
         if (!(event instanceof PlatformEvent.ObjectsListed listed)) {
             failedAt = Optional.of(tick.now());
-            backOff.failed(tick);
+            backoff.failed(tick);
             return;
         }
         failedAt = Optional.empty();
-        backOff.succeeded(tick.now(), Duration.ZERO);
-        forgotten = listed.reset();
-        if (!forgotten) {
+        backoff.succeeded(tick.now(), Duration.ZERO);
+        relistNeeded = listed.reset();
+        if (!relistNeeded) {
             answer = Optional.of(
                     new Answer(new KindFeed.News(listed.objects(), lists), version, listed.version(), sentAt));
         }
     }
 
     /**
-     * What the platform answered.
+     * The platform's answer.
      *
-     * @param news All objects, or those that changed.
-     * @param behind The version behind which they changed.
-     * @param upTo The version up to which changes are known with them.
-     * @param confirmedAt When the call was sent, since when the answer holds.
+     * @param changes All objects, or the changed ones.
+     * @param afterVersion The version after which the objects changed.
+     * @param upTo The version up to which this update is complete.
+     * @param confirmedAt When the call was sent, which is the time as of which the answer is guaranteed to be complete.
      */
-    record Answer(KindFeed.News news, long behind, long upTo, MonotonicTime confirmedAt) {}
+    record Answer(KindFeed.News changes, long afterVersion, long upTo, MonotonicTime confirmedAt) {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/KindReplica.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/KindReplica.java
@@ -7,29 +7,29 @@
 import java.util.List;
 import java.util.Map;
 
-/** The objects of one kind as this node knows them, with their latest changes, such that other nodes can follow. */
+/** This node's copy of the objects of one kind, with the latest changes, which it serves to followers. */
 final class KindReplica {
 
-    /** The number of deleted objects that are remembered. Beyond it, those who follow get all objects anew. */
-    private static final int REMEMBERED_DELETIONS = 500;
+    /** The maximum number of deletions that are retained. Beyond it, followers get all objects again. */
+    private static final int MAXIMUM_RETAINED_DELETIONS = 500;
 
-    /** The objects and the deletions, by name. */
+    /** The objects and the retained deletions, by name. */
     private final Map<String, StoredObject> objects = new HashMap<>();
 
-    /** The version up to which all changes are known. */
+    /** The version up to which this copy includes all changes. */
     private long version = WatchMessage.UNKNOWN_VERSION;
 
     /** The version of the latest change, or that of the latest list of all objects. */
     private long changedAt = WatchMessage.UNKNOWN_VERSION;
 
-    /** The version behind which all deletions are remembered. */
-    private long rememberedSince = Long.MAX_VALUE;
+    /** The version after which all deletions are retained. */
+    private long deletionsRetainedAfter = Long.MAX_VALUE;
 
-    /** The number of deletions that are remembered. */
+    /** The number of retained deletions. */
     private int deletions;
 
     /**
-     * Returns the version up to which all changes are known.
+     * Returns the version up to which this copy includes all changes.
      *
      * @return The version, or {@link WatchMessage#UNKNOWN_VERSION}.
      */
@@ -47,54 +47,54 @@
     }
 
     /**
-     * Returns whether there is something new for a node that knows all changes up to a version.
+     * Returns whether there are changes after a version.
      *
-     * @param known The version.
-     * @return {@code true} if there is.
+     * @param afterVersion The version.
+     * @return {@code true} if there are.
      */
-    boolean hasNewsBehind(long known) {
-        return changedAt > known;
+    boolean hasChangesAfter(long afterVersion) {
+        return changedAt > afterVersion;
     }
 
     /**
-     * Takes objects or their changes.
+     * Applies a list of all objects, or changes.
      *
-     * @param news The objects.
-     * @param upTo The version up to which all changes are known with them.
+     * @param changes All objects, or the changed ones.
+     * @param upTo The version up to which this update is complete.
      */
-    void take(KindFeed.News news, long upTo) {
-        if (news.complete()) {
+    void apply(KindFeed.News changes, long upTo) {
+        if (changes.complete()) {
             objects.clear();
             deletions = 0;
-            rememberedSince = upTo;
+            deletionsRetainedAfter = upTo;
             changedAt = upTo;
         }
-        news.objects().forEach(this::put);
+        changes.objects().forEach(this::put);
         version = Math.max(version, upTo);
-        if (deletions > REMEMBERED_DELETIONS) {
+        if (deletions > MAXIMUM_RETAINED_DELETIONS) {
             objects.values().removeIf(StoredObject::deleted);
             deletions = 0;
-            rememberedSince = version;
+            deletionsRetainedAfter = version;
         }
     }
 
     /**
-     * Returns what brings a node up to date that knows all changes up to a version.
+     * Returns the update for a node that has all changes up to a version.
      *
-     * @param known The version.
-     * @return The changes behind the version, or all objects if some changes since then are not remembered.
+     * @param afterVersion The version.
+     * @return The changes after the version, or all objects if some deletions since then are no longer retained.
      */
-    KindFeed.News behind(long known) {
-        boolean complete = known < rememberedSince;
+    KindFeed.News changesAfter(long afterVersion) {
+        boolean complete = afterVersion < deletionsRetainedAfter;
         List<StoredObject> wanted = objects.values().stream()
-                .filter(object -> complete ? !object.deleted() : object.version() > known)
+                .filter(object -> complete ? !object.deleted() : object.version() > afterVersion)
                 .sorted(Comparator.comparingLong(StoredObject::version))
                 .toList();
         return new KindFeed.News(wanted, complete);
     }
 
     /**
-     * Takes an object as it is now.
+     * Stores the current state of an object.
      *
      * @param object The object.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/SharedKindWatch.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/SharedKindWatch.java
@@ -17,106 +17,114 @@
 
 /**
  * Follows all objects of one kind with few calls to the platform: two nodes of each region watch there, and the others
- * follow one of these. A node whose watching node is silent, or has lost the platform, asks the platform itself at
- * once, so that news is late by the time in which that is noticed and not by the time of an outage elsewhere.
+ * follow one of them. A node whose watcher does not answer, or has lost contact with the platform, calls the platform
+ * itself immediately, so that changes are delayed by the time it takes to detect this and not by the duration of an
+ * outage elsewhere.
  */
 public final class SharedKindWatch implements KindFeed {
 
-    /** How long the platform waits for changes. A cut path to it shows shortly after that. */
-    private static final Duration WAIT_TIME = Duration.ofMillis(700);
+    /**
+     * How long the platform holds a call to wait for changes. A network partition is detected shortly after this time.
+     */
+    private static final Duration WATCH_TIMEOUT = Duration.ofMillis(700);
 
-    /** The first wait before a node that follows calls the platform again after a failure. */
-    private static final Duration FIRST_BACK_OFF = Duration.ofMillis(300);
+    /** The first delay before a follower calls the platform again after a failure. */
+    private static final Duration INITIAL_BACKOFF = Duration.ofMillis(300);
 
-    /** The longest such wait. The watching nodes try more often, and tell the others when the platform is back. */
-    private static final Duration LONGEST_BACK_OFF = Duration.ofMillis(1500);
+    /** The longest such delay. Watchers call more often, and notify the others when the platform is reachable again. */
+    private static final Duration MAXIMUM_BACKOFF = Duration.ofMillis(1500);
 
     /** The kind. */
     private final String kind;
 
     /** The watch at the platform. */
-    private final KindWatch direct;
+    private final KindWatch platformWatch;
 
-    /** The objects as this node knows them. */
+    /** This node's copy of the objects. */
     private final KindReplica replica = new KindReplica();
 
-    /** Which nodes watch. */
+    /** Selects the watchers. */
     private final WatchRoles roles;
 
-    /** Asks the watching nodes. */
+    /** Requests changes from a watcher. */
     private final WatchFollower follower;
 
-    /** Answers the nodes that follow this one. */
+    /** Answers the followers of this node. */
     private final WatchServer server;
 
-    /** When a node that follows may call the platform. */
-    private final CallBackOff backOff = new CallBackOff(FIRST_BACK_OFF, LONGEST_BACK_OFF);
+    /** Delays the calls of a follower to the platform after a failure. */
+    private final CallBackOff backoff = new CallBackOff(INITIAL_BACKOFF, MAXIMUM_BACKOFF);
 
-    /** Asks the platform where the others do not tell what is so. */
+    /** Confirms this node's state at the platform where other nodes can't. */
     private final KindConfirmation confirmation;
 
-    /** The age at which what is known is confirmed at the platform, or empty if it may be of any age. */
-    private final Optional<Duration> greatestAge;
+    /** The age at which this node's state is confirmed at the platform, or empty if its age is not bounded. */
+    private final Optional<Duration> maximumAge;
 
-    /** What the watching nodes tell of all kinds. */
+    /** The ages that watchers report for all kinds. */
     private final KindAges ages;
 
-    /** Whether what the watching nodes say is not enough, such that the platform has to be asked. */
-    private boolean doubtful = true;
+    /**
+     * Whether the latest request brought no answer that is backed by contact with the platform, such that this node's
+     * state has to be confirmed in another way.
+     */
+    private boolean unconfirmed = true;
 
-    /** Since when a watching node is known to know more than this one. */
-    private Optional<MonotonicTime> behindSince = Optional.empty();
+    /** Since when a watcher is known to have changes that this node lacks. */
+    private Optional<MonotonicTime> laggingSince = Optional.empty();
 
-    /** The version that was known when the platform was last asked for changes. */
-    private long askedBehind = WatchMessage.UNKNOWN_VERSION;
+    /** This node's version when it last called the platform for changes. */
+    private long requestedAfter = WatchMessage.UNKNOWN_VERSION;
 
-    /** When the platform surely held nothing beyond what this node knows. */
+    /** The latest time as of which this node's state is guaranteed to be complete. */
     private Optional<MonotonicTime> confirmedAt = Optional.empty();
 
     /**
-     * Creates a watch that knows nothing yet.
+     * Creates a watch without any state.
      *
      * @param kind The kind of the objects.
      * @param purpose The purpose of the calls.
-     * @param tokens Hands out the tokens of calls.
-     * @param gathering The pause after an answer of the platform that gathers further changes into the next one.
-     * @param greatestAge The age at which what is known is confirmed at the platform, or empty if it may be of any age.
-     * @param roles Which nodes watch.
-     * @param follower Asks the watching nodes.
-     * @param ages What the watching nodes tell of all kinds.
+     * @param tokens Allocates the tokens of calls.
+     * @param batchingDelay The delay after an answer of the platform, which batches further changes into the next one.
+     * @param maximumAge The age at which this node's state is confirmed at the platform, or empty if its age is not
+     *     bounded.
+     * @param roles Selects the watchers.
+     * @param follower Requests changes from a watcher.
+     * @param ages The ages that watchers report for all kinds.
      */
     SharedKindWatch(
             String kind,
             PlatformPurpose purpose,
             PlatformTokens tokens,
-            Duration gathering,
-            Optional<Duration> greatestAge,
+            Duration batchingDelay,
+            Optional<Duration> maximumAge,
             WatchRoles roles,
             WatchFollower follower,
             KindAges ages) {
         this.kind = kind;
         this.ages = ages;
-        direct = new KindWatch(kind, purpose, tokens, gathering, WAIT_TIME);
+        platformWatch = new KindWatch(kind, purpose, tokens, batchingDelay, WATCH_TIMEOUT);
         confirmation = new KindConfirmation(kind, purpose, tokens);
-        this.greatestAge = greatestAge;
+        this.maximumAge = maximumAge;
         this.roles = roles;
         this.follower = follower;
-        server = new WatchServer(kind, replica, direct, this::confirmedAt, ages);
+        server = new WatchServer(kind, replica, platformWatch, this::confirmedAt, ages);
     }
 
     @Override
     public Optional<News> run(Tick tick) {
         tick.events(Suspended.class).forEach(event -> suspended(event.gap()));
-        Optional<News> news = Stream.of(takeDirect(tick), takeRelayed(tick), takeConfirmation(tick))
+        Optional<News> changes = Stream.of(
+                        processPlatformAnswer(tick), processRelayedAnswer(tick), processConfirmation(tick))
                 .<News>mapMulti(Optional::ifPresent)
                 .reduce(News::followedBy);
-        takeAge(tick);
+        processReportedAge(tick);
         server.run(tick);
         if (!follower.isWaiting()) {
-            ask(tick);
+            request(tick);
         }
         confirmIfNeeded(tick);
-        return news;
+        return changes;
     }
 
     @Override
@@ -139,7 +147,7 @@
     }
 
     /**
-     * Returns the version of the latest change that is known.
+     * Returns the version of the latest change that this node has received.
      *
      * @return The version, or {@link WatchMessage#UNKNOWN_VERSION}.
      */
@@ -148,223 +156,228 @@
     }
 
     /**
-     * Takes note that the machine was suspended, such that its clock stood still meanwhile.
+     * Adjusts all times after the VM was suspended, while its clock stopped.
      *
-     * @param gap How long it was.
+     * @param gap How long the VM was suspended.
      */
     private void suspended(Duration gap) {
         confirmedAt = confirmedAt.map(at -> at.plus(gap.negated()));
-        direct.suspended(gap);
+        platformWatch.suspended(gap);
         confirmation.suspended(gap);
         ages.suspended();
         follower.suspended(gap);
     }
 
     /**
-     * Takes note that the platform surely held nothing beyond what this node knows.
+     * Records that this node's state was complete as of a time.
      *
-     * @param at When.
+     * @param at The time, or empty if it is unknown.
      */
     private void confirm(Optional<MonotonicTime> at) {
         confirmedAt = Stream.concat(confirmedAt.stream(), at.stream()).max(Comparator.naturalOrder());
     }
 
     /**
-     * Takes the platform's answer, if it arrived.
+     * Processes the platform's answer to the call for changes, if it arrived.
      *
      * @param tick The tick.
-     * @return What is new.
+     * @return The changes that this node did not have.
      */
-    private Optional<News> takeDirect(Tick tick) {
-        if (!direct.isCalling()) {
+    private Optional<News> processPlatformAnswer(Tick tick) {
+        if (!platformWatch.isCalling()) {
             return Optional.empty();
         }
-        Optional<News> news = direct.answer(tick);
-        if (direct.isCalling()) {
-            return news;
+        Optional<News> changes = platformWatch.answer(tick);
+        if (platformWatch.isCalling()) {
+            return changes;
         }
-        doubtful = !direct.isInContact(tick.now());
-        if (doubtful) {
-            backOff.failed(tick);
+        unconfirmed = !platformWatch.isInContact(tick.now());
+        if (unconfirmed) {
+            backoff.failed(tick);
         } else {
-            backOff.succeeded(tick.now(), Duration.ZERO);
+            backoff.succeeded(tick.now(), Duration.ZERO);
         }
-        Optional<News> taken =
-                news.flatMap(found -> take(found, askedBehind, direct.version().orElseThrow()));
-        confirm(direct.confirmedAt());
-        return taken;
+        Optional<News> applied = changes.flatMap(
+                found -> apply(found, requestedAfter, platformWatch.version().orElseThrow()));
+        confirm(platformWatch.confirmedAt());
+        return applied;
     }
 
     /**
-     * Takes the answer of a watching node, if it arrived.
+     * Processes the answer of a watcher, if it arrived.
      *
      * @param tick The tick.
-     * @return What is new.
+     * @return The changes that this node did not have.
      */
-    private Optional<News> takeRelayed(Tick tick) {
+    private Optional<News> processRelayedAnswer(Tick tick) {
         Optional<WatchFollower.Outcome> outcome = follower.receive(tick);
         if (outcome.isEmpty()) {
             return Optional.empty();
         }
-        doubtful = !outcome.get().inContact();
-        Optional<News> news = outcome.get()
+        unconfirmed = !outcome.get().inContact();
+        Optional<News> changes = outcome.get()
                 .changes()
-                .flatMap(changes -> take(
-                        new News(changes.objects(), changes.complete()),
+                .flatMap(answer -> apply(
+                        new News(answer.objects(), answer.complete()),
                         outcome.get().version(),
-                        changes.version()));
+                        answer.version()));
         confirm(outcome.get().confirmedAt());
-        return news;
+        return changes;
     }
 
     /**
-     * Takes the answer to the call that confirms what is known, if it arrived.
+     * Processes the answer to the confirmation call, if it arrived.
      *
      * @param tick The tick.
-     * @return What is new.
+     * @return The changes that this node did not have.
      */
-    private Optional<News> takeConfirmation(Tick tick) {
+    private Optional<News> processConfirmation(Tick tick) {
         Optional<KindConfirmation.Answer> answer = confirmation.receive(tick);
         if (answer.isEmpty()) {
             return Optional.empty();
         }
-        doubtful = false;
-        Optional<News> news =
-                take(answer.get().news(), answer.get().behind(), answer.get().upTo());
+        unconfirmed = false;
+        Optional<News> changes = apply(
+                answer.get().changes(),
+                answer.get().afterVersion(),
+                answer.get().upTo());
         confirm(Optional.of(answer.get().confirmedAt()));
-        return news;
+        return changes;
     }
 
     /**
-     * Takes what a watching node told of the age of what it knows. Where it knows more than this node for longer than a
-     * message takes, its answer is lost, and it is asked anew.
+     * Processes the age that a watcher reported for its state. If the watcher is ahead of this node for longer than a
+     * message takes, its answer was lost, and the changes are requested again.
      *
      * @param tick The tick.
      */
-    private void takeAge(Tick tick) {
-        Optional<KindAges.Told> told = ages.told(kind);
-        if (told.isEmpty()) {
+    private void processReportedAge(Tick tick) {
+        Optional<KindAges.Report> report = ages.report(kind);
+        if (report.isEmpty()) {
             return;
         }
-        if (replica.version() >= told.get().changedAt()) {
-            behindSince = Optional.empty();
-            confirm(Optional.of(told.get().confirmedAt()));
+        if (replica.version() >= report.get().changedAt()) {
+            laggingSince = Optional.empty();
+            confirm(Optional.of(report.get().confirmedAt()));
             return;
         }
-        MonotonicTime since = behindSince.orElseGet(tick::now);
-        behindSince = Optional.of(since);
-        if (tick.now().since(since).compareTo(WatchFollower.DELIVERY_TIME) > 0) {
-            behindSince = Optional.empty();
-            follower.forget();
+        MonotonicTime since = laggingSince.orElseGet(tick::now);
+        laggingSince = Optional.of(since);
+        if (tick.now().since(since).compareTo(WatchFollower.DELIVERY_TIMEOUT) > 0) {
+            laggingSince = Optional.empty();
+            follower.abandon();
         }
     }
 
     /**
-     * Takes objects or their changes. Answers come by several ways, so what is older than what is known is left out.
+     * Applies all objects, or changes. Answers arrive on several paths, so changes that this node already has are
+     * dropped.
      *
-     * @param news The objects.
-     * @param behind The version behind which they changed, unless they are all objects.
-     * @param upTo The version up to which all changes are known with them.
-     * @return What is new.
+     * @param changes All objects, or the changed ones.
+     * @param afterVersion The version after which the objects changed, unless these are all objects.
+     * @param upTo The version up to which this update is complete.
+     * @return The changes that this node did not have.
      */
-    private Optional<News> take(News news, long behind, long upTo) {
-        long known = replica.version();
-        if (upTo <= known) {
-            direct.goOnBehind(known);
+    private Optional<News> apply(News changes, long afterVersion, long upTo) {
+        long replicaVersion = replica.version();
+        if (upTo <= replicaVersion) {
+            platformWatch.goOnBehind(replicaVersion);
             return Optional.empty();
         }
-        News fresh = news.complete() || behind >= known ? news : news.behind(known);
-        replica.take(fresh, upTo);
-        direct.goOnBehind(upTo);
+        News fresh = changes.complete() || afterVersion >= replicaVersion ? changes : changes.behind(replicaVersion);
+        replica.apply(fresh, upTo);
+        platformWatch.goOnBehind(upTo);
         return Optional.of(fresh);
     }
 
     /**
-     * Asks for what comes next: the platform where this node watches or knows nothing yet, else a watching node. One
-     * that watches and gets no answer asks another node too, as the platform may fail this one alone.
+     * Requests the next changes: from the platform if this node is a watcher or has no state yet, else from a watcher.
+     * A watcher that gets no answer requests them from another node as well, as the platform may fail for this node
+     * alone.
      *
      * @param tick The tick.
      */
-    private void ask(Tick tick) {
+    private void request(Tick tick) {
         MonotonicTime now = tick.now();
-        boolean begins = doubtful && !knowsAnything() && backOff.allows(now);
-        if (roles.isWatcher() || begins) {
-            callDirect(tick);
+        boolean initialCall = unconfirmed && !hasState() && backoff.allows(now);
+        if (roles.isWatcher() || initialCall) {
+            callPlatform(tick);
         }
-        if (!needsOthers(now)) {
+        if (!needsOtherNodes(now)) {
             return;
         }
         Optional<NodeName> other = follower.choose(roles.watchers(), now)
-                .or(() -> follower.choose(isOverdue(now) || isPlatformAway(now) ? roles.others() : List.of(), now));
+                .or(() -> follower.choose(
+                        isOverdue(now) || isPlatformAway(now) ? roles.fallbackNodes() : List.of(), now));
         if (other.isPresent()) {
-            follower.ask(tick, other.get(), replica.version(), doubtful);
-        } else if (backOff.allows(now)) {
-            callDirect(tick);
+            follower.request(tick, other.get(), replica.version(), unconfirmed);
+        } else if (backoff.allows(now)) {
+            callPlatform(tick);
         }
     }
 
     /**
-     * Returns whether other nodes have to tell what is so: always those that watch where this one does not, else where
-     * the platform does not answer.
+     * Returns whether this node depends on other nodes for changes: a follower always does, unless it calls the
+     * platform, and a watcher does while the platform does not answer.
      *
-     * @param now The present.
-     * @return {@code true} if they have to.
+     * @param now The current time.
+     * @return {@code true} if it does.
      */
-    private boolean needsOthers(MonotonicTime now) {
-        return isOverdue(now) || (roles.isWatcher() ? doubtful : !direct.isCalling());
+    private boolean needsOtherNodes(MonotonicTime now) {
+        return isOverdue(now) || (roles.isWatcher() ? unconfirmed : !platformWatch.isCalling());
     }
 
     /**
-     * Returns whether the platform should have answered the call that waits there.
+     * Returns whether the answer to the pending call for changes is overdue.
      *
-     * @param now The present.
-     * @return {@code true} if it should have.
+     * @param now The current time.
+     * @return {@code true} if it is.
      */
     private boolean isOverdue(MonotonicTime now) {
-        return direct.isCalling() && !direct.isInContact(now);
+        return platformWatch.isCalling() && !platformWatch.isInContact(now);
     }
 
     /**
-     * Calls the platform for changes. A call that follows changes is answered sooner than others, as it tells only when
-     * it is answered that there were no further ones.
+     * Calls the platform for changes. A call shortly after changes is held for less time, as only its answer confirms
+     * that there were no further ones.
      *
      * @param tick The tick.
      */
-    private void callDirect(Tick tick) {
-        if (direct.isCalling()) {
+    private void callPlatform(Tick tick) {
+        if (platformWatch.isCalling()) {
             return;
         }
         Optional<Duration> age = confirmedAt.map(tick.now()::since);
-        Duration wait = greatestAge
+        Duration wait = maximumAge
                 .filter(_bound -> age.isPresent())
-                .map(bound -> bound.minus(follower.relayTime()).minus(age.get()))
-                .orElse(WAIT_TIME);
-        askedBehind = replica.version();
-        direct.callIfDue(tick, wait.isNegative() ? Duration.ZERO : wait);
+                .map(bound -> bound.minus(follower.relayDelay()).minus(age.get()))
+                .orElse(WATCH_TIMEOUT);
+        requestedAfter = replica.version();
+        platformWatch.callIfDue(tick, wait.isNegative() ? Duration.ZERO : wait);
     }
 
     /**
-     * Asks the platform whether what is known still holds, where it has grown old or the watching nodes can't tell.
+     * Confirms this node's state at the platform if it is stale or the watchers have no contact with the platform.
      *
      * @param tick The tick.
      */
     private void confirmIfNeeded(Tick tick) {
-        boolean old = confirmedAt.isPresent()
-                && greatestAge
+        boolean stale = confirmedAt.isPresent()
+                && maximumAge
                         .filter(bound -> tick.now().since(confirmedAt.get()).compareTo(bound) > 0)
                         .isPresent();
-        boolean doubted = doubtful && !roles.isWatcher() && backOff.allows(tick.now());
-        if (knowsAnything() && (old || doubted)) {
-            confirmation.ask(tick, replica.version());
+        boolean retry = unconfirmed && !roles.isWatcher() && backoff.allows(tick.now());
+        if (hasState() && (stale || retry)) {
+            confirmation.request(tick, replica.version());
         }
     }
 
     /**
-     * Returns whether this node knows the objects as they were at some time.
+     * Returns whether this node has any state of the objects.
      *
-     * @return {@code true} if it does.
+     * @return {@code true} if it has.
      */
-    private boolean knowsAnything() {
+    private boolean hasState() {
         return replica.version() != WatchMessage.UNKNOWN_VERSION;
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/SharedWatches.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/SharedWatches.java
@@ -6,20 +6,20 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** Creates the shared watches of one node, which use one view of the nodes that watch. */
+/** Creates the shared watches of one node, which share its contacts with the watchers. */
 public final class SharedWatches {
 
     /** The nodes of the site. */
     private final MembershipView membership;
 
-    /** What is known of the nodes that watch. */
+    /** This node's contacts with the watchers. */
     private final WatcherContacts contacts = new WatcherContacts();
 
-    /** How old what is known of the kinds is. */
+    /** The ages that watchers report for all kinds. */
     private final KindAges ages = new KindAges();
 
-    /** Whether the kind that notices a lost node was created. */
-    private boolean probed;
+    /** Whether the kind that detects lost nodes was created. */
+    private boolean probeAssigned;
 
     /**
      * Creates a node's watches.
@@ -31,31 +31,31 @@
     }
 
     /**
-     * Creates the watch of a kind. The first one notices lost nodes for all.
+     * Creates the watch of a kind. The first one detects lost nodes for all kinds.
      *
      * @param kind The kind of the objects.
      * @param purpose The purpose of the calls.
-     * @param tokens Hands out the tokens of calls.
-     * @param gathering The pause after an answer of the platform that gathers further changes into the next one.
+     * @param tokens Allocates the tokens of calls.
+     * @param batchingDelay The delay after an answer of the platform, which batches further changes into the next one.
      * @return The watch.
      */
-    public SharedKindWatch watch(String kind, PlatformPurpose purpose, PlatformTokens tokens, Duration gathering) {
-        return watch(kind, purpose, tokens, gathering, Optional.empty());
+    public SharedKindWatch watch(String kind, PlatformPurpose purpose, PlatformTokens tokens, Duration batchingDelay) {
+        return watch(kind, purpose, tokens, batchingDelay, Optional.empty());
     }
 
     /**
-     * Creates the watch of a kind of which nothing known may grow older than a bound where the platform answers.
+     * Creates the watch of a kind whose state must not exceed an age while the platform answers.
      *
      * @param kind The kind of the objects.
      * @param purpose The purpose of the calls.
-     * @param tokens Hands out the tokens of calls.
-     * @param gathering The pause after an answer of the platform that gathers further changes into the next one.
-     * @param greatestAge The age at which what is known is confirmed at the platform.
+     * @param tokens Allocates the tokens of calls.
+     * @param batchingDelay The delay after an answer of the platform, which batches further changes into the next one.
+     * @param maximumAge The age at which this node's state is confirmed at the platform.
      * @return The watch.
      */
     public SharedKindWatch watchWithin(
-            String kind, PlatformPurpose purpose, PlatformTokens tokens, Duration gathering, Duration greatestAge) {
-        return watch(kind, purpose, tokens, gathering, Optional.of(greatestAge));
+            String kind, PlatformPurpose purpose, PlatformTokens tokens, Duration batchingDelay, Duration maximumAge) {
+        return watch(kind, purpose, tokens, batchingDelay, Optional.of(maximumAge));
     }
 
     /**
@@ -63,21 +63,22 @@
      *
      * @param kind The kind of the objects.
      * @param purpose The purpose of the calls.
-     * @param tokens Hands out the tokens of calls.
-     * @param gathering The pause after an answer of the platform that gathers further changes into the next one.
-     * @param greatestAge The age at which what is known is confirmed at the platform, if it may not be of any age.
+     * @param tokens Allocates the tokens of calls.
+     * @param batchingDelay The delay after an answer of the platform, which batches further changes into the next one.
+     * @param maximumAge The age at which this node's state is confirmed at the platform, or empty if its age is not
+     *     bounded.
      * @return The watch.
      */
     private SharedKindWatch watch(
             String kind,
             PlatformPurpose purpose,
             PlatformTokens tokens,
-            Duration gathering,
-            Optional<Duration> greatestAge) {
-        WatchFollower follower = new WatchFollower(kind, contacts, ages, !probed);
-        probed = true;
+            Duration batchingDelay,
+            Optional<Duration> maximumAge) {
+        WatchFollower follower = new WatchFollower(kind, contacts, ages, !probeAssigned);
+        probeAssigned = true;
         SharedKindWatch watch = new SharedKindWatch(
-                kind, purpose, tokens, gathering, greatestAge, new WatchRoles(membership), follower, ages);
+                kind, purpose, tokens, batchingDelay, maximumAge, new WatchRoles(membership), follower, ages);
         ages.add(watch);
         return watch;
     }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/WatchFollower.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/WatchFollower.java
@@ -11,55 +11,58 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Asks a watching node for the changes of one kind, with one request at a time. */
+/** Requests the changes of one kind from a watcher, with one request at a time. */
 final class WatchFollower {
 
-    /** How long the request that notices a lost node is held. Half of it passes before the node is missed. */
+    /**
+     * How long a watcher holds the request that detects a lost node. A lost node is detected half of this time later on
+     * average, plus the delivery time-out.
+     */
     private static final Duration SHORT_HOLD = Duration.ofMillis(500);
 
     /**
-     * How long a request is held while another kind hears from the same node. At five seconds a request costs a tenth
-     * of the messages of a short one, and changes are told at once all the same.
+     * How long a request is held while another kind is in contact with the same node. At five seconds it takes a tenth
+     * of the messages of a short one, and changes are still reported immediately.
      */
     private static final Duration LONG_HOLD = Duration.ofSeconds(5);
 
     /** How long an answer may take beyond the time for which the request is held. */
-    static final Duration DELIVERY_TIME = Duration.ofMillis(300);
+    static final Duration DELIVERY_TIMEOUT = Duration.ofMillis(300);
 
-    /** After which silence a node is missed. */
-    static final Duration TIMEOUT = SHORT_HOLD.plus(DELIVERY_TIME);
+    /** After how long without an answer a node is considered lost. */
+    static final Duration CONTACT_TIMEOUT = SHORT_HOLD.plus(DELIVERY_TIMEOUT);
 
-    /** How long a node that did not answer is left alone, by when the membership knows whether it is gone. */
-    private static final Duration SILENT_PAUSE = Duration.ofSeconds(3);
+    /** How long a node that did not answer is excluded, by when the membership has detected whether it is gone. */
+    private static final Duration UNRESPONSIVE_EXCLUSION = Duration.ofSeconds(3);
 
-    /** How long a node that the platform does not answer is left alone. Asking again costs only a small message. */
-    private static final Duration CONTACTLESS_PAUSE = Duration.ofMillis(300);
+    /** How long a node without contact to the platform is excluded. Requesting again takes only a small message. */
+    private static final Duration NO_PLATFORM_EXCLUSION = Duration.ofMillis(300);
 
     /** The kind. */
     private final String kind;
 
-    /** What is known of the nodes that watch. */
+    /** This node's contacts with the watchers. */
     private final WatcherContacts contacts;
 
-    /** What these tell of all kinds. */
+    /** The ages that watchers report for all kinds. */
     private final KindAges ages;
 
-    /** Whether this kind notices lost nodes for the others. */
+    /** Whether this kind detects lost nodes for the others. */
     private final boolean probes;
 
-    /** The request that waits for its answer, if any. */
+    /** The pending request, if any. */
     private Optional<Request> request = Optional.empty();
 
     /** The number of the latest request. */
     private long number;
 
     /**
-     * Creates a follower that has asked nothing.
+     * Creates a follower without a request.
      *
      * @param kind The kind.
-     * @param contacts What is known of the nodes that watch.
-     * @param ages What these tell of all kinds.
-     * @param probes Whether this kind notices lost nodes for the others.
+     * @param contacts This node's contacts with the watchers.
+     * @param ages The ages that watchers report for all kinds.
+     * @param probes Whether this kind detects lost nodes for the others.
      */
     WatchFollower(String kind, WatcherContacts contacts, KindAges ages, boolean probes) {
         this.kind = kind;
@@ -69,50 +72,51 @@
     }
 
     /**
-     * Returns whether a request waits for its answer.
+     * Returns whether a request is pending.
      *
-     * @return {@code true} if one does.
+     * @return {@code true} if one is.
      */
     boolean isWaiting() {
         return request.isPresent();
     }
 
     /**
-     * Chooses a watching node that is not left alone.
+     * Chooses a node that is not excluded.
      *
-     * @param watchers The watching nodes.
-     * @param now The present.
+     * @param watchers The nodes, in order of preference.
+     * @param now The current time.
      * @return The first such node, or empty if there is none.
      */
     Optional<NodeName> choose(List<NodeName> watchers, MonotonicTime now) {
         return watchers.stream()
-                .filter(watcher -> !contacts.isPaused(watcher, now))
+                .filter(watcher -> !contacts.isExcluded(watcher, now))
                 .findFirst();
     }
 
     /**
-     * Asks a node.
+     * Sends a request to a node.
      *
      * @param tick The tick.
      * @param watcher The node.
-     * @param version The version up to which changes are known.
-     * @param atOnce Whether the node shall answer at once, whether or not it knows more.
+     * @param version The version up to which this node's state is complete.
+     * @param answerImmediately Whether the node shall answer immediately, even if it has no later changes.
      */
-    void ask(Tick tick, NodeName watcher, long version, boolean atOnce) {
+    void request(Tick tick, NodeName watcher, long version, boolean answerImmediately) {
         number++;
-        boolean waits = !probes && !atOnce;
-        Optional<NodeIdentity> heard = waits ? contacts.inTouch(watcher, tick.now()) : Optional.empty();
-        Duration hold = heard.isPresent() ? LONG_HOLD : SHORT_HOLD;
-        request = Optional.of(new Request(watcher, number, version, tick.now(), hold, heard));
-        long holdMillis = atOnce ? 0 : hold.toMillis();
+        boolean allowsLongHold = !probes && !answerImmediately;
+        Optional<NodeIdentity> contact =
+                allowsLongHold ? contacts.recentContact(watcher, tick.now()) : Optional.empty();
+        Duration hold = contact.isPresent() ? LONG_HOLD : SHORT_HOLD;
+        request = Optional.of(new Request(watcher, number, version, tick.now(), hold, contact));
+        long holdMillis = answerImmediately ? 0 : hold.toMillis();
         tick.emit(new PeerEffect.Send(watcher, new WatchMessage.Follow(kind, number, version, holdMillis, probes)));
     }
 
     /**
-     * Takes the answer to the request, or notices that there is none.
+     * Processes the answer to the request, or detects that there is none.
      *
      * @param tick The tick.
-     * @return What became of the request, or empty as long as it waits.
+     * @return The outcome of the request, or empty while it is pending.
      */
     Optional<Outcome> receive(Tick tick) {
         if (request.isEmpty()) {
@@ -124,11 +128,11 @@
                 return Optional.of(answered(tick, changes));
             }
         }
-        Request waiting = request.get();
-        if (isUndeliverable(tick) || waiting.isOverdue(tick.now())) {
-            return Optional.of(silent(tick));
+        Request pending = request.get();
+        if (isUndeliverable(tick) || pending.isOverdue(tick.now())) {
+            return Optional.of(failed(tick));
         }
-        if (isLost(waiting, tick.now())) {
+        if (isLost(pending, tick.now())) {
             request = Optional.empty();
         }
         return Optional.empty();
@@ -141,51 +145,51 @@
      * @return {@code true} if it does.
      */
     private boolean answersRequest(WatchMessage.Changes changes) {
-        Request waiting = request.orElseThrow();
+        Request pending = request.orElseThrow();
         return changes.kind().equals(kind)
-                && changes.number() == waiting.number()
-                && changes.behind() == waiting.version();
+                && changes.number() == pending.number()
+                && changes.requestVersion() == pending.version();
     }
 
     /**
-     * Returns whether a request that is held for long may be lost, because the life of the node that holds it was not
-     * heard since, or another kind found that the node is of no use.
+     * Returns whether a request that is held for long may be lost, because the incarnation of the node that holds it
+     * has not answered another kind since, or another kind has excluded the node.
      *
-     * @param waiting The request.
-     * @param now The present.
-     * @return {@code true} if it has to be sent anew.
+     * @param pending The pending request.
+     * @param now The current time.
+     * @return {@code true} if it has to be sent again.
      */
-    private boolean isLost(Request waiting, MonotonicTime now) {
-        return waiting.heard().isPresent()
-                && (contacts.isPaused(waiting.watcher(), now)
-                        || !contacts.inTouch(waiting.watcher(), now).equals(waiting.heard()));
+    private boolean isLost(Request pending, MonotonicTime now) {
+        return pending.contact().isPresent()
+                && (contacts.isExcluded(pending.watcher(), now)
+                        || !contacts.recentContact(pending.watcher(), now).equals(pending.contact()));
     }
 
     /**
-     * Takes an answer.
+     * Processes an answer.
      *
      * @param tick The tick.
      * @param changes The answer.
-     * @return What became of the request.
+     * @return The outcome of the request.
      */
     private Outcome answered(Tick tick, WatchMessage.Changes changes) {
         Request answered = request.orElseThrow();
         request = Optional.empty();
         if (!changes.inContact()) {
-            contacts.pause(answered.watcher(), tick.now().plus(CONTACTLESS_PAUSE));
+            contacts.exclude(answered.watcher(), tick.now().plus(NO_PLATFORM_EXCLUSION));
         }
-        MonotonicTime writtenAt = answered.askedAt().plus(Duration.ofMillis(changes.heldMillis()));
-        ages.take(changes.kinds(), writtenAt, tick.now());
+        MonotonicTime writtenAt = answered.sentAt().plus(Duration.ofMillis(changes.heldMillis()));
+        ages.apply(changes.kindAges(), writtenAt, tick.now());
         return new Outcome(answered.version(), Optional.of(changes), confirmedBy(writtenAt, changes));
     }
 
     /**
-     * Returns when the platform surely held nothing beyond what an answer tells. The answer was written no earlier than
-     * the request was sent and then held, however long either was on its way.
+     * Returns the time as of which an answer is guaranteed to be complete. The answer was written no earlier than the
+     * request was sent plus the time for which it was held, however long both messages took.
      *
      * @param writtenAt The earliest time at which the answer can have been written.
      * @param changes The answer.
-     * @return The time, or empty if the other node knows nothing.
+     * @return The time, or empty if the other node has no state.
      */
     private static Optional<MonotonicTime> confirmedBy(MonotonicTime writtenAt, WatchMessage.Changes changes) {
         if (changes.confirmedAgeMillis().isEmpty()) {
@@ -196,51 +200,52 @@
     }
 
     /**
-     * Returns how much older than at a watching node what is known gets here until that is asked again.
+     * Returns by how much this node's state becomes older than the watcher's before the next request.
      *
-     * @return The time.
+     * @return The difference.
      */
-    Duration relayTime() {
-        return probes ? DELIVERY_TIME.dividedBy(2) : SHORT_HOLD.plus(DELIVERY_TIME.dividedBy(2));
+    Duration relayDelay() {
+        return probes ? DELIVERY_TIMEOUT.dividedBy(2) : SHORT_HOLD.plus(DELIVERY_TIMEOUT.dividedBy(2));
     }
 
-    /** Gives up waiting for an answer, which was surely lost. */
-    void forget() {
+    /** Abandons the request, whose answer was lost. */
+    void abandon() {
         request = Optional.empty();
     }
 
     /**
-     * Takes note that the machine was suspended, such that its clock stood still meanwhile.
+     * Adjusts the time of the request after the VM was suspended, while its clock stopped.
      *
-     * @param gap How long it was.
+     * @param gap How long the VM was suspended.
      */
     void suspended(Duration gap) {
-        request = request.map(waiting -> waiting.askedEarlier(gap));
+        request = request.map(pending -> pending.sentEarlier(gap));
     }
 
     /**
-     * Takes note that there is no answer.
+     * Excludes the node that gave no answer.
      *
      * @param tick The tick.
-     * @return What became of the request.
+     * @return The outcome of the request.
      */
-    private Outcome silent(Tick tick) {
+    private Outcome failed(Tick tick) {
         Request lost = request.orElseThrow();
         request = Optional.empty();
-        contacts.pause(lost.watcher(), tick.now().plus(SILENT_PAUSE));
+        contacts.exclude(lost.watcher(), tick.now().plus(UNRESPONSIVE_EXCLUSION));
         tick.decide(Decision.of(
                 "watch",
                 kind,
-                "not from " + lost.watcher(),
-                "no answer in " + tick.now().since(lost.askedAt()).toMillis() + " ms, version " + lost.version()));
+                "excluded " + lost.watcher(),
+                "no answer within " + tick.now().since(lost.sentAt()).toMillis()
+                        + " ms to the request for changes after version " + lost.version()));
         return new Outcome(lost.version(), Optional.empty(), Optional.empty());
     }
 
     /**
-     * Returns whether the request could not be sent.
+     * Returns whether the request could not be delivered.
      *
      * @param tick The tick.
-     * @return {@code true} if the network said so.
+     * @return {@code true} if the network reported so.
      */
     private boolean isUndeliverable(Tick tick) {
         return tick.events(PeerEvent.Undeliverable.class).stream()
@@ -252,56 +257,56 @@
     }
 
     /**
-     * A request that waits for its answer.
+     * A pending request.
      *
-     * @param watcher The node that was asked.
+     * @param watcher The node to which it was sent.
      * @param number The number of the request.
-     * @param version The version up to which changes were known.
-     * @param askedAt When it was sent.
+     * @param version The version up to which this node's state was complete.
+     * @param sentAt When it was sent.
      * @param hold How long the node may hold it.
-     * @param heard The life of the node that another kind hears from meanwhile, or empty if this one notices its loss.
+     * @param contact The incarnation of the node with which another kind is in contact, or empty if this request
+     *     detects the loss of the node itself.
      */
     private record Request(
             NodeName watcher,
             long number,
             long version,
-            MonotonicTime askedAt,
+            MonotonicTime sentAt,
             Duration hold,
-            Optional<NodeIdentity> heard) {
+            Optional<NodeIdentity> contact) {
 
         /**
-         * Returns whether the answer should be there.
+         * Returns whether the answer is overdue.
          *
-         * @param now The present.
-         * @return {@code true} if it should.
+         * @param now The current time.
+         * @return {@code true} if it is.
          */
         boolean isOverdue(MonotonicTime now) {
-            return now.since(askedAt).compareTo(hold.plus(DELIVERY_TIME)) > 0;
+            return now.since(sentAt).compareTo(hold.plus(DELIVERY_TIMEOUT)) > 0;
         }
 
         /**
-         * Returns this request as sent earlier.
+         * Returns a copy of this request with an earlier sending time.
          *
-         * @param by By how much.
+         * @param by The difference.
          * @return The request.
          */
-        Request askedEarlier(Duration by) {
-            return new Request(watcher, number, version, askedAt.plus(by.negated()), hold, heard);
+        Request sentEarlier(Duration by) {
+            return new Request(watcher, number, version, sentAt.plus(by.negated()), hold, contact);
         }
     }
 
     /**
-     * What became of a request.
+     * The outcome of a request.
      *
-     * @param version The version that the request named.
+     * @param version The version of the request.
      * @param changes The answer, or empty if there is none.
-     * @param confirmedAt When the platform surely held nothing beyond what the answer tells, or empty if that is
-     *     unknown.
+     * @param confirmedAt The time as of which the answer is guaranteed to be complete, or empty if it is unknown.
      */
     record Outcome(long version, Optional<WatchMessage.Changes> changes, Optional<MonotonicTime> confirmedAt) {
 
         /**
-         * Returns whether the node that was asked is in contact with the platform.
+         * Returns whether the node that answered is in contact with the platform.
          *
          * @return {@code true} if its answer says so.
          */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/WatchRoles.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/WatchRoles.java
@@ -10,35 +10,38 @@
 import java.util.stream.Collectors;
 
 /**
- * Which nodes watch at the platform, for all kinds: the two of each region that rank highest among its working nodes,
- * in two availability zones where there are two. The platform's calls thus grow with the regions and not with the
- * nodes. A node that knows no other one watches for itself.
+ * Selects the watchers, which are the same for all kinds: the two nodes of each region that rank highest among its
+ * working nodes, in two availability zones where there are two. The number of calls to the platform thus grows with the
+ * regions and not with the nodes. A node without other members is a watcher itself.
  */
 final class WatchRoles {
 
-    /** What the nodes are ranked for. */
-    static final String KEY = "watch";
+    /** The key for which the nodes are ranked. */
+    static final String RANKING_KEY = "watch";
 
-    /** The number of nodes that are asked where the watching ones can't tell. */
-    private static final int OTHERS = 2;
+    /** The number of other nodes that are queried where the watchers have no contact with the platform. */
+    private static final int FALLBACK_NODES = 2;
 
     /** The members. */
     private final MembershipView membership;
 
-    /** The watching nodes, in the order in which this node follows them. */
+    /** The watchers, in the order in which this node follows them. */
     private List<NodeName> watchers = List.of();
 
-    /** Whether this node watches. */
-    private boolean watches = true;
+    /** Whether this node is a watcher. */
+    private boolean watcher = true;
 
-    /** The nodes that are asked where the watching ones can't tell. */
-    private List<NodeName> others = List.of();
+    /** The nodes that are queried where the watchers have no contact with the platform. */
+    private List<NodeName> fallbackNodes = List.of();
 
-    /** The working nodes that the watching ones were picked from, which are another collection after each change. */
-    private Collection<Member> picked = List.of();
+    /**
+     * The working nodes from which the watchers were selected. Each change of the membership creates another
+     * collection.
+     */
+    private Collection<Member> candidates = List.of();
 
     /**
-     * Creates roles that were not looked into yet.
+     * Creates roles that are not selected yet.
      *
      * @param membership The members.
      */
@@ -47,60 +50,60 @@
     }
 
     /**
-     * Returns the watching nodes but this one.
+     * Returns the watchers other than this node.
      *
-     * @return The nodes, in an order that differs between the nodes that follow, such that these spread.
+     * @return The nodes, in an order that differs between followers, which distributes them over the watchers.
      */
     List<NodeName> watchers() {
-        pick();
+        update();
         return watchers;
     }
 
     /**
-     * Returns some nodes of the region that don't watch, each of which may reach the platform where the watching ones
+     * Returns some nodes of the region that are no watchers, each of which may reach the platform where the watchers
      * don't.
      *
-     * @return The nodes, which differ between the nodes that ask.
+     * @return The nodes, in a selection that differs between the nodes that query them.
      */
-    List<NodeName> others() {
-        pick();
-        return others;
+    List<NodeName> fallbackNodes() {
+        update();
+        return fallbackNodes;
     }
 
-    /** Picks the nodes anew if the members have changed. */
-    private void pick() {
+    /** Selects the nodes again if the members have changed. */
+    private void update() {
         Collection<Member> working = membership.working();
-        if (working != picked) {
-            picked = working;
+        if (working != candidates) {
+            candidates = working;
             Member self = membership.self();
             List<Member> region = working.stream()
                     .filter(member -> member.region().equals(self.region()))
                     .toList();
-            List<Member> pair = RendezvousRanking.pair(KEY, region);
+            List<Member> pair = RendezvousRanking.pair(RANKING_KEY, region);
             List<NodeName> ranked = RendezvousRanking.rank(selfName().value(), region).stream()
                     .map(member -> member.identity().name())
                     .toList();
-            Set<NodeName> watching =
+            Set<NodeName> selected =
                     pair.stream().map(member -> member.identity().name()).collect(Collectors.toSet());
-            watches = watching.isEmpty() || watching.contains(selfName());
+            watcher = selected.isEmpty() || selected.contains(selfName());
             watchers = ranked.stream()
-                    .filter(name -> watching.contains(name) && !name.equals(selfName()))
+                    .filter(name -> selected.contains(name) && !name.equals(selfName()))
                     .toList();
-            others = ranked.stream()
-                    .filter(name -> !watching.contains(name) && !name.equals(selfName()))
-                    .limit(OTHERS)
+            fallbackNodes = ranked.stream()
+                    .filter(name -> !selected.contains(name) && !name.equals(selfName()))
+                    .limit(FALLBACK_NODES)
                     .toList();
         }
     }
 
     /**
-     * Returns whether this node watches.
+     * Returns whether this node is a watcher.
      *
-     * @return {@code true} if it does.
+     * @return {@code true} if it is.
      */
     boolean isWatcher() {
-        pick();
-        return watches;
+        update();
+        return watcher;
     }
 
     /**
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/WatchServer.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/WatchServer.java
@@ -14,35 +14,35 @@
 import java.util.OptionalLong;
 import java.util.function.Supplier;
 
-/** Answers the nodes that follow this one, as soon as there are changes or this node loses the platform. */
+/** Answers the followers of this node as soon as there are changes or this node loses contact with the platform. */
 final class WatchServer {
 
     /** The kind. */
     private final String kind;
 
-    /** The objects as this node knows them. */
+    /** This node's copy of the objects. */
     private final KindReplica replica;
 
-    /** This node's own watch. */
+    /** This node's own watch at the platform. */
     private final KindWatch watch;
 
-    /** Tells when the platform surely held nothing beyond what this node knows. */
+    /** Supplies the latest time as of which this node's state is guaranteed to be complete. */
     private final Supplier<Optional<MonotonicTime>> confirmedAt;
 
-    /** How old what this node knows of all kinds is. */
+    /** The ages of this node's state for all kinds. */
     private final KindAges ages;
 
-    /** The requests that are held, by the nodes that sent them. */
-    private final Map<NodeName, Held> held = new HashMap<>();
+    /** The held requests, by the nodes that sent them. */
+    private final Map<NodeName, HeldRequest> held = new HashMap<>();
 
     /**
      * Creates a server without requests.
      *
      * @param kind The kind.
-     * @param replica The objects as this node knows them.
-     * @param watch This node's own watch.
-     * @param confirmedAt Tells when the platform surely held nothing beyond what this node knows.
-     * @param ages How old what this node knows of all kinds is.
+     * @param replica This node's copy of the objects.
+     * @param watch This node's own watch at the platform.
+     * @param confirmedAt Supplies the latest time as of which this node's state is guaranteed to be complete.
+     * @param ages The ages of this node's state for all kinds.
      */
     WatchServer(
             String kind,
@@ -58,7 +58,7 @@
     }
 
     /**
-     * Takes requests and answers those that are due.
+     * Accepts requests, and answers those that are due.
      *
      * @param tick The tick.
      */
@@ -66,7 +66,7 @@
         for (PeerEvent.Received received : tick.events(PeerEvent.Received.class)) {
             if (received.message() instanceof WatchMessage.Follow follow
                     && follow.kind().equals(kind)) {
-                held.put(received.sender().name(), new Held(follow, tick.now()));
+                held.put(received.sender().name(), new HeldRequest(follow, tick.now()));
             }
         }
         if (held.isEmpty()) {
@@ -82,15 +82,19 @@
      * @param tick The tick.
      * @param sender The node that sent it.
      * @param request The request.
-     * @param inContact Whether the platform answers this node.
+     * @param inContact Whether this node is in contact with the platform.
      * @return Whether it was answered.
      */
-    private boolean answerIfDue(Tick tick, NodeName sender, Held request, boolean inContact) {
-        boolean held =
-                tick.now().since(request.at()).toMillis() >= request.follow().holdMillis();
-        boolean newer = replica.hasNewsBehind(request.follow().version());
-        boolean confirmed = confirmedAt.get().filter(request.at()::isBefore).isPresent();
-        if (inContact && !held && !newer && !(confirmed && request.follow().wantsConfirmation())) {
+    private boolean answerIfDue(Tick tick, NodeName sender, HeldRequest request, boolean inContact) {
+        boolean holdExpired = tick.now().since(request.receivedAt()).toMillis()
+                >= request.follow().holdMillis();
+        boolean hasChanges = replica.hasChangesAfter(request.follow().version());
+        boolean confirmed =
+                confirmedAt.get().filter(request.receivedAt()::isBefore).isPresent();
+        if (inContact
+                && !holdExpired
+                && !hasChanges
+                && !(confirmed && request.follow().wantsConfirmation())) {
             return false;
         }
         tick.emit(new PeerEffect.Send(sender, answer(tick, request, inContact)));
@@ -102,12 +106,12 @@
      *
      * @param tick The tick.
      * @param request The request.
-     * @param inContact Whether the platform answers this node.
+     * @param inContact Whether this node is in contact with the platform.
      * @return The answer.
      */
-    private WatchMessage.Changes answer(Tick tick, Held request, boolean inContact) {
+    private WatchMessage.Changes answer(Tick tick, HeldRequest request, boolean inContact) {
         WatchMessage.Follow follow = request.follow();
-        KindFeed.News news = replica.behind(follow.version());
+        KindFeed.News changes = replica.changesAfter(follow.version());
         Optional<MonotonicTime> confirmed = confirmedAt.get();
         OptionalLong confirmedAge =
                 confirmed.isPresent() ? OptionalLong.of(ageMillis(confirmed.get(), tick)) : OptionalLong.empty();
@@ -116,16 +120,16 @@
                 follow.number(),
                 follow.version(),
                 inContact,
-                tick.now().since(request.at()).toMillis(),
+                tick.now().since(request.receivedAt()).toMillis(),
                 confirmedAge,
                 replica.version(),
-                news.complete(),
-                news.objects(),
-                follow.wantsConfirmation() ? ages.own(tick) : List.of());
+                changes.complete(),
+                changes.objects(),
+                follow.wantsConfirmation() ? ages.localAges(tick) : List.of());
     }
 
     /**
-     * Returns the age of something that was so at a time, rounded up.
+     * Returns the time that has passed since a time, rounded up.
      *
      * @param at The time.
      * @param tick The tick.
@@ -136,10 +140,10 @@
     }
 
     /**
-     * A request that is held.
+     * A held request.
      *
      * @param follow The request.
-     * @param at When it arrived.
+     * @param receivedAt When it was received.
      */
-    private record Held(WatchMessage.Follow follow, MonotonicTime at) {}
+    private record HeldRequest(WatchMessage.Follow follow, MonotonicTime receivedAt) {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/WatcherContacts.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/WatcherContacts.java
@@ -8,68 +8,67 @@
 import java.util.Optional;
 
 /**
- * What a node knows of the nodes that watch for it, shared by the kinds that it follows. One kind asks at short
- * intervals and so notices a watching node that is gone. The others have their requests held for longer, and rely on
- * that one.
+ * A node's contacts with the watchers, shared by the kinds that it follows. One kind sends requests at short intervals
+ * and so detects a lost watcher. The requests of the other kinds are held for longer, and rely on that detection.
  */
 final class WatcherContacts {
 
-    /** The latest answer of each watching node. */
-    private final Map<NodeName, Answered> answers = new HashMap<>();
+    /** The latest answer of each watcher. */
+    private final Map<NodeName, Answer> answers = new HashMap<>();
 
-    /** Until when nodes are left alone. */
-    private final Map<NodeName, MonotonicTime> pausedUntil = new HashMap<>();
+    /** Until when nodes are excluded. */
+    private final Map<NodeName, MonotonicTime> excludedUntil = new HashMap<>();
 
     /**
-     * Notes that a node answered.
+     * Records that a node answered.
      *
      * @param node The node.
-     * @param now The present.
+     * @param now The current time.
      */
     void answered(NodeIdentity node, MonotonicTime now) {
-        answers.put(node.name(), new Answered(node, now));
+        answers.put(node.name(), new Answer(node, now));
     }
 
     /**
-     * Returns which life of a node answered lately.
+     * Returns the incarnation of a node that answered lately.
      *
      * @param node The node.
-     * @param now The present.
-     * @return The life, or empty if none answered within the time in which a lost node is noticed.
+     * @param now The current time.
+     * @return The incarnation, or empty if none answered within the time after which a node is considered lost.
      */
-    Optional<NodeIdentity> inTouch(NodeName node, MonotonicTime now) {
+    Optional<NodeIdentity> recentContact(NodeName node, MonotonicTime now) {
         return Optional.ofNullable(answers.get(node))
-                .filter(answer -> now.since(answer.at()).compareTo(WatchFollower.TIMEOUT) <= 0)
-                .map(Answered::node);
+                .filter(answer -> now.since(answer.receivedAt()).compareTo(WatchFollower.CONTACT_TIMEOUT) <= 0)
+                .map(Answer::node);
     }
 
     /**
-     * Leaves a node alone for a while.
+     * Excludes a node for some time.
      *
      * @param node The node.
-     * @param until Until when.
+     * @param until The end of the exclusion.
      */
-    void pause(NodeName node, MonotonicTime until) {
-        pausedUntil.put(node, until);
+    void exclude(NodeName node, MonotonicTime until) {
+        excludedUntil.put(node, until);
     }
 
     /**
-     * Returns whether a node is left alone.
+     * Returns whether a node is excluded.
      *
      * @param node The node.
-     * @param now The present.
+     * @param now The current time.
      * @return {@code true} if it is.
      */
-    boolean isPaused(NodeName node, MonotonicTime now) {
-        MonotonicTime until = pausedUntil.get(node);
+    boolean isExcluded(NodeName node, MonotonicTime now) {
+        MonotonicTime until = excludedUntil.get(node);
         return until != null && now.isBefore(until);
     }
 
     /**
      * The answer of a node.
      *
-     * @param node The life of the node that answered.
-     * @param at When it arrived.
+     * @param node The incarnation of the node that answered.
+     * @param receivedAt When the answer was received.
      */
-    private record Answered(NodeIdentity node, MonotonicTime at) {}
+    private record Answer(NodeIdentity node, MonotonicTime receivedAt) {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/package-info.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/package-info.java
@@ -1,2 +1,2 @@
-/** Watches of the platform that a few nodes keep for all: the others follow them over the protocol between nodes. */
+/** Watches at the platform that a few nodes run for all: the others follow them with messages between nodes. */
 package io.yuccaswitch.core.watch;
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/watch/SharedKindWatchTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/watch/SharedKindWatchTest.java
@@ -27,14 +27,14 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Ten nodes that share the watches of one kind. */
+/** Ten nodes that share their watches of two kinds. */
 final class SharedKindWatchTest {
 
     private static final String KIND = "thing";
     private static final String OTHER_KIND = "other";
 
-    /** The bound within which every node in touch has to know a change. */
-    private static final Duration BOUND = Duration.ofMillis(1900);
+    /** The time within which a change has to reach every node that is connected. */
+    private static final Duration MAXIMUM_DELAY = Duration.ofMillis(1900);
 
     private final TestSite site = new TestSite();
     private final Map<String, Copy> copies = new TreeMap<>();
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void aChangeReachesAllNodesWithinMoments() {
+    void changeReachesAllNodesWithin400Milliseconds() {
         site.platform().put(KIND, "a", "second");
         site.platform().put(KIND, "b", "new");
         site.run(Duration.ofMillis(400));
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void aDeletionReachesAllNodes() {
+    void deletionReachesAllNodes() {
         site.platform().remove(KIND, "a");
         site.run(Duration.ofMillis(400));
         assertThat(copies.values()).allSatisfy(copy -> assertThat(copy.content).isEmpty());
@@ -76,33 +76,33 @@
     }
 
     @Test
-    void aChangeIsKnownInTimeThoughTheWatchingNodesAreCutFromThePlatform() {
+    void changeArrivesInTimeWhileTheWatchersAreDisconnectedFromThePlatform() {
         Set<String> watchers = watchers();
         site.platform().cutWhere(watchers::contains);
         site.platform().put(KIND, "a", "second");
-        site.run(BOUND);
-        assertThat(inTouch(watchers))
+        site.run(MAXIMUM_DELAY);
+        assertThat(copiesExcept(watchers))
                 .allSatisfy(copy -> assertThat(copy.content).containsEntry("a", "second"));
     }
 
     @Test
-    void aChangeIsKnownInTimeThoughTheWatchingNodesFellSilent() {
+    void changeArrivesInTimeWhileTheWatchersAreUnreachable() {
         Set<String> watchers = watchers();
         site.connect((from, to) -> watchers.contains(from) || watchers.contains(to));
         site.platform().put(KIND, "a", "second");
-        site.run(BOUND);
-        assertThat(inTouch(watchers))
+        site.run(MAXIMUM_DELAY);
+        assertThat(copiesExcept(watchers))
                 .allSatisfy(copy -> assertThat(copy.content).containsEntry("a", "second"));
     }
 
     @Test
-    void aChangeIsKnownInTimeThoughTheWatchingNodesStandStillAndWakeAgain() {
+    void changeArrivesInTimeWhileTheWatchersAreFrozenAndAfterTheyResume() {
         Set<String> watchers = watchers();
         watchers.forEach(name -> copies.get(name).node.freeze(true));
         site.run(Duration.ofMillis(50));
         site.platform().put(KIND, "a", "second");
-        site.run(BOUND);
-        assertThat(inTouch(watchers))
+        site.run(MAXIMUM_DELAY);
+        assertThat(copiesExcept(watchers))
                 .allSatisfy(copy -> assertThat(copy.content).containsEntry("a", "second"));
         watchers.forEach(name -> copies.get(name).node.freeze(false));
         site.run(Duration.ofSeconds(2));
@@ -110,37 +110,37 @@
     }
 
     @Test
-    void aNodeThatThePlatformTurnsAwayLearnsFromTheOthers() {
-        String refused = inTouch(watchers()).iterator().next().node.name();
-        site.platform().failWhere((node, _call) -> node.equals(refused));
+    void followerRejectedByThePlatformReceivesChangesFromOtherNodes() {
+        String rejected = copiesExcept(watchers()).iterator().next().node.name();
+        site.platform().failWhere((node, _call) -> node.equals(rejected));
         site.platform().put(KIND, "a", "second");
         site.run(Duration.ofMillis(600));
-        assertThat(copies.get(refused).content).containsEntry("a", "second");
+        assertThat(copies.get(rejected).content).containsEntry("a", "second");
     }
 
     @Test
-    void nodesThatThePlatformTurnsAwayWithBothWatchingNodesLearnFromTheOthers() {
-        Set<String> refused = new TreeSet<>(watchers());
-        refused.add(inTouch(watchers()).iterator().next().node.name());
-        site.platform().failWhere((node, _call) -> refused.contains(node));
+    void nodesRejectedByThePlatformTogetherWithBothWatchersReceiveChangesFromOtherNodes() {
+        Set<String> rejected = new TreeSet<>(watchers());
+        rejected.add(copiesExcept(watchers()).iterator().next().node.name());
+        site.platform().failWhere((node, _call) -> rejected.contains(node));
         site.run(Duration.ofSeconds(2));
         site.platform().put(KIND, "a", "second");
-        site.run(BOUND);
+        site.run(MAXIMUM_DELAY);
         assertThat(copies.values()).allSatisfy(copy -> assertThat(copy.content).containsEntry("a", "second"));
     }
 
     @Test
-    void aWatchingNodeThatThePlatformTurnsAwayLearnsFromTheOther() {
-        String refused = watchers().iterator().next();
-        site.platform().failWhere((node, _call) -> node.equals(refused));
+    void watcherRejectedByThePlatformReceivesChangesFromTheOtherWatcher() {
+        String rejected = watchers().iterator().next();
+        site.platform().failWhere((node, _call) -> node.equals(rejected));
         site.run(Duration.ofSeconds(2));
         site.platform().put(KIND, "a", "second");
-        site.run(BOUND);
-        assertThat(copies.get(refused).content).containsEntry("a", "second");
+        site.run(MAXIMUM_DELAY);
+        assertThat(copies.get(rejected).content).containsEntry("a", "second");
     }
 
     @Test
-    void noNodeAsksThePlatformBesideTheWatchingOnesWhileAllIsWell() {
+    void onlyWatchersCallThePlatformWithoutFailures() {
         site.run(Duration.ofSeconds(2));
         Set<String> watchers = watchers();
         copies.values().forEach(copy -> copy.node.take(PeerEffect.Send.class));
@@ -157,7 +157,7 @@
     }
 
     @Test
-    void aNodeThatStartsWhileThePlatformTurnsItAwayLearnsAllFromTheOthers() {
+    void nodeThatStartsWhileThePlatformRejectsItReceivesAllObjectsFromOtherNodes() {
         site.platform().failWhere((node, _call) -> node.equals("late"));
         start("late");
         site.run(Duration.ofSeconds(2));
@@ -165,7 +165,7 @@
     }
 
     @Test
-    void aForgottenHistoryLeadsAllNodesToTheSameObjects() {
+    void allNodesConvergeAfterThePlatformCompactsItsHistory() {
         site.platform().put(KIND, "c", "short-lived");
         site.run(Duration.ofMillis(400));
         site.platform().remove(KIND, "c");
@@ -176,11 +176,11 @@
     }
 
     @Test
-    void anOutageOfThePlatformShowsInTheAgeOfWhatTheNodesKnow() {
+    void stateAgesDuringAnOutageOfThePlatform() {
         site.platform().failWhere((_node, _call) -> true);
         site.run(Duration.ofSeconds(2));
         assertThat(copies.values()).allSatisfy(copy -> assertThat(copy.age(site.now()))
-                .isBetween(Duration.ofSeconds(2), BOUND.multipliedBy(2)));
+                .isBetween(Duration.ofSeconds(2), MAXIMUM_DELAY.multipliedBy(2)));
         site.platform().failWhere((_node, _call) -> false);
         site.run(Duration.ofSeconds(1));
         assertThat(copies.values())
@@ -188,7 +188,7 @@
     }
 
     @Test
-    void theAgeOfWhatANodeKnowsCountsFromThePlatformHoweverLateItsMessagesAre() {
+    void ageOfTheStateCountsFromThePlatformDespiteDelayedMessages() {
         Set<String> watchers = watchers();
         site.delayMessages((from, _to) -> watchers.contains(from) ? Duration.ofMillis(250) : Duration.ZERO);
         site.platform().delayAnswers(name -> watchers.contains(name) ? Duration.ofMillis(150) : Duration.ZERO);
@@ -203,8 +203,8 @@
     }
 
     @Test
-    void theTimeForWhichAMachineWasSuspendedAgesWhatItKnows() {
-        Copy copy = inTouch(watchers()).iterator().next();
+    void stateAgesWhileTheVmIsSuspended() {
+        Copy copy = copiesExcept(watchers()).iterator().next();
         copy.node.suspend();
         site.run(Duration.ofSeconds(5));
         site.platform().silenceWhere(_name -> true);
@@ -215,7 +215,7 @@
     }
 
     @Test
-    void allNodesAreBackWithinASecondAfterAnOutage() {
+    void allNodesReceiveChangesWithin1200MillisecondsAfterAnOutage() {
         site.platform().failWhere((_node, _call) -> true);
         site.run(Duration.ofSeconds(5));
         site.platform().put(KIND, "a", "second");
@@ -225,7 +225,7 @@
     }
 
     @Test
-    void nodesThatFollowCallRarelyWhileThePlatformIsAway() {
+    void nodesCallRarelyWhileThePlatformIsUnreachable() {
         site.platform().failWhere((_node, _call) -> true);
         site.run(Duration.ofSeconds(2));
         int before = site.platform().log().size();
@@ -235,15 +235,15 @@
     }
 
     @Test
-    void anAnswerToTheRequestOfAnEarlierLifeIsNotTaken() {
-        Copy copy = inTouch(watchers()).iterator().next();
+    void answerToARequestOfAnEarlierIncarnationIsIgnored() {
+        Copy copy = copiesExcept(watchers()).iterator().next();
         long number = copy.node.take(PeerEffect.Send.class).stream()
                 .map(send -> (WatchMessage.Follow) send.message())
                 .filter(follow -> follow.kind().equals(KIND))
                 .map(WatchMessage.Follow::number)
                 .max(Long::compare)
                 .orElseThrow();
-        StoredObject strange = new StoredObject(
+        StoredObject unexpected = new StoredObject(
                 new io.yuccaswitch.core.platform.ObjectKey(KIND, "z"),
                 Long.MAX_VALUE,
                 io.yuccaswitch.core.value.Bytes.ofUtf8("strange"),
@@ -259,37 +259,37 @@
                         OptionalLong.of(0),
                         Long.MAX_VALUE,
                         false,
-                        List.of(strange),
+                        List.of(unexpected),
                         List.of())));
         site.run(Duration.ofMillis(20));
         assertThat(copy.content).doesNotContainKey("z");
     }
 
     @Test
-    void aChangeOfAnotherKindIsKnownInTimeThoughTheWatchingNodesFellSilent() {
+    void changeOfAnotherKindArrivesInTimeWhileTheWatchersAreUnreachable() {
         site.run(Duration.ofSeconds(2));
         Set<String> watchers = watchers();
         site.connect((from, to) -> watchers.contains(from) || watchers.contains(to));
         site.platform().put(OTHER_KIND, "a", "second");
-        site.run(BOUND);
+        site.run(MAXIMUM_DELAY);
         assertThat(others.entrySet())
                 .filteredOn(other -> !watchers.contains(other.getKey()))
                 .allSatisfy(other -> assertThat(other.getValue().content).containsEntry("a", "second"));
     }
 
     @Test
-    void aChangeOfAnotherKindIsKnownInTimeThoughTheWatchingNodesBeganAnew() {
+    void changeOfAnotherKindArrivesInTimeAfterTheWatchersRestarted() {
         site.run(Duration.ofSeconds(2));
         watchers().forEach(this::start);
         site.run(Duration.ofMillis(300));
         site.platform().put(OTHER_KIND, "a", "second");
-        site.run(BOUND);
+        site.run(MAXIMUM_DELAY);
         assertThat(others.values())
                 .allSatisfy(other -> assertThat(other.content).containsEntry("a", "second"));
     }
 
     @Test
-    void aChangeOfAnotherKindIsKnownInTimeThoughTheAnswerThatToldItIsLost() {
+    void changeOfAnotherKindArrivesInTimeAlthoughTheAnswerWithItWasLost() {
         for (int change = 0; change < 10; change++) {
             String value = "change " + change;
             site.run(Duration.ofMillis(2000 + 70 * change));
@@ -298,32 +298,32 @@
             site.platform().put(OTHER_KIND, "a", value);
             site.run(Duration.ofMillis(30));
             site.connect((_from, _to) -> false);
-            site.run(BOUND);
+            site.run(MAXIMUM_DELAY);
             assertThat(others.values())
                     .allSatisfy(other -> assertThat(other.content).containsEntry("a", value));
         }
     }
 
     @Test
-    void aFurtherKindCostsATenthOfTheMessagesOfTheFirst() {
+    void furtherKindTakesAtMostAnEighthOfTheRequestsOfTheFirst() {
         site.run(Duration.ofSeconds(2));
         copies.values().forEach(copy -> copy.node.take(PeerEffect.Send.class));
         site.run(Duration.ofSeconds(20));
-        Map<String, Long> asked = copies.values().stream()
+        Map<String, Long> requests = copies.values().stream()
                 .flatMap(copy -> copy.node.take(PeerEffect.Send.class).stream())
                 .map(PeerEffect.Send::message)
                 .filter(WatchMessage.Follow.class::isInstance)
                 .map(message -> ((WatchMessage.Follow) message).kind())
                 .collect(Collectors.groupingBy(kind -> kind, Collectors.counting()));
-        assertThat(asked.get(OTHER_KIND)).isBetween(1L, asked.get(KIND) / 8);
+        assertThat(requests.get(OTHER_KIND)).isBetween(1L, requests.get(KIND) / 8);
     }
 
     private void start(String name) {
         site.start(name, (node, tokens) -> {
             SharedWatches watches = new SharedWatches(node);
-            Duration gathering = Duration.ofMillis(100);
-            Copy copy = new Copy(node, watches.watch(KIND, PlatformPurpose.DISCOVERY, tokens, gathering));
-            Copy other = new Copy(node, watches.watch(OTHER_KIND, PlatformPurpose.DISCOVERY, tokens, gathering));
+            Duration batchingDelay = Duration.ofMillis(100);
+            Copy copy = new Copy(node, watches.watch(KIND, PlatformPurpose.DISCOVERY, tokens, batchingDelay));
+            Copy other = new Copy(node, watches.watch(OTHER_KIND, PlatformPurpose.DISCOVERY, tokens, batchingDelay));
             copies.put(name, copy);
             others.put(name, other);
             return List.of(copy, other);
@@ -332,18 +332,18 @@
 
     private Set<String> watchers() {
         TestNode any = copies.get("node-0").node;
-        return RendezvousRanking.pair(WatchRoles.KEY, any.working()).stream()
+        return RendezvousRanking.pair(WatchRoles.RANKING_KEY, any.working()).stream()
                 .map(member -> member.identity().name().value())
                 .collect(Collectors.toCollection(TreeSet::new));
     }
 
-    private List<Copy> inTouch(Set<String> others) {
+    private List<Copy> copiesExcept(Set<String> names) {
         List<Copy> found = new ArrayList<>(copies.values());
-        found.removeIf(copy -> others.contains(copy.node.name()));
+        found.removeIf(copy -> names.contains(copy.node.name()));
         return found;
     }
 
-    /** What a node knows of the objects. */
+    /** A node's copy of the objects. */
     private final class Copy implements DecisionSystem {
 
         private final TestNode node;
@@ -359,19 +359,19 @@
         @Override
         public void run(Tick tick) {
             lag = site.now().since(tick.now());
-            feed.run(tick).ifPresent(this::take);
+            feed.run(tick).ifPresent(this::apply);
         }
 
-        /** Returns how old what the node knows is, by a clock that never stood still. */
+        /** Returns the age of the node's state by a clock that runs on while the node's clock is stopped. */
         Duration age(MonotonicTime now) {
             return now.since(feed.confirmedAt().orElseThrow().plus(lag));
         }
 
-        private void take(KindFeed.News news) {
-            if (news.complete()) {
+        private void apply(KindFeed.News changes) {
+            if (changes.complete()) {
                 content.clear();
             }
-            for (StoredObject object : news.objects()) {
+            for (StoredObject object : changes.objects()) {
                 if (object.deleted()) {
                     content.remove(object.key().name());
                 } else {
