--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/CallBackOff.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/CallBackOff.java
@@ -5,33 +5,33 @@
 import java.time.Duration;
 
 /**
- * When a system calls the platform again after a call failed: at a random time within a bound that doubles with each
- * failure, such that nodes don't call all at once when the platform returns.
+ * Delays the calls of a system to the platform after a failed call: by a random time within a bound that doubles with
+ * each failure, such that the nodes do not all call at once when the platform is reachable again.
  */
 public final class CallBackOff {
 
     /** The bound after the first failure. */
-    private final Duration first;
+    private final Duration initial;
 
-    /** The largest bound. */
-    private final Duration longest;
+    /** The maximum bound. */
+    private final Duration maximum;
 
     /** The bound after the next failure. */
     private Duration bound;
 
     /** The earliest time of the next call. */
-    private MonotonicTime next = new MonotonicTime(Long.MIN_VALUE);
+    private MonotonicTime nextCallAt = new MonotonicTime(Long.MIN_VALUE);
 
     /**
-     * Creates a new instance that allows a call at once.
+     * Creates a backoff that allows a call immediately.
      *
-     * @param first The bound after the first failure.
-     * @param longest The largest bound.
+     * @param initial The bound after the first failure.
+     * @param maximum The maximum bound.
      */
-    public CallBackOff(Duration first, Duration longest) {
-        this.first = first;
-        this.longest = longest;
-        bound = first;
+    public CallBackOff(Duration initial, Duration maximum) {
+        this.initial = initial;
+        this.maximum = maximum;
+        bound = initial;
     }
 
     /**
@@ -41,29 +41,29 @@
      * @return {@code true} if a call may be made.
      */
     public boolean allows(MonotonicTime now) {
-        return !now.isBefore(next);
+        return !now.isBefore(nextCallAt);
     }
 
     /**
-     * Takes note that a call failed.
+     * Records that a call failed.
      *
      * @param tick The tick.
      */
     public void failed(Tick tick) {
         long half = bound.toNanos() / 2;
-        next = tick.now().plus(Duration.ofNanos(half + tick.random().nextLong(half + 1)));
-        Duration twice = bound.multipliedBy(2);
-        bound = twice.compareTo(longest) < 0 ? twice : longest;
+        nextCallAt = tick.now().plus(Duration.ofNanos(half + tick.random().nextLong(half + 1)));
+        Duration doubled = bound.multipliedBy(2);
+        bound = doubled.compareTo(maximum) < 0 ? doubled : maximum;
     }
 
     /**
-     * Takes note that a call succeeded, and delays the next one.
+     * Records that a call succeeded, and delays the next one.
      *
      * @param now The current time.
      * @param delay The time until the next call.
      */
     public void succeeded(MonotonicTime now, Duration delay) {
-        bound = first;
-        next = now.plus(delay);
+        bound = initial;
+        nextCallAt = now.plus(delay);
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/KindFeed.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/KindFeed.java
@@ -6,38 +6,39 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 
-/** Brings all objects of one kind, and then their changes. */
+/** Supplies all objects of one kind, and then their changes. */
 public interface KindFeed {
 
     /**
-     * Takes what arrived with a tick, and asks for more when that is due.
+     * Processes the events of a tick, and requests further changes when that is due.
      *
      * @param tick The tick.
-     * @return What is new, if anything arrived.
+     * @return The changes, if any arrived.
      */
     Optional<News> run(Tick tick);
 
     /**
-     * Returns the latest time at which the platform surely held nothing of the kind beyond what this node knows. The
-     * age of what is known counts from there, whatever way it came.
+     * Returns the latest time as of which this node's copy is guaranteed to include every change at the platform. The
+     * age of the copy counts from there, whichever path the changes took.
      *
-     * @return The time, or empty before anything is known.
+     * @return The time, or empty before the first objects were received.
      */
     Optional<MonotonicTime> confirmedAt();
 
     /**
-     * Returns whether the platform does not answer this node. It is asked before what is known grows too old.
+     * Returns whether the platform is unreachable from this node. The platform is called for this before this node's
+     * copy is stale.
      *
-     * @param now The present.
-     * @return {@code true} if the latest call made for that has failed, or its answer is overdue.
+     * @param now The current time.
+     * @return {@code true} if the latest call for this has failed, or its answer is overdue.
      */
-    boolean isPlatformAway(MonotonicTime now);
+    boolean isPlatformUnreachable(MonotonicTime now);
 
     /**
-     * What an answer brought.
+     * The objects of an answer.
      *
-     * @param objects The objects, in the order of their changes. Deleted ones say so.
-     * @param complete {@code true} if these are all objects there are, {@code false} if they are changes.
+     * @param objects The objects, in the order of their changes. Deleted ones are marked as such.
+     * @param complete {@code true} if these are all existing objects, {@code false} if they are changes.
      */
     record News(List<StoredObject> objects, boolean complete) {
 
@@ -47,7 +48,7 @@
          * @param version The version.
          * @return The later changes.
          */
-        public News behind(long version) {
+        public News changesAfter(long version) {
             return new News(
                     objects.stream()
                             .filter(object -> object.version() > version)
@@ -56,10 +57,10 @@
         }
 
         /**
-         * Returns this news with what came after it.
+         * Returns these changes combined with later ones.
          *
-         * @param later What came later.
-         * @return Both.
+         * @param later The later changes.
+         * @return The combined changes.
          */
         public News followedBy(News later) {
             if (later.complete()) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/KindWatch.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/KindWatch.java
@@ -8,17 +8,20 @@
 
 /**
  * Follows all objects of one kind at the platform: lists them once, then waits for changes with one call at a time, and
- * lists anew when the platform no longer knows the changes in between.
+ * lists them again when the platform no longer retains the changes in between.
  */
 public final class KindWatch {
 
-    /** The first wait after a failed call. A node has to be back soon after the platform is. */
-    private static final Duration FIRST_BACK_OFF = Duration.ofMillis(150);
+    /** The first delay after a failed call. A node has to be up to date again soon after the platform is reachable. */
+    private static final Duration INITIAL_BACKOFF = Duration.ofMillis(150);
 
-    /** The longest wait after failed calls, well below the time in which changes have to be in force. */
-    private static final Duration LONGEST_BACK_OFF = Duration.ofMillis(600);
+    /** The maximum delay after failed calls, well below the time within which changes have to be applied. */
+    private static final Duration MAXIMUM_BACKOFF = Duration.ofMillis(600);
 
-    /** How late an answer may come before the platform counts as out of reach: a slow one answers within this time. */
+    /**
+     * How late an answer may arrive before the platform is considered unreachable. A slow platform answers within this
+     * time.
+     */
     private static final Duration ALLOWED_DELAY = Duration.ofMillis(400);
 
     /** The kind of the objects. */
@@ -30,16 +33,16 @@
     /** The calls that wait for their answers. */
     private final PlatformCalls calls;
 
-    /** The pause after an answer that gathers further changes into the next one, as each call has a price. */
-    private final Duration gathering;
+    /** The delay after an answer, which batches further changes into the next one, as each call loads the platform. */
+    private final Duration batchingDelay;
 
-    /** The longest time for which the platform waits for changes before it answers that there are none. */
-    private final Duration waitTime;
+    /** How long the platform may hold a call before it answers that there are no changes. */
+    private final Duration watchTimeout;
 
     /** When the next call may be made. */
-    private final CallBackOff backOff = new CallBackOff(FIRST_BACK_OFF, LONGEST_BACK_OFF);
+    private final CallBackOff backoff = new CallBackOff(INITIAL_BACKOFF, MAXIMUM_BACKOFF);
 
-    /** The version up to which changes are known, or empty before the first list. */
+    /** The version up to which this watch has received all changes, or empty before the first list. */
     private OptionalLong version = OptionalLong.empty();
 
     /** Whether a call waits for its answer. */
@@ -48,92 +51,96 @@
     /** When the latest call was sent. */
     private MonotonicTime sentAt = new MonotonicTime(Long.MIN_VALUE);
 
-    /** Whether the latest answer came in time. */
+    /** Whether the latest answer arrived in time. */
     private boolean answeredInTime;
 
-    /** When the latest answer came. */
+    /** When the latest answer arrived. */
     private MonotonicTime answeredAt = new MonotonicTime(Long.MIN_VALUE);
 
     /** How long the platform may hold the latest call, or empty if that lists all objects. */
-    private Optional<Duration> held = Optional.empty();
+    private Optional<Duration> holdTime = Optional.empty();
 
-    /** When the platform surely held nothing beyond what is known. */
+    /** The latest time as of which the received objects are guaranteed to be complete. */
     private Optional<MonotonicTime> confirmedAt = Optional.empty();
 
-    /** What the answer of this tick brought. */
-    private Optional<KindFeed.News> news = Optional.empty();
+    /** The changes that were received in this tick. */
+    private Optional<KindFeed.News> changes = Optional.empty();
 
     /**
-     * Creates a watch that knows nothing yet.
+     * Creates a watch that has received no objects.
      *
      * @param kind The kind of the objects.
      * @param purpose The purpose of the calls.
-     * @param tokens Hands out the tokens of calls.
-     * @param gathering The pause after an answer that gathers further changes into the next one.
-     * @param waitTime How long the platform waits for changes. A connection that has gone silent is noticed a short
-     *     time after that.
+     * @param tokens Allocates the tokens of calls.
+     * @param batchingDelay The delay after an answer, which batches further changes into the next one.
+     * @param watchTimeout How long the platform may hold a call to wait for changes. A broken connection is detected a
+     *     short time after that.
      */
     public KindWatch(
-            String kind, PlatformPurpose purpose, PlatformTokens tokens, Duration gathering, Duration waitTime) {
+            String kind,
+            PlatformPurpose purpose,
+            PlatformTokens tokens,
+            Duration batchingDelay,
+            Duration watchTimeout) {
         this.kind = kind;
         this.purpose = purpose;
-        this.gathering = gathering;
-        this.waitTime = waitTime;
+        this.batchingDelay = batchingDelay;
+        this.watchTimeout = watchTimeout;
         calls = new PlatformCalls(tokens);
     }
 
     /**
-     * Takes what arrived with a tick, and makes the next call when that is due.
+     * Processes the answer of a tick, and makes the next call when that is due.
      *
      * @param tick The tick.
-     * @return What is new, if anything arrived.
+     * @return The changes, if an answer arrived.
      */
     public Optional<KindFeed.News> run(Tick tick) {
-        Optional<KindFeed.News> answer = answer(tick);
-        callIfDue(tick, waitTime);
+        Optional<KindFeed.News> answer = receive(tick);
+        callIfDue(tick, watchTimeout);
         return answer;
     }
 
     /**
-     * Takes the answer of a tick.
+     * Processes the answer of a tick.
      *
      * @param tick The tick.
-     * @return What is new, if an answer arrived.
+     * @return The changes, if an answer arrived.
      */
-    public Optional<KindFeed.News> answer(Tick tick) {
-        news = Optional.empty();
+    public Optional<KindFeed.News> receive(Tick tick) {
+        changes = Optional.empty();
         calls.answer(tick);
-        return news;
+        return changes;
     }
 
     /**
-     * Makes the next call if it is due and none waits for its answer.
+     * Makes the next call if it is due and none is pending.
      *
      * @param tick The tick.
-     * @param longest How long the platform may wait for changes, if that is less than usual.
+     * @param maximum How long the platform may hold the call, if that is less than usual.
      */
-    public void callIfDue(Tick tick, Duration longest) {
-        if (calling || !backOff.allows(tick.now())) {
+    public void callIfDue(Tick tick, Duration maximum) {
+        if (calling || !backoff.allows(tick.now())) {
             return;
         }
         calling = true;
         sentAt = tick.now();
-        Duration wait = longest.compareTo(waitTime) < 0 ? longest : waitTime;
-        held = version.isEmpty() ? Optional.empty() : Optional.of(wait);
+        Duration wait = maximum.compareTo(watchTimeout) < 0 ? maximum : watchTimeout;
+        holdTime = version.isEmpty() ? Optional.empty() : Optional.of(wait);
         calls.call(tick, this::nextCall, this::receive);
     }
 
     /**
-     * Returns whether a call waits for its answer.
+     * Returns whether a call is pending.
      *
-     * @return {@code true} if it does.
+     * @return {@code true} if one is.
      */
     public boolean isCalling() {
         return calling;
     }
 
     /**
-     * Returns the version up to which changes are known.
+     * Returns the version up to which this watch has received all changes.
      *
      * @return The version, or empty before the first list.
      */
@@ -142,29 +149,29 @@
     }
 
     /**
-     * Takes note that all changes up to a version became known otherwise, such that the next call goes on behind it.
+     * Records that all changes up to a version were received on another path, such that the next call resumes after it.
      *
-     * @param known The version.
+     * @param afterVersion The version.
      */
-    public void goOnBehind(long known) {
-        version = OptionalLong.of(known);
+    public void resumeAfter(long afterVersion) {
+        version = OptionalLong.of(afterVersion);
     }
 
     /**
-     * Returns whether the platform answers, as far as can be known: the latest answer came in time, and neither the
-     * answer to a call nor the next call is overdue. A path that is cut shows within the time that a call may wait, the
-     * gathering and the allowed delay.
+     * Returns whether the platform is considered reachable: the latest answer arrived in time, and neither the answer
+     * to a call nor the next call is overdue. A network partition is detected within the time for which a call may be
+     * held, plus the batching delay and the allowed delay.
      *
-     * @param now The present.
-     * @return {@code true} if nothing speaks against it.
+     * @param now The current time.
+     * @return {@code true} unless one of these indicates otherwise.
      */
     public boolean isInContact(MonotonicTime now) {
-        MonotonicTime begun = calling ? sentAt : answeredAt;
-        return answeredInTime && now.since(begun).compareTo(waitTime.plus(ALLOWED_DELAY)) <= 0;
+        MonotonicTime startedAt = calling ? sentAt : answeredAt;
+        return answeredInTime && now.since(startedAt).compareTo(watchTimeout.plus(ALLOWED_DELAY)) <= 0;
     }
 
     /**
-     * Returns the latest time at which the platform surely held nothing beyond what this watch has brought.
+     * Returns the latest time as of which the received objects are guaranteed to be complete.
      *
      * @return The time, or empty before the first list.
      */
@@ -173,9 +180,9 @@
     }
 
     /**
-     * Takes note that the machine was suspended, such that its clock stood still meanwhile.
+     * Adjusts all times after the VM was suspended, while its clock stopped.
      *
-     * @param gap How long it was.
+     * @param gap How long the VM was suspended.
      */
     public void suspended(Duration gap) {
         sentAt = sentAt.plus(gap.negated());
@@ -189,28 +196,29 @@
      * @return A list before the first answer, else a watch.
      */
     private PlatformEffect nextCall(long token) {
-        return held.isEmpty()
+        return holdTime.isEmpty()
                 ? new PlatformEffect.ListKind(token, purpose, kind)
-                : new PlatformEffect.Watch(token, purpose, kind, version.orElseThrow(), held);
+                : new PlatformEffect.Watch(token, purpose, kind, version.orElseThrow(), holdTime);
     }
 
     /**
-     * Returns since when an answer holds: since its call was sent, as nobody tells how long it was on its way. A call
-     * that the platform held for the whole time without a change holds until that time was over.
+     * Returns the time as of which an answer is guaranteed to be complete: when its call was sent, as the time that the
+     * answer took is unknown. A call that the platform held for the whole time without a change is complete as of the
+     * end of that time.
      *
      * @param listed The answer.
-     * @param now The present.
+     * @param now The current time.
      * @return The time.
      */
     private MonotonicTime confirmedBy(PlatformEvent.ObjectsListed listed, MonotonicTime now) {
-        return held.filter(_wait -> listed.objects().isEmpty())
+        return holdTime.filter(_wait -> listed.objects().isEmpty())
                 .map(sentAt::plus)
                 .filter(end -> !now.isBefore(end))
                 .orElse(sentAt);
     }
 
     /**
-     * Takes the answer of a call.
+     * Processes the answer to a call.
      *
      * @param tick The tick.
      * @param event The answer.
@@ -219,19 +227,19 @@
         calling = false;
         answeredAt = tick.now();
         answeredInTime = event instanceof PlatformEvent.ObjectsListed
-                && tick.now().since(sentAt).compareTo(waitTime.plus(ALLOWED_DELAY)) <= 0;
+                && tick.now().since(sentAt).compareTo(watchTimeout.plus(ALLOWED_DELAY)) <= 0;
         if (!(event instanceof PlatformEvent.ObjectsListed listed)) {
-            backOff.failed(tick);
+            backoff.failed(tick);
             return;
         }
         if (listed.reset()) {
             version = OptionalLong.empty();
-            backOff.succeeded(tick.now(), Duration.ZERO);
+            backoff.succeeded(tick.now(), Duration.ZERO);
             return;
         }
         confirmedAt = Optional.of(confirmedBy(listed, tick.now()));
-        news = Optional.of(new KindFeed.News(listed.objects(), held.isEmpty()));
+        changes = Optional.of(new KindFeed.News(listed.objects(), holdTime.isEmpty()));
         version = OptionalLong.of(listed.version());
-        backOff.succeeded(tick.now(), listed.objects().isEmpty() ? Duration.ZERO : gathering);
+        backoff.succeeded(tick.now(), listed.objects().isEmpty() ? Duration.ZERO : batchingDelay);
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/PlatformCalls.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/PlatformCalls.java
@@ -9,19 +9,19 @@
 import java.util.function.BiConsumer;
 import java.util.function.LongFunction;
 
-/** The calls to the platform that a system waits for, each with what follows its answer. */
+/** The pending calls to the platform of a system, each with a callback for its answer. */
 public final class PlatformCalls {
 
-    /** Hands out the tokens of calls. */
+    /** Allocates the tokens of calls. */
     private final PlatformTokens tokens;
 
-    /** The calls, by their tokens. */
-    private final Map<Long, Waiting> waiting = new TreeMap<>();
+    /** The pending calls, by their tokens. */
+    private final Map<Long, PendingCall> pending = new TreeMap<>();
 
     /**
      * Creates a table without calls.
      *
-     * @param tokens Hands out the tokens of calls.
+     * @param tokens Allocates the tokens of calls.
      */
     public PlatformCalls(PlatformTokens tokens) {
         this.tokens = tokens;
@@ -32,27 +32,27 @@
      *
      * @param tick The tick in which the call is made.
      * @param call Builds the call from its token.
-     * @param then What follows the answer, in the tick in which it arrives.
+     * @param callback The callback, which runs in the tick in which the answer arrives.
      */
-    public void call(Tick tick, LongFunction<PlatformEffect> call, BiConsumer<Tick, PlatformEvent> then) {
-        call(tick, Optional.empty(), call, then);
+    public void call(Tick tick, LongFunction<PlatformEffect> call, BiConsumer<Tick, PlatformEvent> callback) {
+        call(tick, Optional.empty(), call, callback);
     }
 
     /**
-     * Makes a call that has to be over by a deadline. A call that is not counts as unavailable then, and may have taken
-     * effect or may still do so; its answer is ignored.
+     * Makes a call with a deadline. A call without an answer at the deadline is treated as unavailable. It may have
+     * taken effect or may still do so, and its answer is ignored.
      *
      * @param tick The tick in which the call is made.
      * @param deadline The deadline.
      * @param call Builds the call from its token.
-     * @param then What follows the answer, at the latest in the first tick after the deadline.
+     * @param callback The callback, which runs at the latest in the first tick after the deadline.
      */
     public void call(
             Tick tick,
             MonotonicTime deadline,
             LongFunction<PlatformEffect> call,
-            BiConsumer<Tick, PlatformEvent> then) {
-        call(tick, Optional.of(deadline), call, then);
+            BiConsumer<Tick, PlatformEvent> callback) {
+        call(tick, Optional.of(deadline), call, callback);
     }
 
     /**
@@ -61,52 +61,52 @@
      * @param tick The tick in which the call is made.
      * @param deadline The deadline, or empty if there is none.
      * @param call Builds the call from its token.
-     * @param then What follows the answer.
+     * @param callback The callback for the answer.
      */
     private void call(
             Tick tick,
             Optional<MonotonicTime> deadline,
             LongFunction<PlatformEffect> call,
-            BiConsumer<Tick, PlatformEvent> then) {
+            BiConsumer<Tick, PlatformEvent> callback) {
         long token = tokens.next();
-        waiting.put(token, new Waiting(deadline, then));
+        pending.put(token, new PendingCall(deadline, callback));
         tick.emit(call.apply(token));
     }
 
     /**
-     * Carries out what follows the answers of a tick, and what follows the deadlines that have passed.
+     * Runs the callbacks of the calls that were answered in a tick or whose deadlines have passed.
      *
      * @param tick The tick.
      */
     public void answer(Tick tick) {
         for (PlatformEvent event : tick.events(PlatformEvent.class)) {
-            Waiting answered = waiting.remove(event.token());
+            PendingCall answered = pending.remove(event.token());
             if (answered != null) {
-                answered.then().accept(tick, event);
+                answered.callback().accept(tick, event);
             }
         }
-        List<Long> overdue = waiting.entrySet().stream()
+        List<Long> overdue = pending.entrySet().stream()
                 .filter(entry -> entry.getValue().isOverdue(tick.now()))
                 .map(Map.Entry::getKey)
                 .toList();
         for (Long token : overdue) {
             PlatformEvent event = new PlatformEvent.Unavailable(token, true, "no answer by the deadline");
-            waiting.remove(token).then().accept(tick, event);
+            pending.remove(token).callback().accept(tick, event);
         }
     }
 
     /**
-     * A call that waits for its answer.
+     * A pending call.
      *
      * @param deadline The deadline, or empty if there is none.
-     * @param then What follows the answer.
+     * @param callback The callback for the answer.
      */
-    private record Waiting(Optional<MonotonicTime> deadline, BiConsumer<Tick, PlatformEvent> then) {
+    private record PendingCall(Optional<MonotonicTime> deadline, BiConsumer<Tick, PlatformEvent> callback) {
 
         /**
          * Returns whether the deadline has passed.
          *
-         * @param now The present.
+         * @param now The current time.
          * @return {@code true} if it has.
          */
         private boolean isOverdue(MonotonicTime now) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/PlatformEffect.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/PlatformEffect.java
@@ -7,28 +7,28 @@
 import java.util.OptionalLong;
 
 /**
- * A call to the platform. The shell answers each call with exactly one {@link PlatformEvent} that bears the same token.
+ * A call to the platform. The shell answers each call with exactly one {@link PlatformEvent} that has the same token.
  */
 public sealed interface PlatformEffect extends Effect {
 
     /**
-     * Returns the token that the answer bears.
+     * Returns the token that the answer repeats.
      *
      * @return The token, unique within the process.
      */
     long token();
 
     /**
-     * Returns what the call is made for.
+     * Returns the purpose of the call.
      *
-     * @return The purpose of the call.
+     * @return The purpose.
      */
     PlatformPurpose purpose();
 
     /**
      * Reads an object.
      *
-     * @param token The token that the answer bears.
+     * @param token The token that the answer repeats.
      * @param purpose The purpose of the call.
      * @param key The key of the object.
      */
@@ -37,19 +37,19 @@
     /**
      * Lists all objects of a kind.
      *
-     * @param token The token that the answer bears.
+     * @param token The token that the answer repeats.
      * @param purpose The purpose of the call.
      * @param kind The kind of the objects.
-     * @param after The name behind which the list begins, or empty for all objects.
-     * @param stale Whether an answer may be some seconds old, which is cheaper.
+     * @param after The name after which the list begins, or empty for all objects.
+     * @param stale Whether the answer may be some seconds old, which loads the platform less.
      */
     record ListKind(long token, PlatformPurpose purpose, String kind, Optional<String> after, boolean stale)
             implements PlatformEffect {
 
         /**
-         * Creates a call that lists all objects of a kind as they are now.
+         * Creates a call that lists the current state of all objects of a kind.
          *
-         * @param token The token that the answer bears.
+         * @param token The token that the answer repeats.
          * @param purpose The purpose of the call.
          * @param kind The kind of the objects.
          */
@@ -58,9 +58,9 @@
         }
 
         /**
-         * Returns the call for the objects behind a name.
+         * Returns a copy of this call for the objects after a name.
          *
-         * @param name The name behind which the list begins.
+         * @param name The name after which the list begins.
          * @return The call.
          */
         public ListKind withAfter(String name) {
@@ -71,7 +71,7 @@
     /**
      * Writes an object if its version is still the expected one.
      *
-     * @param token The token that the answer bears.
+     * @param token The token that the answer repeats.
      * @param purpose The purpose of the call.
      * @param key The key of the object.
      * @param expectedVersion The version that the object must have, or empty if it must not exist.
@@ -83,7 +83,7 @@
     /**
      * Deletes an object if its version is still the expected one.
      *
-     * @param token The token that the answer bears.
+     * @param token The token that the answer repeats.
      * @param purpose The purpose of the call.
      * @param key The key of the object.
      * @param expectedVersion The version that the object must have.
@@ -91,25 +91,25 @@
     record Delete(long token, PlatformPurpose purpose, ObjectKey key, long expectedVersion) implements PlatformEffect {}
 
     /**
-     * Waits for the next changes of a kind, once. The call returns with the changes after a version as soon as there
-     * are any, or with none after the platform's waiting time.
+     * Waits for the next changes of a kind, once. The call returns the changes after a version as soon as there are
+     * any, or none when the wait time is over.
      *
-     * @param token The token that the answer bears.
+     * @param token The token that the answer repeats.
      * @param purpose The purpose of the call.
      * @param kind The kind to watch.
-     * @param afterVersion The version after which changes count.
+     * @param afterVersion The version after which changes are returned.
      * @param waitTime How long the platform waits for changes, or empty for the client's setting.
      */
     record Watch(long token, PlatformPurpose purpose, String kind, long afterVersion, Optional<Duration> waitTime)
             implements PlatformEffect {
 
         /**
-         * Creates a call that waits as long as the client's settings say.
+         * Creates a call that waits for the time in the client's settings.
          *
-         * @param token The token that the answer bears.
+         * @param token The token that the answer repeats.
          * @param purpose The purpose of the call.
          * @param kind The kind to watch.
-         * @param afterVersion The version after which changes count.
+         * @param afterVersion The version after which changes are returned.
          */
         public Watch(long token, PlatformPurpose purpose, String kind, long afterVersion) {
             this(token, purpose, kind, afterVersion, Optional.empty());
@@ -117,9 +117,9 @@
     }
 
     /**
-     * Lists the VMs of the site with their states. The list lags behind what happens.
+     * Lists the VMs of the site with their states. The list lags behind the actual states.
      *
-     * @param token The token that the answer bears.
+     * @param token The token that the answer repeats.
      * @param purpose The purpose of the call.
      */
     record ListVirtualMachines(long token, PlatformPurpose purpose) implements PlatformEffect {}
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/PlatformEvent.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/PlatformEvent.java
@@ -27,10 +27,10 @@
      *
      * @param token The token of the call.
      * @param objects The objects, in the order of their versions. A watch also returns deleted ones.
-     * @param version The version up to which the answer is complete, from which a watch goes on.
-     * @param reset {@code true} if the platform no longer knows all changes since the version that was asked for, such
-     *     that the caller must list the kind anew.
-     * @param more {@code true} if the list goes on behind the last object's name.
+     * @param version The version up to which the answer is complete, after which a watch resumes.
+     * @param reset {@code true} if the platform no longer retains all changes since the requested version, such that
+     *     the caller must list the kind again.
+     * @param more {@code true} if the list continues after the last object's name.
      */
     record ObjectsListed(long token, List<StoredObject> objects, long version, boolean reset, boolean more)
             implements PlatformEvent {
@@ -41,7 +41,7 @@
          * @param token The token of the call.
          * @param objects The objects.
          * @param version The version up to which the answer is complete.
-         * @param reset Whether the caller must list the kind anew.
+         * @param reset Whether the caller must list the kind again.
          */
         public ObjectsListed(long token, List<StoredObject> objects, long version, boolean reset) {
             this(token, objects, version, reset, false);
@@ -57,10 +57,10 @@
     record Accepted(long token, long version) implements PlatformEvent {}
 
     /**
-     * A write or deletion did not take effect because the object's version was another one.
+     * A write or deletion did not take effect because the object's version was not the expected one.
      *
      * @param token The token of the call.
-     * @param current The object as it is, or empty if it does not exist.
+     * @param current The current object, or empty if it does not exist.
      */
     record Conflict(long token, Optional<StoredObject> current) implements PlatformEvent {}
 
@@ -76,8 +76,8 @@
      * The platform gave no usable answer.
      *
      * @param token The token of the call.
-     * @param maybeApplied {@code true} if a write may have taken effect all the same, {@code false} if it surely did
-     *     not, such as when the call was never sent.
+     * @param maybeApplied {@code true} if a write may have taken effect nevertheless, {@code false} if it is guaranteed
+     *     not to have, such as when the call was never sent.
      * @param reason The reason, for logs.
      */
     record Unavailable(long token, boolean maybeApplied, String reason) implements PlatformEvent {}
@@ -87,7 +87,7 @@
      *
      * @param name The VM's name.
      * @param address The VM's address, as {@code host:port} of the endpoint or node that runs on it.
-     * @param leaving {@code true} if the VM is about to leave.
+     * @param leaving {@code true} if the VM is about to be removed.
      */
     record VirtualMachine(String name, String address, boolean leaving) {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/PlatformNews.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/PlatformNews.java
@@ -4,19 +4,19 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** What the exchange between nodes says about whether the platform answers any of them. */
+/** The nodes' combined state of whether the platform answers any of them. */
 @FunctionalInterface
 public interface PlatformNews {
 
-    /** Knows nothing, such that nobody ever concludes that the platform is silent. */
+    /** No information, such that the platform is never considered unreachable from all nodes. */
     PlatformNews UNKNOWN = _now -> Optional.empty();
 
     /**
-     * Returns for how long no node heard the platform. An implementation must answer with an empty result unless it has
-     * recent news from at least half of the nodes that were working when the platform was last heard.
+     * Returns the time for which no node has received an answer from the platform. An implementation must return empty
+     * unless it has recent reports from at least half of the nodes that were working at the time of the latest answer.
      *
      * @param now The current time.
-     * @return The time since the latest answer of the platform to any node, or empty if too little is known.
+     * @return The time since the latest answer of the platform to any node, or empty without enough recent reports.
      */
     Optional<Duration> silentFor(MonotonicTime now);
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/PlatformPurpose.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/PlatformPurpose.java
@@ -1,6 +1,6 @@
 package io.yuccaswitch.core.platform;
 
-/** What a call to the platform is made for. Calls are counted and limited by purpose. */
+/** The purpose of a call to the platform. Calls are counted and limited by purpose. */
 public enum PlatformPurpose {
     /** Reading, watching and accepting the fleet's configuration. */
     CONFIGURATION,
@@ -10,16 +10,16 @@
     WEIGHT,
     /** Accepted groups, and cursors of trainers. */
     SAMPLE,
-    /** Request identifiers that callers made themselves. */
+    /** Request identifiers that callers chose themselves. */
     REQUEST,
-    /** The platform's list of VMs, and where a starting node finds its peers. */
+    /** The platform's list of VMs, and the objects in which a starting node finds its peers. */
     MEMBERSHIP,
-    /** The registry in which endpoints say where they are. */
+    /** The registry in which endpoints register their addresses. */
     DISCOVERY,
     /** Accepted batch jobs and their results. */
     BATCH,
-    /** Requests under which endpoints ended. */
+    /** Requests during which endpoints ended. */
     QUARANTINE,
-    /** Reports of how much each client account uses. */
+    /** Reports of the usage of each client account. */
     USAGE
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/PlatformTokens.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/PlatformTokens.java
@@ -1,17 +1,17 @@
 package io.yuccaswitch.core.platform;
 
-/** Hands out the tokens of calls to the platform, such that the systems of one core never use the same one. */
+/** Allocates the tokens of calls to the platform, which are unique among the systems of one core. */
 public final class PlatformTokens {
 
-    /** The token that was handed out last. */
-    private long last;
+    /** The token that was allocated last. */
+    private long lastToken;
 
     /**
-     * Returns a token that was not handed out before.
+     * Returns a token that was not allocated before.
      *
      * @return The token.
      */
     public long next() {
-        return ++last;
+        return ++lastToken;
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/StoredObject.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/StoredObject.java
@@ -6,7 +6,7 @@
  * An object as the platform returned it.
  *
  * @param key The object's key.
- * @param version The object's version, which the platform raises at each write of any object.
+ * @param version The version of the object. The platform increases it with each write of any object.
  * @param value The object's value, at most one megabyte.
  * @param deleted {@code true} if the object was deleted at this version, such that the value is empty.
  */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/package-info.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's object API as the decision core sees it: effects that ask and events that answer. */
+/** The platform's object API as the decision core uses it: calls are effects, and their answers are events. */
 package io.yuccaswitch.core.platform;
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/registry/EndpointRegistrySystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/registry/EndpointRegistrySystem.java
@@ -64,7 +64,7 @@
      * Creates a system that knows no endpoints.
      *
      * @param watches This node's shared watches.
-     * @param tokens Hands out the tokens of calls.
+     * @param tokens Allocates the tokens of calls.
      * @param decoder Reads an entry, or returns empty where it can't be read.
      */
     public EndpointRegistrySystem(
@@ -95,7 +95,7 @@
      */
     private void confirm(Tick tick) {
         RegistryFreshness before = freshness;
-        freshness = new RegistryFreshness(feed.confirmedAt(), feed.isPlatformAway(tick.now()));
+        freshness = new RegistryFreshness(feed.confirmedAt(), feed.isPlatformUnreachable(tick.now()));
         if (!freshness.equals(before)) {
             tick.emit(new RegistryEffect.Confirmed(freshness));
             freshness.confirmedAt().ifPresent(now -> noteOutage(before, now));
@@ -122,7 +122,7 @@
     /**
      * Returns whether missing entries can't have lapsed in an outage.
      *
-     * @param now The present.
+     * @param now The current time.
      * @return {@code false} for a short time after an outage.
      */
     private boolean isOutageOver(MonotonicTime now) {
@@ -165,7 +165,7 @@
     /**
      * Returns whether work may be sent to the endpoints that are known to work, as far as their age goes.
      *
-     * @param now The present.
+     * @param now The current time.
      * @return {@code false} if it has to wait until the platform has answered.
      */
     public boolean allowsDispatch(MonotonicTime now) {
@@ -405,7 +405,7 @@
         /**
          * Describes the outage, for logs.
          *
-         * @param now The present.
+         * @param now The current time.
          * @return The description.
          */
         String describe(MonotonicTime now) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/KindConfirmation.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/KindConfirmation.java
@@ -143,7 +143,7 @@
      * @param now The current time.
      * @return {@code true} if the latest call failed a short time ago, or its answer is overdue.
      */
-    boolean isPlatformAway(MonotonicTime now) {
+    boolean isPlatformUnreachable(MonotonicTime now) {
         boolean failed = failedAt.filter(at -> now.since(at).compareTo(FAILURE_VALIDITY) < 0)
                 .isPresent();
         return failed || (calling && waited.compareTo(ALLOWED_DELAY) > 0);
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/SharedKindWatch.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/SharedKindWatch.java
@@ -133,8 +133,8 @@
     }
 
     @Override
-    public boolean isPlatformAway(MonotonicTime now) {
-        return confirmation.isPlatformAway(now);
+    public boolean isPlatformUnreachable(MonotonicTime now) {
+        return confirmation.isPlatformUnreachable(now);
     }
 
     /**
@@ -187,7 +187,7 @@
         if (!platformWatch.isCalling()) {
             return Optional.empty();
         }
-        Optional<News> changes = platformWatch.answer(tick);
+        Optional<News> changes = platformWatch.receive(tick);
         if (platformWatch.isCalling()) {
             return changes;
         }
@@ -281,12 +281,13 @@
     private Optional<News> apply(News changes, long afterVersion, long upTo) {
         long replicaVersion = replica.version();
         if (upTo <= replicaVersion) {
-            platformWatch.goOnBehind(replicaVersion);
+            platformWatch.resumeAfter(replicaVersion);
             return Optional.empty();
         }
-        News fresh = changes.complete() || afterVersion >= replicaVersion ? changes : changes.behind(replicaVersion);
+        News fresh =
+                changes.complete() || afterVersion >= replicaVersion ? changes : changes.changesAfter(replicaVersion);
         replica.apply(fresh, upTo);
-        platformWatch.goOnBehind(upTo);
+        platformWatch.resumeAfter(upTo);
         return Optional.of(fresh);
     }
 
@@ -308,7 +309,7 @@
         }
         Optional<NodeName> other = follower.choose(roles.watchers(), now)
                 .or(() -> follower.choose(
-                        isOverdue(now) || isPlatformAway(now) ? roles.fallbackNodes() : List.of(), now));
+                        isOverdue(now) || isPlatformUnreachable(now) ? roles.fallbackNodes() : List.of(), now));
         if (other.isPresent()) {
             follower.request(tick, other.get(), replica.version(), unconfirmed);
         } else if (backoff.allows(now)) {
