--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/registry/EndpointRegistry.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/registry/EndpointRegistry.java
@@ -5,13 +5,13 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What is known of the endpoints that registered themselves. */
+/** This node's state of the endpoints that registered themselves. */
 public interface EndpointRegistry {
 
     /**
-     * Finds an endpoint.
+     * Finds an incarnation of an endpoint.
      *
-     * @param name The pool and the identifier of its start.
+     * @param name The pool, and the identifier and incarnation of the endpoint.
      * @return The endpoint, or empty if it is gone.
      */
     Optional<RegisteredEndpoint> find(EndpointName name);
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/registry/EndpointRegistrySystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/registry/EndpointRegistrySystem.java
@@ -21,75 +21,79 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** Follows the registry in which endpoints say where they are and what they serve. */
+/** Follows the registry in which endpoints register their addresses and what they serve. */
 public final class EndpointRegistrySystem implements DecisionSystem, EndpointRegistry, EndpointStandings {
 
     /** The kind of the registry's objects. */
     public static final String KIND = "endpoint";
 
-    /** Gathers changes, such as the loads of one version, into few calls. Far below the time for leaving endpoints. */
-    private static final Duration GATHERING = Duration.ofMillis(250);
+    /**
+     * Batches changes, such as the loads of one version, into few calls. Far below the time after which leaving
+     * endpoints must get no new work.
+     */
+    private static final Duration BATCHING_DELAY = Duration.ofMillis(250);
 
     /**
-     * For how long after an outage entries that lapsed meanwhile are kept. A living endpoint is back within about two
-     * seconds of the platform's return.
+     * How long after an outage entries that lapsed meanwhile are retained. A running endpoint registers again within
+     * about two seconds after the platform is reachable again.
      */
-    private static final Duration RETURN_TIME = Duration.ofMillis(1900);
+    private static final Duration LAPSED_RETENTION = Duration.ofMillis(1900);
 
-    /** Brings the registry's entries. */
+    /** Supplies the registry's entries. */
     private final KindFeed feed;
 
-    /** Reads an entry. */
+    /** Decodes an entry. */
     private final Function<StoredObject, Optional<RegisteredEndpoint>> decoder;
 
     /** The entries. */
     private final EntityTable<String, Row> entries = new EntityTable<>();
 
-    /** Whether the registry was read once. */
+    /** Whether the registry has been read. */
     private boolean listed;
 
-    /** How old what is known of the endpoints is. */
+    /** The freshness of this node's copy of the registry. */
     private RegistryFreshness freshness = RegistryFreshness.UNKNOWN;
 
     /** The latest outage of the platform, if there was one. */
     private Optional<Outage> outage = Optional.empty();
 
     /** Whether entries may be missing or out of date. */
-    private boolean inDoubt = true;
+    private boolean uncertain = true;
 
-    /** How often the endpoints have changed. */
-    private long changes;
+    /** The number of changes of the endpoints. */
+    private long changeCount;
 
     /**
-     * Creates a system that knows no endpoints.
+     * Creates a system without endpoints.
      *
      * @param watches This node's shared watches.
      * @param tokens Allocates the tokens of calls.
-     * @param decoder Reads an entry, or returns empty where it can't be read.
+     * @param decoder Decodes an entry, or returns empty if it can't be decoded.
      */
     public EndpointRegistrySystem(
             SharedWatches watches,
             PlatformTokens tokens,
             Function<StoredObject, Optional<RegisteredEndpoint>> decoder) {
-        feed = watches.watchWithin(KIND, PlatformPurpose.DISCOVERY, tokens, GATHERING, RegistryFreshness.CONFIRMED);
+        feed = watches.watchWithin(
+                KIND, PlatformPurpose.DISCOVERY, tokens, BATCHING_DELAY, RegistryFreshness.CONFIRMED);
         this.decoder = decoder;
     }
 
     @Override
     public void run(Tick tick) {
-        Optional<KindFeed.News> news = feed.run(tick);
+        Optional<KindFeed.News> changes = feed.run(tick);
         confirm(tick);
-        boolean changed = news.isPresent() && take(tick, news.get());
+        boolean changed = changes.isPresent() && apply(tick, changes.get());
         changed |= isOutageOver(tick.now()) && removeLapsed(tick);
         if (changed) {
-            tell(tick);
+            announceChange(tick);
         }
     }
 
     /**
-     * Takes note of how far what is known of the endpoints is confirmed. Entries may have lapsed in an outage only
-     * where nothing confirmed them for longer than news may take, whatever way it came. A failed call is no reason to
-     * think so, as the platform may fail one node and serve the others.
+     * Updates the freshness, and detects the end of an outage. Entries may have lapsed in an outage only if nothing
+     * confirmed them for longer than a change may take, whichever path the confirmation took. A failed call does not
+     * indicate an outage, as the platform may fail for one node and serve the others.
      *
      * @param tick The tick.
      */
@@ -98,39 +102,40 @@
         freshness = new RegistryFreshness(feed.confirmedAt(), feed.isPlatformUnreachable(tick.now()));
         if (!freshness.equals(before)) {
             tick.emit(new RegistryEffect.Confirmed(freshness));
-            freshness.confirmedAt().ifPresent(now -> noteOutage(before, now));
+            freshness.confirmedAt().ifPresent(now -> recordOutage(before, now));
         }
         boolean current = freshness
                 .age(tick.now())
-                .filter(age -> age.compareTo(RegistryFreshness.BOUND) <= 0)
+                .filter(age -> age.compareTo(RegistryFreshness.MAXIMUM_LEAVING_DELAY) <= 0)
                 .isPresent();
-        inDoubt = !current || !isOutageOver(tick.now());
+        uncertain = !current || !isOutageOver(tick.now());
     }
 
     /**
-     * Takes note of an outage, if one is over.
+     * Records an outage, if one has ended.
      *
-     * @param before How old what is known was before.
-     * @param confirmedAt When it was confirmed now.
+     * @param before The freshness before the confirmation.
+     * @param confirmedAt The time as of which the entries are confirmed now.
      */
-    private void noteOutage(RegistryFreshness before, MonotonicTime confirmedAt) {
+    private void recordOutage(RegistryFreshness before, MonotonicTime confirmedAt) {
         before.age(confirmedAt)
-                .filter(unconfirmed -> unconfirmed.compareTo(RegistryFreshness.BOUND) > 0)
-                .ifPresent(unconfirmed -> outage = Optional.of(new Outage(confirmedAt.plus(RETURN_TIME), unconfirmed)));
+                .filter(unconfirmed -> unconfirmed.compareTo(RegistryFreshness.MAXIMUM_LEAVING_DELAY) > 0)
+                .ifPresent(unconfirmed ->
+                        outage = Optional.of(new Outage(confirmedAt.plus(LAPSED_RETENTION), unconfirmed)));
     }
 
     /**
-     * Returns whether missing entries can't have lapsed in an outage.
+     * Returns whether an entry that is missing can't have lapsed in an outage.
      *
      * @param now The current time.
      * @return {@code false} for a short time after an outage.
      */
     private boolean isOutageOver(MonotonicTime now) {
-        return outage.filter(latest -> now.isBefore(latest.keptUntil())).isEmpty();
+        return outage.filter(latest -> now.isBefore(latest.retainedUntil())).isEmpty();
     }
 
     /**
-     * Gives the endpoints up that did not come back after an outage.
+     * Removes the endpoints whose entries did not reappear after an outage.
      *
      * @param tick The tick.
      * @return Whether there were any.
@@ -138,16 +143,16 @@
     private boolean removeLapsed(Tick tick) {
         for (Row row : entries.rows()) {
             if (row.lapsed()) {
-                decide(tick, row.endpoint().name(), "gone", "its entry did not come back");
+                decide(tick, row.endpoint().name(), "gone", "its entry did not reappear after the outage");
             }
         }
         return entries.removeIf(Row::lapsed);
     }
 
     /**
-     * Returns whether the registry was read at least once.
+     * Returns whether the registry has been read at least once.
      *
-     * @return {@code true} if it was.
+     * @return {@code true} if it has.
      */
     public boolean isListed() {
         return listed;
@@ -156,14 +161,14 @@
     /**
      * Returns whether entries may be missing or out of date.
      *
-     * @return {@code true} if the platform is out of reach, or was a short time ago.
+     * @return {@code true} if the entries are not confirmed recently enough, or were not a short time ago.
      */
     public boolean isInDoubt() {
-        return inDoubt;
+        return uncertain;
     }
 
     /**
-     * Returns whether work may be sent to the endpoints that are known to work, as far as their age goes.
+     * Returns whether the age of the entries allows sending work to the working endpoints.
      *
      * @param now The current time.
      * @return {@code false} if it has to wait until the platform has answered.
@@ -180,22 +185,22 @@
 
     @Override
     public Standing of(EndpointName name) {
-        if (!listed || inDoubt) {
+        if (!listed || uncertain) {
             return Standing.UNTOLD;
         }
-        Optional<RegisteredEndpoint> known = find(name);
-        if (known.isEmpty()) {
+        Optional<RegisteredEndpoint> recorded = find(name);
+        if (recorded.isEmpty()) {
             return Standing.GONE;
         }
-        return known.get().leaving() ? Standing.LEAVING : Standing.WORKING;
+        return recorded.get().leaving() ? Standing.LEAVING : Standing.WORKING;
     }
 
     /**
-     * Returns whether an endpoint has started again since the start that a name tells of, such that whatever was under
-     * way there is lost.
+     * Returns whether an endpoint has restarted since the incarnation of a name, such that all work in progress there
+     * is lost.
      *
      * @param name The name.
-     * @return {@code true} if a later start is known.
+     * @return {@code true} if a later incarnation is recorded.
      */
     public boolean hasStartedAgain(EndpointName name) {
         return entries.find(name.value())
@@ -204,21 +209,21 @@
     }
 
     /**
-     * Notes that an endpoint said of itself that it started again, which its entry may not tell yet.
+     * Records that an endpoint itself reported its restart, which its entry may not show yet.
      *
      * @param tick The tick.
-     * @param name The start that was known.
-     * @param incarnation The incarnation that the endpoint told.
+     * @param name The incarnation that was recorded.
+     * @param incarnation The incarnation that the endpoint reported.
      */
     public void noteIncarnation(Tick tick, EndpointName name, long incarnation) {
-        Optional<RegisteredEndpoint> known = find(name);
-        if (known.isEmpty() || !name.isBefore(name.withIncarnation(incarnation))) {
+        Optional<RegisteredEndpoint> recorded = find(name);
+        if (recorded.isEmpty() || !name.isBefore(name.withIncarnation(incarnation))) {
             return;
         }
-        RegisteredEndpoint started = known.get().withIncarnation(incarnation);
+        RegisteredEndpoint started = recorded.get().withIncarnation(incarnation);
         entries.put(name.value(), new Row(started, false));
         decide(tick, started.name(), "started again", "it said so itself");
-        tell(tick);
+        announceChange(tick);
     }
 
     @Override
@@ -238,7 +243,7 @@
     }
 
     /**
-     * Records that an endpoint said itself that it serves a version, ahead of its entry.
+     * Records that an endpoint itself reported that it serves a version, which its entry may not show yet.
      *
      * @param tick The tick.
      * @param name The endpoint.
@@ -247,7 +252,7 @@
      */
     public void noteVersion(Tick tick, EndpointName name, String model, long version) {
         Optional<Row> row = entries.find(name.value())
-                .filter(known -> known.endpoint().name().equals(name));
+                .filter(recorded -> recorded.endpoint().name().equals(name));
         if (row.isEmpty() || row.get().endpoint().servesAtLeast(model, version)) {
             return;
         }
@@ -256,43 +261,43 @@
                 new Row(
                         row.get().endpoint().withVersion(model, version),
                         row.get().lapsed()));
-        tell(tick);
+        announceChange(tick);
     }
 
     /**
-     * Returns how often the endpoints have changed, such that a system looks at them only after a change.
+     * Returns the number of changes of the endpoints, by which a system detects whether it has to process them again.
      *
      * @return The number of changes.
      */
     public long changes() {
-        return changes;
+        return changeCount;
     }
 
     /**
-     * Tells that the endpoints have changed.
+     * Announces that the endpoints have changed.
      *
      * @param tick The tick.
      */
-    private void tell(Tick tick) {
-        changes++;
+    private void announceChange(Tick tick) {
+        changeCount++;
         tick.emit(new RegistryEffect.Changed(working()));
     }
 
     /**
-     * Takes what the feed brought.
+     * Applies the changes from the feed.
      *
      * @param tick The tick.
-     * @param news What is new.
+     * @param changes The changes.
      * @return Whether anything changed.
      */
-    private boolean take(Tick tick, KindFeed.News news) {
+    private boolean apply(Tick tick, KindFeed.News changes) {
         listed = true;
         boolean changed = false;
-        for (StoredObject object : news.objects()) {
+        for (StoredObject object : changes.objects()) {
             changed |= object.deleted() ? remove(tick, object.key().name()) : put(tick, object);
         }
-        if (news.complete()) {
-            Set<String> present = news.objects().stream()
+        if (changes.complete()) {
+            Set<String> present = changes.objects().stream()
                     .map(object -> object.key().name())
                     .collect(Collectors.toCollection(HashSet::new));
             for (Row row : entries.rows()) {
@@ -304,7 +309,7 @@
     }
 
     /**
-     * Takes an entry as it is now.
+     * Applies the current state of an entry.
      *
      * @param tick The tick.
      * @param object The entry.
@@ -318,16 +323,16 @@
         }
         RegisteredEndpoint endpoint = decoded.get();
         Optional<RegisteredEndpoint> before = entries.find(name).map(Row::endpoint);
-        if (before.filter(known -> endpoint.name().isBefore(known.name())).isPresent()) {
+        if (before.filter(recorded -> endpoint.name().isBefore(recorded.name())).isPresent()) {
             return false;
         }
         entries.removeIf(row -> !row.endpoint().name().value().equals(name)
                 && row.endpoint().address().equals(endpoint.address()));
         entries.put(name, new Row(endpoint, false));
-        boolean news = before.isEmpty()
+        boolean stateChanged = before.isEmpty()
                 || before.get().leaving() != endpoint.leaving()
                 || !before.get().name().equals(endpoint.name());
-        if (news) {
+        if (stateChanged) {
             decide(
                     tick,
                     endpoint.name(),
@@ -338,25 +343,26 @@
     }
 
     /**
-     * Gives an endpoint up whose entry was replaced by one that can't be used. Whoever wrote it, nothing tells where
-     * the endpoint is or whether it leaves.
+     * Removes an endpoint whose entry was replaced by one that can't be decoded. Whoever wrote it, the address of the
+     * endpoint and whether it leaves are no longer known.
      *
      * @param tick The tick.
      * @param name The name of the entry.
-     * @return Whether an endpoint was known by that name.
+     * @return Whether an endpoint was recorded by that name.
      */
     private boolean discard(Tick tick, String name) {
         Optional<Row> row = entries.remove(name);
-        row.ifPresent(known -> decide(tick, known.endpoint().name(), "not used", "its entry can't be used any more"));
+        row.ifPresent(
+                recorded -> decide(tick, recorded.endpoint().name(), "not used", "its entry can no longer be decoded"));
         return row.isPresent();
     }
 
     /**
-     * Takes the removal of an entry: the endpoint is gone, unless the platform was away and the entry may have lapsed
-     * meanwhile.
+     * Applies the removal of an entry: the endpoint is gone, unless the platform was unreachable and the entry may have
+     * lapsed meanwhile.
      *
      * @param tick The tick.
-     * @param name The identifier of the endpoint's start.
+     * @param name The endpoint's identifier.
      * @return Whether the endpoint is gone.
      */
     private boolean remove(Tick tick, String name) {
@@ -375,12 +381,12 @@
     }
 
     /**
-     * Reports what is now believed of an endpoint.
+     * Reports the new state of an endpoint.
      *
      * @param tick The tick.
      * @param name The endpoint.
-     * @param choice What is believed.
-     * @param reason Why.
+     * @param choice The state.
+     * @param reason The reason.
      */
     private static void decide(Tick tick, EndpointName name, String choice, String reason) {
         tick.decide(Decision.of("endpoint", name.toString(), choice, reason));
@@ -390,17 +396,17 @@
      * An entry.
      *
      * @param endpoint The endpoint.
-     * @param lapsed Whether the entry is missing since an outage.
+     * @param lapsed Whether the entry has been missing since an outage.
      */
     private record Row(RegisteredEndpoint endpoint, boolean lapsed) {}
 
     /**
-     * An outage of the platform, as far as this node can tell.
+     * An outage of the platform, as this node observed it.
      *
-     * @param keptUntil Until when endpoints are kept whose entries are missing.
-     * @param lasted For how long nothing confirmed what was known.
+     * @param retainedUntil Until when endpoints are retained whose entries are missing.
+     * @param unconfirmedFor The time for which nothing confirmed the entries.
      */
-    private record Outage(MonotonicTime keptUntil, Duration lasted) {
+    private record Outage(MonotonicTime retainedUntil, Duration unconfirmedFor) {
 
         /**
          * Describes the outage, for logs.
@@ -409,8 +415,8 @@
          * @return The description.
          */
         String describe(MonotonicTime now) {
-            return "nothing confirmed the entries for " + lasted.toMillis() + " ms, kept for "
-                    + keptUntil.since(now).toMillis() + " ms";
+            return "entries not confirmed for " + unconfirmedFor.toMillis() + " ms, retained for "
+                    + retainedUntil.since(now).toMillis() + " ms";
         }
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/registry/RegisteredEndpoint.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/registry/RegisteredEndpoint.java
@@ -7,12 +7,12 @@
 import java.util.OptionalLong;
 
 /**
- * One start of an endpoint, as it registered itself.
+ * One incarnation of an endpoint, as it registered itself.
  *
- * @param name The name of this start.
+ * @param name The name of this incarnation.
  * @param address The host and port.
  * @param availabilityZone The availability zone.
- * @param slots The number of requests that it processes at once.
+ * @param slots The number of requests that it processes concurrently.
  * @param leaving Whether it is about to stop and must get no new work.
  * @param versions The versions of the models that it serves, by model. Empty for a plain service.
  */
@@ -30,9 +30,9 @@
     }
 
     /**
-     * Returns a later start of this endpoint, of which nothing is known but that it is there.
+     * Returns a later incarnation of this endpoint, whose versions are not known yet.
      *
-     * @param incarnation The incarnation of the start.
+     * @param incarnation The later incarnation.
      * @return The endpoint, without versions.
      */
     public RegisteredEndpoint withIncarnation(long incarnation) {
@@ -64,7 +64,7 @@
      * Returns whether the endpoint serves a model at a version or a newer one.
      *
      * @param model The model.
-     * @param minimum The oldest version.
+     * @param minimum The minimum version.
      * @return {@code true} if it does.
      */
     public boolean servesAtLeast(String model, long minimum) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/registry/RegistryEffect.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/registry/RegistryEffect.java
@@ -3,7 +3,7 @@
 import io.yuccaswitch.core.decision.Effect;
 import java.util.List;
 
-/** What the registry tells the shell. */
+/** A notification of the registry to the shell. */
 public sealed interface RegistryEffect extends Effect {
 
     /**
@@ -14,9 +14,9 @@
     record Changed(List<RegisteredEndpoint> working) implements RegistryEffect {}
 
     /**
-     * How old what is known of the endpoints is has changed otherwise than by the passing of time.
+     * The freshness of this node's copy of the registry has changed other than by the passing of time.
      *
-     * @param freshness How old it is.
+     * @param freshness The freshness.
      */
     record Confirmed(RegistryFreshness freshness) implements RegistryEffect {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/registry/RegistryFreshness.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/registry/RegistryFreshness.java
@@ -5,46 +5,47 @@
 import java.util.Optional;
 
 /**
- * How old what a node knows of endpoints is, and how old it may be. Whatever delays news of a leaving endpoint shares
- * these times, as their sum is what endpoints see.
+ * The freshness of this node's copy of the registry, and the maximum ages that apply to it. All delays between an
+ * endpoint's report that it leaves and its last request share these times, as endpoints observe their sum.
  *
- * @param confirmedAt When the platform surely held nothing beyond what is known, or empty before anything is known.
- * @param platformAway Whether the platform does not answer this node.
+ * @param confirmedAt The latest time as of which this node's copy is guaranteed to include every change at the
+ *     platform, or empty before the first entries were received.
+ * @param platformUnreachable Whether the platform is unreachable from this node.
  */
-public record RegistryFreshness(Optional<MonotonicTime> confirmedAt, boolean platformAway) {
+public record RegistryFreshness(Optional<MonotonicTime> confirmedAt, boolean platformUnreachable) {
 
-    /** The time after which an endpoint that has said that it leaves gets no new work. */
-    public static final Duration BOUND = Duration.ofSeconds(2);
+    /** The time after which an endpoint that has reported that it leaves gets no new work. */
+    public static final Duration MAXIMUM_LEAVING_DELAY = Duration.ofSeconds(2);
 
-    /** What a new connection and the way of a request to its endpoint may take out of the bound. */
-    private static final Duration SENDING_TIME = Duration.ofMillis(300);
+    /** The part of this time that is reserved for opening a connection and sending a request to the endpoint. */
+    private static final Duration SENDING_MARGIN = Duration.ofMillis(300);
 
-    /** The greatest age at which a request may be sent. */
-    public static final Duration LIMIT = BOUND.minus(SENDING_TIME);
+    /** The maximum age at which a request may be sent. */
+    public static final Duration LIMIT = MAXIMUM_LEAVING_DELAY.minus(SENDING_MARGIN);
 
     /**
-     * The age at which a node asks the platform itself: above what it reaches through other nodes while all is well,
-     * and low enough for the next look at it and for one call before the limit.
+     * The age at which a node confirms its copy at the platform itself: above the age that it reaches through other
+     * nodes without failures, and low enough for the next tick and one call before the maximum age for requests.
      */
     static final Duration CONFIRMED = Duration.ofMillis(1200);
 
-    /** Nothing is known. */
+    /** The freshness before the first entries were received. */
     public static final RegistryFreshness UNKNOWN = new RegistryFreshness(Optional.empty(), false);
 
     /**
-     * Returns the age of what is known.
+     * Returns the age of this node's copy.
      *
-     * @param now The present.
-     * @return The age, or empty before anything is known.
+     * @param now The current time.
+     * @return The age, or empty before the first entries were received.
      */
     public Optional<Duration> age(MonotonicTime now) {
         return confirmedAt.map(now::since);
     }
 
     /**
-     * Returns whether what is known is recent enough for a request to be sent.
+     * Returns whether this node's copy is recent enough for sending a request.
      *
-     * @param now The present.
+     * @param now The current time.
      * @return {@code true} if it is.
      */
     public boolean isWithinLimit(MonotonicTime now) {
@@ -52,13 +53,13 @@
     }
 
     /**
-     * Returns whether requests may be sent to endpoints that are known to work. While the platform answers nobody, no
-     * endpoint can have said there that it leaves, and callers are served by what was known last.
+     * Returns whether requests may be sent to working endpoints. While the platform answers nobody, no endpoint can
+     * have reported there that it leaves, so requests are still sent by the latest state.
      *
-     * @param now The present.
+     * @param now The current time.
      * @return {@code true} if they may.
      */
     public boolean allowsDispatch(MonotonicTime now) {
-        return isWithinLimit(now) || (platformAway && confirmedAt.isPresent());
+        return isWithinLimit(now) || (platformUnreachable && confirmedAt.isPresent());
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/registry/package-info.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/registry/package-info.java
@@ -1,2 +1,2 @@
-/** Endpoints that register themselves at the platform, and what this node believes of them. */
+/** Endpoints that register themselves at the platform, and this node's copy of their registry. */
 package io.yuccaswitch.core.registry;
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/registry/EndpointRegistrySystemTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/registry/EndpointRegistrySystemTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The registry of endpoints, with entries written as "pool address state". */
+/** The registry of endpoints, with entries of the form "pool address state". */
 final class EndpointRegistrySystemTest {
 
     private final TestSite site = new TestSite();
@@ -33,28 +33,28 @@
     }
 
     @Test
-    void newEndpointsGetWorkWithinMoments() {
+    void newEndpointGetsWorkWithin600Milliseconds() {
         put("three", "ledger 10.0.0.3:80 ready");
         run(600);
         assertThat(names("ledger")).containsExactlyInAnyOrder("one", "two", "three");
     }
 
     @Test
-    void aLeavingEndpointGetsNoNewWork() {
+    void leavingEndpointGetsNoNewWork() {
         put("one", "ledger 10.0.0.1:80 draining");
         run(600);
         assertThat(names("ledger")).containsExactly("two");
     }
 
     @Test
-    void anEntryThatIsRemovedWhileThePlatformAnswersIsGoneAtOnce() {
+    void endpointIsGoneWhenItsEntryIsRemovedWhileThePlatformAnswers() {
         site.platform().remove(EndpointRegistrySystem.KIND, "one");
         run(600);
         assertThat(names("ledger")).containsExactly("two");
     }
 
     @Test
-    void anEntryThatCantBeUsedNamesNoEndpointAndTakesNoneOfTheOthersAway() {
+    void undecodableEntryYieldsNoEndpointAndAffectsNoOthers() {
         put("one", "unusable");
         put("three", "unusable");
         run(600);
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aLaterStartReplacesAnEarlierOneAndKnowsNothingOfIt() {
+    void laterIncarnationReplacesAnEarlierOne() {
         put("one", "ledger 10.0.0.1:80 ready 7");
         run(600);
         EndpointName earlier = name("one", 7);
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void anEntryOfAnEarlierStartThatComesLateChangesNothing() {
+    void lateEntryOfAnEarlierIncarnationIsIgnored() {
         put("one", "ledger 10.0.0.1:80 ready 9");
         run(600);
         put("one", "ledger 10.0.0.1:80 draining 7");
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void anEntryThatLapsedDuringAnOutageIsKeptForAShortTimeAndThenGone() {
+    void entryThatLapsedDuringAnOutageIsRetainedForAShortTimeAndThenRemoved() {
         site.platform().failWhere((_node, _call) -> true);
         put("other", "ledger 10.0.0.9:80 ready");
         run(1500);
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void anEntryThatComesBackAfterAnOutageStays() {
+    void entryThatReappearsAfterAnOutageIsKept() {
         site.platform().failWhere((_node, _call) -> true);
         put("other", "ledger 10.0.0.9:80 ready");
         run(1500);
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void anAddressThatAnotherServiceTookOverBelongsToItAlone() {
+    void addressBelongsOnlyToTheServiceThatRegisteredItLast() {
         put("stranger", "catalogue 10.0.0.1:80 ready");
         run(600);
         assertThat(names("ledger")).containsExactly("two");
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void aForgottenHistoryLeadsToANewList() {
+    void registryIsListedAgainAfterThePlatformCompactsItsHistory() {
         put("three", "ledger 10.0.0.3:80 ready");
         site.platform().remove(EndpointRegistrySystem.KIND, "two");
         site.platform().compact();
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/registry/LeavingEndpointTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/registry/LeavingEndpointTest.java
@@ -26,19 +26,17 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * While engines were replaced one after the other, items reached one of them more than two seconds after the platform
- * had acknowledged that it left. The node that sent them had heard of it in time. It kept the engine for 1.9 s more, as
- * it does for an entry that may have lapsed in an outage; but the platform had failed another node only, which it
- * turned away for nine seconds, and that node had told the others of its failures. The line that settled it came 0.23 s
- * after the acknowledgement, at a node that the platform answered all the while: {@code kind=endpoint
- * subject=zile99a/i-cf80525c7f choice=lapsed reason="the platform was out of reach"}. Two delays, each within its own
- * bound, had no owner of their sum.
+ * Guards against requests to an endpoint more than two seconds after the platform acknowledged that it leaves. This
+ * happened although the platform answered the sending node all the time: another node, which the platform rejected for
+ * nine seconds, had reported its failures, so the sending node treated the removed entry as possibly lapsed in an
+ * outage, and retained the endpoint for another 1.9 s. Each delay was within its own bound, but nothing bounded their
+ * sum.
  */
 final class LeavingEndpointTest {
 
     private static final PoolName POOL = new PoolName("ledger");
-    private static final Duration IDLE_INTERVAL = Duration.ofMillis(100);
-    private static final int NODES = 9;
+    private static final Duration IDLE_TICK_INTERVAL = Duration.ofMillis(100);
+    private static final int NODE_COUNT = 9;
 
     private final TestSite site = new TestSite();
     private final Map<String, TestNode> nodes = new TreeMap<>();
@@ -48,7 +46,7 @@
     @BeforeEach
     void startNodes() {
         site.connect((_from, _to) -> false);
-        for (int i = 0; i < NODES; i++) {
+        for (int i = 0; i < NODE_COUNT; i++) {
             String name = "node-" + i;
             nodes.put(name, site.start(name, this::systems));
         }
@@ -61,26 +59,26 @@
     }
 
     @Test
-    void anEntryThatIsRemovedIsGoneInTimeThoughThePlatformTurnsAnotherNodeAway() {
-        String refused = watchers.iterator().next();
-        site.platform().failWhere((node, _call) -> node.equals(refused));
+    void endpointIsGoneInTimeAfterItsEntryIsRemovedWhileThePlatformRejectsAnotherNode() {
+        String rejected = watchers.iterator().next();
+        site.platform().failWhere((node, _call) -> node.equals(rejected));
         site.run(Duration.ofSeconds(3));
         site.platform().remove(EndpointRegistrySystem.KIND, "one");
-        assertKnownInTime(Set.of(refused));
+        assertNoLongerChosenInTime(Set.of(rejected));
     }
 
     @Test
-    void anEntryThatSaysItsEndpointLeavesIsKnownInTimeThoughThePlatformTurnsAnotherNodeAway() {
-        String refused = watchers.iterator().next();
-        site.platform().failWhere((node, _call) -> node.equals(refused));
+    void leavingEndpointIsDetectedInTimeWhileThePlatformRejectsAnotherNode() {
+        String rejected = watchers.iterator().next();
+        site.platform().failWhere((node, _call) -> node.equals(rejected));
         site.run(Duration.ofSeconds(3));
         put("one", "ledger 10.0.0.1:80 draining");
-        assertKnownInTime(Set.of(refused));
+        assertNoLongerChosenInTime(Set.of(rejected));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19})
-    void aLeavingEndpointIsKnownInTimeHoweverTheWatchingNodesFailOneAfterTheOther(long group) {
+    void leavingEndpointIsDetectedInTimeWhileTheWatchersFailOneAfterTheOther(long group) {
         for (long seed = group * 20; seed < group * 20 + 20; seed++) {
             site.run(Duration.ofSeconds(4));
             put("one", "ledger 10.0.0.1:80 ready");
@@ -95,7 +93,7 @@
             } else {
                 site.platform().remove(EndpointRegistrySystem.KIND, "one");
             }
-            assertKnownInTime(watchers, "seed " + seed + " " + troubles);
+            assertNoLongerChosenInTime(watchers, "seed " + seed + " " + troubles);
             Troubles.NONE.strike(site);
         }
     }
@@ -104,7 +102,7 @@
     @ValueSource(
             ints = {0, 70, 140, 210, 280, 350, 420, 490, 560, 630, 700, 770, 840, 910, 980, 1050, 1120, 1190, 1260, 1330
             })
-    void aLeavingEndpointIsKnownInTimeThoughTheWatchingNodesLoseThePlatformAndThenStandStill(int phase) {
+    void leavingEndpointIsDetectedInTimeWhileTheWatchersLoseThePlatformAndThenFreeze(int phase) {
         for (int step = 0; step < 42; step++) {
             int contact = 950 + step / 7 * 30;
             site.run(Duration.ofSeconds(4));
@@ -113,18 +111,21 @@
             Troubles.lostAndStill(watchers, site.now(), Duration.ofMillis(contact))
                     .strike(site);
             put("one", "ledger 10.0.0.1:80 draining");
-            assertKnownInTime(
-                    watchers, "platform lost at phase " + (phase + step % 7 * 10) + ", still after " + contact);
+            assertNoLongerChosenInTime(
+                    watchers, "platform lost at phase " + (phase + step % 7 * 10) + ", frozen after " + contact);
             Troubles.NONE.strike(site);
         }
     }
 
-    /** Checks that within the time no node but some chooses the endpoint any more, and then leaves it so. */
-    private void assertKnownInTime(Set<String> exempt) {
-        assertKnownInTime(exempt, "");
+    /**
+     * Asserts that no node other than the exempt ones chooses the endpoint after the maximum age for requests, nor
+     * later.
+     */
+    private void assertNoLongerChosenInTime(Set<String> exempt) {
+        assertNoLongerChosenInTime(exempt, "");
     }
 
-    private void assertKnownInTime(Set<String> exempt, String description) {
+    private void assertNoLongerChosenInTime(Set<String> exempt, String description) {
         MonotonicTime acknowledged = site.now();
         site.run(RegistryFreshness.LIMIT);
         for (int millis = 0; millis < 2500; millis += 10) {
@@ -132,7 +133,7 @@
                 if (!exempt.contains(registry.getKey())) {
                     assertThat(chosen(registry.getValue()))
                             .as(
-                                    "what %s chooses %s after the acknowledgement %s",
+                                    "endpoints that %s chooses %s after the acknowledgement %s",
                                     registry.getKey(), site.now().since(acknowledged), description)
                             .doesNotContain("one");
                 }
@@ -145,7 +146,7 @@
         EndpointRegistrySystem registry =
                 new EndpointRegistrySystem(new SharedWatches(node), tokens, EndpointRegistrySystemTest::decode);
         registries.put(node.name(), registry);
-        return List.of(new PacedSystem(List.of(registry), _event -> false, () -> IDLE_INTERVAL));
+        return List.of(new PacedSystem(List.of(registry), _event -> false, () -> IDLE_TICK_INTERVAL));
     }
 
     private static List<String> chosen(EndpointRegistrySystem registry) {
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/registry/PlatformOutageTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/registry/PlatformOutageTest.java
@@ -17,13 +17,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * While the platform answered nobody, nodes stopped sending requests again and again for up to half a second: a failed
- * call told for 2.5 s that the platform is away, and the next one could come later than that, as calls for changes and
- * calls that confirm shared one back-off.
+ * Guards against nodes that repeatedly stop sending requests for up to half a second while the platform answers nobody.
+ * This happened because a failed call marked the platform as unreachable for 2.5 s, but the next call could come later
+ * than that, as calls for changes and confirmation calls shared one backoff.
  */
 final class PlatformOutageTest {
 
-    private static final Duration IDLE_INTERVAL = Duration.ofMillis(100);
+    private static final Duration IDLE_TICK_INTERVAL = Duration.ofMillis(100);
 
     private final TestSite site = new TestSite();
     private final Map<String, EndpointRegistrySystem> registries = new TreeMap<>();
@@ -38,7 +38,7 @@
         site.run(Duration.ofSeconds(3));
     }
 
-    /** Guards against requests that are held although nothing can be learnt by waiting. */
+    /** Requests must not be held, as waiting cannot yield newer state. */
     @ParameterizedTest
     @ValueSource(ints = {0, 100, 300, 600, 900, 1200})
     void endpointsStayInUseThroughoutAnOutageHoweverLateCallsFail(int failureMillis) {
@@ -60,6 +60,6 @@
         EndpointRegistrySystem registry =
                 new EndpointRegistrySystem(new SharedWatches(node), tokens, EndpointRegistrySystemTest::decode);
         registries.put(node.name(), registry);
-        return List.of(new PacedSystem(List.of(registry), _event -> false, () -> IDLE_INTERVAL));
+        return List.of(new PacedSystem(List.of(registry), _event -> false, () -> IDLE_TICK_INTERVAL));
     }
 }
