--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/suspension/Suspended.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/suspension/Suspended.java
@@ -4,10 +4,10 @@
 import java.time.Duration;
 
 /**
- * The machine was suspended, or its time of day was set forward, which can't be told apart. What this node may do only
- * for so long after others let it has to end as if the time had passed. What others may do only for so long must not be
- * taken to have ended, as it may not have.
+ * The VM was suspended, or its wall clock was set forward; the two cannot be distinguished. Whatever this node may do
+ * only for a limited time, as permitted by others, must end as if the time had passed. Whatever others may do only for
+ * a limited time must not be considered ended, as their time may not have passed.
  *
- * @param gap For how long, as far as the time of day tells.
+ * @param gap The duration of the suspension, as measured by the wall clock.
  */
 public record Suspended(Duration gap) implements Event {}
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/suspension/SuspensionDetector.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/suspension/SuspensionDetector.java
@@ -4,35 +4,36 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** Finds out that the machine was suspended: the time of day has gone further than the monotonic clock. */
+/** Detects that the VM was suspended: the wall clock has advanced further than the monotonic clock. */
 public final class SuspensionDetector {
 
     /**
-     * The least difference that counts: more than a correction of the time of day, less than what leases keep in hand.
+     * The minimum difference that is treated as a suspension: more than a correction of the wall clock, less than the
+     * safety margin of leases.
      */
-    private static final Duration LEAST_GAP = Duration.ofMillis(200);
+    private static final Duration MINIMUM_GAP = Duration.ofMillis(200);
 
-    /** The difference between both clocks, in nanoseconds, or empty before the first look. */
+    /** The difference between both clocks, in nanoseconds, or empty before the first check. */
     private Optional<Long> difference = Optional.empty();
 
-    /** Creates a detector that has looked at no clock. */
+    /** Creates a detector that has checked no clock. */
     public SuspensionDetector() {}
 
     /**
-     * Looks at both clocks, which should be read one right after the other.
+     * Compares both clocks, which should be read immediately after each other.
      *
      * @param now The monotonic time.
-     * @param epochMillis The time of day in milliseconds since the epoch.
-     * @return What happened since the last look, if anything did.
+     * @param epochMillis The wall clock in milliseconds since the epoch.
+     * @return The suspension since the last check, if there was one.
      */
     public Optional<Suspended> look(MonotonicTime now, long epochMillis) {
         long current = Duration.ofMillis(epochMillis).toNanos() - now.nanoseconds();
         long before = difference.orElse(current);
         Duration gap = Duration.ofNanos(current - before);
-        if (!gap.isNegative() && gap.compareTo(LEAST_GAP) < 0 && difference.isPresent()) {
+        if (!gap.isNegative() && gap.compareTo(MINIMUM_GAP) < 0 && difference.isPresent()) {
             return Optional.empty();
         }
         difference = Optional.of(current);
-        return gap.compareTo(LEAST_GAP) >= 0 ? Optional.of(new Suspended(gap)) : Optional.empty();
+        return gap.compareTo(MINIMUM_GAP) >= 0 ? Optional.of(new Suspended(gap)) : Optional.empty();
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/suspension/package-info.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/suspension/package-info.java
@@ -1,2 +1,2 @@
-/** Times for which the machine was suspended, which its monotonic clock does not count. */
+/** Suspensions of the VM, during which its monotonic clock stops. */
 package io.yuccaswitch.core.suspension;
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/suspension/SuspensionDetectorTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/suspension/SuspensionDetectorTest.java
@@ -13,28 +13,28 @@
     private final SuspensionDetector detector = new SuspensionDetector();
 
     @Test
-    void clocksThatGoTogetherTellNothing() {
+    void noSuspensionIsReportedWhileBothClocksAdvanceEqually() {
         for (long millis = 0; millis < 10_000; millis += 100) {
             assertThat(detector.look(at(millis), EPOCH + millis)).isEmpty();
         }
     }
 
     @Test
-    void timeThatOnlyTheTimeOfDayCountsIsToldOnce() {
+    void timeThatOnlyTheWallClockCountedIsReportedOnce() {
         detector.look(at(0), EPOCH);
         assertThat(detector.look(at(100), EPOCH + 5100)).contains(new Suspended(Duration.ofSeconds(5)));
         assertThat(detector.look(at(200), EPOCH + 5200)).isEmpty();
     }
 
     @Test
-    void smallCorrectionsAddUpUntilTheyCount() {
+    void smallCorrectionsAddUpToASuspension() {
         detector.look(at(0), EPOCH);
         assertThat(detector.look(at(100), EPOCH + 220)).isEmpty();
         assertThat(detector.look(at(200), EPOCH + 450)).contains(new Suspended(Duration.ofMillis(250)));
     }
 
     @Test
-    void aTimeOfDayThatIsSetBackTellsNothingButIsCountedFrom() {
+    void wallClockThatIsSetBackIsNotReportedButBecomesTheNewReference() {
         detector.look(at(0), EPOCH);
         assertThat(detector.look(at(100), EPOCH - 2000)).isEmpty();
         assertThat(detector.look(at(200), EPOCH - 900)).contains(new Suspended(Duration.ofSeconds(1)));
