--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/retirement/RetirementSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/retirement/RetirementSystem.java
@@ -21,58 +21,58 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Answers requests to empty a VM with a disk. Nothing of the product lies on such disks, so each request is completed
- * at once, by the node that gives the orders to engines.
+ * Answers requests to empty a VM with a disk. The service stores nothing on such disks, so each request is completed
+ * immediately, by the node that gives the orders to engines.
  */
 public final class RetirementSystem implements DecisionSystem {
 
     /** The kind of the requests' objects. */
     public static final String KIND = "retirement";
 
-    /** What is written when a VM is empty. */
+    /** The value that is written when a VM is empty. */
     private static final Bytes COMPLETED = Bytes.ofUtf8("completed");
 
-    /** The first wait after a failed call. */
-    private static final Duration FIRST_BACK_OFF = Duration.ofMillis(150);
+    /** The first delay after a failed call. */
+    private static final Duration INITIAL_BACKOFF = Duration.ofMillis(150);
 
-    /** The longest wait after failed calls. */
-    private static final Duration LONGEST_BACK_OFF = Duration.ofMillis(700);
+    /** The maximum delay after failed calls. */
+    private static final Duration MAXIMUM_BACKOFF = Duration.ofMillis(700);
 
-    /** No gathering: requests are rare. */
-    private static final Duration GATHERING = Duration.ZERO;
+    /** No batching delay, as requests are rare. */
+    private static final Duration BATCHING_DELAY = Duration.ZERO;
 
-    /** How long one watch waits, which bounds how late a connection that has gone silent is noticed. */
-    private static final Duration WAIT_TIME = Duration.ofSeconds(4);
+    /** How long the platform holds a watch, which bounds the time until a broken connection is detected. */
+    private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(4);
 
     /** The watch of the requests. */
     private final KindWatch watch;
 
-    /** The calls to the platform that wait for their answers. */
+    /** The pending calls to the platform. */
     private final PlatformCalls calls;
 
     /** Whether this node answers requests. */
     private final BooleanSupplier responsible;
 
-    /** The names of the VMs whose requests are answered. */
+    /** The names of the VMs whose requests have been answered. */
     private final Set<String> answered = new HashSet<>();
 
-    /** The requests that are not answered yet, by the names of the VMs. */
+    /** The requests that have not been answered yet, by the names of the VMs. */
     private final Map<String, StoredObject> pending = new LinkedHashMap<>();
 
-    /** When the next answer may be written after a failure. */
-    private final CallBackOff backOff = new CallBackOff(FIRST_BACK_OFF, LONGEST_BACK_OFF);
+    /** Delays the next answer after a failure. */
+    private final CallBackOff backoff = new CallBackOff(INITIAL_BACKOFF, MAXIMUM_BACKOFF);
 
-    /** Whether an answer is on its way. */
+    /** Whether the call that writes an answer is pending. */
     private boolean writing;
 
     /**
      * Creates a system without requests.
      *
-     * @param tokens Hands out the tokens of calls.
+     * @param tokens Allocates the tokens of calls.
      * @param responsible Whether this node answers requests.
      */
     public RetirementSystem(PlatformTokens tokens, BooleanSupplier responsible) {
-        watch = new KindWatch(KIND, PlatformPurpose.MEMBERSHIP, tokens, GATHERING, WAIT_TIME);
+        watch = new KindWatch(KIND, PlatformPurpose.MEMBERSHIP, tokens, BATCHING_DELAY, WATCH_TIMEOUT);
         calls = new PlatformCalls(tokens);
         this.responsible = responsible;
     }
@@ -83,18 +83,18 @@
         if (!responsible.getAsBoolean()) {
             return;
         }
-        watch.run(tick).ifPresent(news -> news.objects().forEach(this::take));
-        if (!writing && !pending.isEmpty() && backOff.allows(tick.now())) {
+        watch.run(tick).ifPresent(changes -> changes.objects().forEach(this::apply));
+        if (!writing && !pending.isEmpty() && backoff.allows(tick.now())) {
             write(tick, pending.values().iterator().next());
         }
     }
 
     /**
-     * Takes a request as it is now.
+     * Applies the current state of a request.
      *
      * @param object The request.
      */
-    private void take(StoredObject object) {
+    private void apply(StoredObject object) {
         String name = object.key().name();
         if (object.deleted()) {
             answered.remove(name);
@@ -108,7 +108,7 @@
      * Writes that a VM is empty.
      *
      * @param tick The tick.
-     * @param object The request as it is.
+     * @param object The request as it was read.
      */
     private void write(Tick tick, StoredObject object) {
         writing = true;
@@ -120,16 +120,17 @@
     }
 
     /**
-     * Takes the platform's answer.
+     * Processes the platform's answer to a write.
      *
      * @param tick The tick.
-     * @param object The request as it was.
+     * @param object The request for which the call was made.
      * @param event The answer.
      */
     private void receive(Tick tick, StoredObject object, PlatformEvent event) {
         writing = false;
         String name = object.key().name();
-        tick.decide(Decision.of("retirement", name, event.getClass().getSimpleName(), "nothing lies on the VM's disk"));
+        tick.decide(Decision.of(
+                "retirement", name, event.getClass().getSimpleName(), "the service stores nothing on the VM's disk"));
         if (event instanceof PlatformEvent.Accepted) {
             answered.add(name);
             pending.remove(name);
@@ -137,7 +138,7 @@
                 && conflict.current().isPresent()) {
             pending.put(name, conflict.current().get());
         } else {
-            backOff.failed(tick);
+            backoff.failed(tick);
         }
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/retirement/package-info.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/retirement/package-info.java
@@ -1,2 +1,2 @@
-/** VMs with a disk that are to be emptied before they are taken away. */
+/** VMs with a disk that have to be emptied before they are removed. */
 package io.yuccaswitch.core.retirement;
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/retirement/RetirementSystemTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/retirement/RetirementSystemTest.java
@@ -15,7 +15,7 @@
     private boolean responsible = true;
 
     @Test
-    void aRequestIsCompletedAtOnce() {
+    void requestIsCompletedImmediately() {
         start();
         site.platform().put(RetirementSystem.KIND, "store-1", "asked");
         run(500);
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void aRequestIsCompletedAfterAnOutage() {
+    void requestIsCompletedAfterAnOutage() {
         start();
         run(100);
         site.platform().failWhere((_node, call) -> call instanceof PlatformEffect.Write);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void aNodeThatIsNotResponsibleAnswersNothing() {
+    void nodeThatIsNotResponsibleAnswersNoRequests() {
         responsible = false;
         start();
         site.platform().put(RetirementSystem.KIND, "store-1", "asked");
