--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/AttemptOutcome.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/AttemptOutcome.java
@@ -2,26 +2,26 @@
 
 import io.yuccaswitch.core.quarantine.Loss;
 
-/** What became of one attempt to run an item at an engine. */
+/** The outcome of one attempt to run an item at an engine. */
 public sealed interface AttemptOutcome {
 
-    /** The output is whole. */
+    /** The output is complete. */
     record Completed() implements AttemptOutcome {}
 
     /**
-     * The attempt broke off, and another one may go on behind its events.
+     * The attempt was interrupted, and another one may resume after its events.
      *
      * @param reason The reason, for logs.
-     * @param unreachable Whether the engine could not even be connected to.
-     * @param loss What the loss of the answer says of the engine.
+     * @param unreachable Whether the connection to the engine could not be established.
+     * @param loss What the loss of the answer indicates about the engine.
      */
     record Interrupted(String reason, boolean unreachable, Loss loss) implements AttemptOutcome {
 
         /**
-         * Creates an outcome of an engine of which the end of the attempt tells nothing.
+         * Creates an outcome that indicates nothing about the state of the engine.
          *
          * @param reason The reason, for logs.
-         * @param unreachable Whether the engine could not even be connected to.
+         * @param unreachable Whether the connection to the engine could not be established.
          */
         public Interrupted(String reason, boolean unreachable) {
             this(reason, unreachable, Loss.UNUSABLE);
@@ -29,22 +29,22 @@
     }
 
     /**
-     * The engine said that it did not run the item.
+     * The engine reported that it did not run the item.
      *
      * @param reason The reason, for logs.
      */
     record Refused(String reason) implements AttemptOutcome {}
 
     /**
-     * The item was not sent, as the engine has left or what is known of it has grown too old meanwhile.
+     * The item was not sent, because the engine has left or its state has become stale in the meantime.
      *
      * @param reason The reason, for logs.
      */
     record Withheld(String reason) implements AttemptOutcome {}
 
-    /** The engine failed while it ran the item, which counts as an attempt. */
+    /** The engine failed while it ran the item, which counts towards the attempts of the route. */
     record Failed() implements AttemptOutcome {}
 
-    /** The engine said that the item can never be done. */
+    /** The engine reported that the item can never be completed. */
     record Impossible() implements AttemptOutcome {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchAdmissionSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchAdmissionSystem.java
@@ -18,40 +18,40 @@
 import java.util.function.BiConsumer;
 
 /**
- * Accepts batch jobs: writes the job, then its entry in the index, each by a conditional creation. The creation of the
- * entry accepts the job, such that a job of which only the first part was written never runs.
+ * Accepts batch jobs: writes the job, then its index entry, each by a conditional creation. The creation of the entry
+ * accepts the job, so a job without an entry never runs.
  */
 final class BatchAdmissionSystem implements DecisionSystem {
 
-    /** The pause between two reads of an entry whose creation was not answered. */
-    private static final Duration READ_BACK_PAUSE = Duration.ofMillis(150);
+    /** The delay between two reads of an entry whose creation was not answered. */
+    private static final Duration READ_BACK_DELAY = Duration.ofMillis(150);
 
-    /** The time that must be left for a further call: several times what the platform takes for one. */
-    private static final Duration SHORTEST_CALL = Duration.ofMillis(50);
+    /** The minimum time that must remain for a further call: several times the duration of a platform call. */
+    private static final Duration MINIMUM_CALL_TIME = Duration.ofMillis(50);
 
     /** The tables of the batch system. */
     private final BatchState state;
 
-    /** Finds out when a job is given up. */
-    private final GiveUpTimes giveUpTimes;
+    /** Computes the deadlines of jobs. */
+    private final JobTimeouts jobTimeouts;
 
-    /** Decides which node runs a job. */
-    private final RunnerChoice runners;
+    /** Chooses the node that runs a job. */
+    private final RunnerChoice runnerChoice;
 
-    /** The entries that are to be read back. */
+    /** The entries that have to be read back. */
     private final List<ReadBack> readBacks = new ArrayList<>();
 
     /**
      * Creates a system without submissions.
      *
      * @param state The tables of the batch system.
-     * @param giveUpTimes Finds out when a job is given up.
-     * @param runners Decides which node runs a job.
+     * @param jobTimeouts Computes the deadlines of jobs.
+     * @param runnerChoice Chooses the node that runs a job.
      */
-    BatchAdmissionSystem(BatchState state, GiveUpTimes giveUpTimes, RunnerChoice runners) {
+    BatchAdmissionSystem(BatchState state, JobTimeouts jobTimeouts, RunnerChoice runnerChoice) {
         this.state = state;
-        this.giveUpTimes = giveUpTimes;
-        this.runners = runners;
+        this.jobTimeouts = jobTimeouts;
+        this.runnerChoice = runnerChoice;
     }
 
     @Override
@@ -68,17 +68,21 @@
     }
 
     /**
-     * Begins to admit a job.
+     * Starts the admission of a job.
      *
      * @param tick The tick.
      * @param submission The submission.
      */
     private void submit(Tick tick, Submission submission) {
         BatchJobId id = submission.job().id();
-        Optional<RunningJob> known = state.running().find(id);
-        if (known.isPresent()) {
-            boolean same = known.get().job().asksTheSame(submission.job());
-            reply(tick, submission, same ? new BatchAnswer.Accepted() : new BatchAnswer.Mismatch(), "runs here");
+        Optional<RunningJob> runningHere = state.running().find(id);
+        if (runningHere.isPresent()) {
+            boolean same = runningHere.get().job().hasSameContent(submission.job());
+            reply(
+                    tick,
+                    submission,
+                    same ? new BatchAnswer.Accepted() : new BatchAnswer.Mismatch(),
+                    "the job runs at this node");
             return;
         }
         if (state.admitting().putIfAbsent(id, submission.ticket()) != null) {
@@ -89,24 +93,24 @@
             if (event instanceof PlatformEvent.Accepted) {
                 createEntry(later, submission);
             } else if (event instanceof PlatformEvent.Conflict conflict) {
-                compare(later, submission, conflict.current());
+                compareWithStored(later, submission, conflict.current());
             } else {
-                finish(later, submission, notAccepted(submission, "the job was not kept"), describe(event));
+                finish(later, submission, notAccepted(submission, "the job was not stored"), describe(event));
             }
         });
     }
 
     /**
-     * Goes on after the job turned out to be written already.
+     * Continues the admission of a job that is already stored.
      *
      * @param tick The tick.
      * @param submission The submission.
-     * @param current The object that is there.
+     * @param current The stored object, if the platform returned it.
      */
-    private void compare(Tick tick, Submission submission, Optional<StoredObject> current) {
+    private void compareWithStored(Tick tick, Submission submission, Optional<StoredObject> current) {
         Optional<BatchJob> written = current.flatMap(object -> state.codec().readJob(object.value()));
-        if (written.isPresent() && !written.get().asksTheSame(submission.job())) {
-            finish(tick, submission, new BatchAnswer.Mismatch(), "the identifier is taken by other work");
+        if (written.isPresent() && !written.get().hasSameContent(submission.job())) {
+            finish(tick, submission, new BatchAnswer.Mismatch(), "the identifier belongs to a different job");
             return;
         }
         createEntry(tick, submission.asWrittenBefore());
@@ -119,13 +123,17 @@
      * @param submission The submission.
      */
     private void createEntry(Tick tick, Submission submission) {
-        if (!leavesTimeForCall(submission, tick.now())) {
-            finish(tick, submission, notAccepted(submission, "the entry was not written"), "no time is left");
+        if (!hasTimeForCall(submission, tick.now())) {
+            finish(
+                    tick,
+                    submission,
+                    notAccepted(submission, "the entry was not written"),
+                    "no time left for a further call");
             return;
         }
         BatchJob job = submission.job();
         BatchIndexEntry entry = new BatchIndexEntry(
-                job.id(), runners.choose(job), false, job.items().size(), job.model());
+                job.id(), runnerChoice.choose(job), false, job.items().size(), job.model());
         create(tick, submission, BatchObjects.index(job.id()), state.codec().writeEntry(entry), (later, event) -> {
             if (event instanceof PlatformEvent.Accepted) {
                 accept(later, submission, entry.runner());
@@ -134,21 +142,21 @@
             } else if (event instanceof PlatformEvent.Unavailable failure && failure.maybeApplied()) {
                 readBackAt(later, submission, later.now());
             } else {
-                finish(later, submission, notAccepted(submission, "the entry was not kept"), describe(event));
+                finish(later, submission, notAccepted(submission, "the entry was not stored"), describe(event));
             }
         });
     }
 
     /**
-     * Plans to read an entry back, unless its submission has to be answered before. An entry that was created after all
-     * then reaches its runner with the index.
+     * Schedules reading back an entry, unless its submission has to be answered before. If the entry was created after
+     * all, its runner then finds it in the index.
      *
      * @param tick The tick.
      * @param submission The submission.
-     * @param at When it is read.
+     * @param at When the entry is read.
      */
     private void readBackAt(Tick tick, Submission submission, MonotonicTime at) {
-        if (leavesTimeForCall(submission, at)) {
+        if (hasTimeForCall(submission, at)) {
             readBacks.add(new ReadBack(submission, at));
         } else {
             BatchAnswer answer = new BatchAnswer.Unsure("the platform did not answer");
@@ -157,7 +165,7 @@
     }
 
     /**
-     * Finds out whether an entry was created though its creation was not answered.
+     * Determines whether an entry was created although its creation was not answered.
      *
      * @param tick The tick.
      * @param submission The submission.
@@ -171,24 +179,24 @@
             if (entry.isPresent()) {
                 accept(later, submission, entry.get().runner());
             } else {
-                readBackAt(later, submission, later.now().plus(READ_BACK_PAUSE));
+                readBackAt(later, submission, later.now().plus(READ_BACK_DELAY));
             }
         });
     }
 
     /**
-     * Returns whether a call that is made at a time may be over before the submission has to be answered.
+     * Returns whether a call that is made at the given time can finish before the submission has to be answered.
      *
      * @param submission The submission.
      * @param at When the call is made.
-     * @return {@code true} if it may.
+     * @return {@code true} if it can.
      */
-    private static boolean leavesTimeForCall(Submission submission, MonotonicTime at) {
-        return at.plus(SHORTEST_CALL).isBefore(submission.deadline());
+    private static boolean hasTimeForCall(Submission submission, MonotonicTime at) {
+        return at.plus(MINIMUM_CALL_TIME).isBefore(submission.deadline());
     }
 
     /**
-     * Runs a job that this node has accepted, or hands it over to the node that is to run it.
+     * Runs a job that this node has accepted, or hands it over to its runner.
      *
      * @param tick The tick.
      * @param submission The submission.
@@ -200,14 +208,14 @@
             tick.emit(new PeerEffect.Send(
                     runner,
                     new BatchMessage.HandedOver(job.id().value(), state.codec().writeJob(job))));
-            finish(tick, submission, new BatchAnswer.Accepted(), "kept on the platform, handed over to " + runner);
+            finish(tick, submission, new BatchAnswer.Accepted(), "stored on the platform, handed over to " + runner);
             return;
         }
         if (!state.running().contains(job.id()) && !state.finished().contains(job.id())) {
             ResultLog log = state.log(job.id(), job.items().size(), tick.now());
-            state.run(tick, job, log, giveUpTimes.of(job, tick.now()), new KeptTexts());
+            state.run(tick, job, log, jobTimeouts.deadline(job, tick.now()), new StoredTexts());
         }
-        finish(tick, submission, new BatchAnswer.Accepted(), "kept on the platform");
+        finish(tick, submission, new BatchAnswer.Accepted(), "stored on the platform");
     }
 
     /**
@@ -216,7 +224,7 @@
      * @param tick The tick.
      * @param submission The submission.
      * @param answer The answer.
-     * @param reason Why, for logs.
+     * @param reason The reason, for logs.
      */
     private void finish(Tick tick, Submission submission, BatchAnswer answer, String reason) {
         state.admitting().remove(submission.job().id());
@@ -229,7 +237,7 @@
      * @param tick The tick.
      * @param submission The submission.
      * @param answer The answer.
-     * @param reason Why, for logs.
+     * @param reason The reason, for logs.
      */
     private static void reply(Tick tick, Submission submission, BatchAnswer answer, String reason) {
         tick.emit(new BatchEffect.Reply(submission.ticket(), answer));
@@ -244,18 +252,18 @@
      * Creates an object.
      *
      * @param tick The tick.
-     * @param submission The submission that it is created for.
+     * @param submission The submission that requires the object.
      * @param key The key.
      * @param value The value.
-     * @param then What follows the answer.
+     * @param callback The callback for the answer.
      */
     private void create(
-            Tick tick, Submission submission, ObjectKey key, Bytes value, BiConsumer<Tick, PlatformEvent> then) {
-        state.write(tick, submission.deadline(), key, OptionalLong.empty(), value, then);
+            Tick tick, Submission submission, ObjectKey key, Bytes value, BiConsumer<Tick, PlatformEvent> callback) {
+        state.write(tick, submission.deadline(), key, OptionalLong.empty(), value, callback);
     }
 
     /**
-     * Creates the answer that nothing of a job runs, or that this is not known where an earlier submission of the job
+     * Creates the answer that no part of a job runs, or that this is unknown because an earlier submission of the job
      * may have been accepted.
      *
      * @param submission The submission.
@@ -269,7 +277,7 @@
     }
 
     /**
-     * Describes an answer of the platform, for logs.
+     * Describes an answer of the platform for logs.
      *
      * @param event The answer.
      * @return The description.
@@ -281,10 +289,10 @@
     }
 
     /**
-     * An entry that is to be read back.
+     * An entry that has to be read back.
      *
      * @param submission The submission that it belongs to.
-     * @param at When it is read.
+     * @param at When the entry is read.
      */
     private record ReadBack(Submission submission, MonotonicTime at) {}
 
@@ -293,24 +301,24 @@
      *
      * @param ticket The ticket of its call.
      * @param job The job.
-     * @param deadline By when it has to be answered.
+     * @param deadline The time by which it must be answered.
      * @param writtenBefore Whether an earlier submission had written the job.
      */
     private record Submission(long ticket, BatchJob job, MonotonicTime deadline, boolean writtenBefore) {
 
         /**
-         * Creates a submission of a job of which no earlier one is known.
+         * Creates a submission of a job without a known earlier submission.
          *
          * @param ticket The ticket of its call.
          * @param job The job.
-         * @param deadline By when it has to be answered.
+         * @param deadline The time by which it must be answered.
          */
         private Submission(long ticket, BatchJob job, MonotonicTime deadline) {
             this(ticket, job, deadline, false);
         }
 
         /**
-         * Returns the submission after an earlier one turned out to have written the job.
+         * Returns this submission, marked as one whose job was written by an earlier submission.
          *
          * @return The submission.
          */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchAnswer.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchAnswer.java
@@ -7,22 +7,23 @@
 /** The answers to calls about batch jobs. */
 public sealed interface BatchAnswer {
 
-    /** The job is accepted: from now on it is kept and run. */
+    /** The job is accepted: it is stored durably and will be run. */
     record Accepted() implements BatchAnswer {}
 
     /**
-     * The call surely had no effect: nothing of the job runs because of it, or it did not end the job.
+     * The call is guaranteed to have had no effect: it caused no part of the job to run, or it did not end the job.
      *
      * @param reason The reason, for logs.
-     * @param retryAfter When the caller should retry.
+     * @param retryAfter The delay after which the caller should retry.
      */
     record NotAccepted(String reason, Duration retryAfter) implements BatchAnswer {
 
-        /** When callers should retry after the platform gave no usable answer: about as long as a short outage. */
+        /** The retry delay after the platform gave no usable answer: about the length of a short outage. */
         private static final Duration OUTAGE_RETRY_AFTER = Duration.ofMillis(400);
 
         /**
-         * Creates an answer to a call that the platform's state or silence prevented.
+         * Creates an answer to a call that failed because of the platform's state or because the platform did not
+         * answer.
          *
          * @param reason The reason, for logs.
          */
@@ -32,13 +33,13 @@
     }
 
     /**
-     * Whether the call took effect is not known; the caller has to ask again.
+     * It is unknown whether the call took effect; the caller has to retry.
      *
      * @param reason The reason, for logs.
      */
     record Unsure(String reason) implements BatchAnswer {}
 
-    /** The identifier belongs to a job that asks for other work. */
+    /** The identifier belongs to a job with different content. */
     record Mismatch() implements BatchAnswer {}
 
     /** There is no such job or item. */
@@ -48,7 +49,7 @@
      * Results of a job.
      *
      * @param total The number of items of the job.
-     * @param next The position behind the results.
+     * @param next The position after the results.
      * @param results The results, in the order of their positions.
      */
     record Results(int total, int next, List<BatchResult> results) implements BatchAnswer {}
@@ -60,6 +61,6 @@
      */
     record Body(Bytes body) implements BatchAnswer {}
 
-    /** The job is ended. */
+    /** The job has been ended. */
     record Ended() implements BatchAnswer {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchCodec.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchCodec.java
@@ -4,11 +4,14 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Writes and reads what is kept of batch jobs on the platform. Reading returns empty where a value can't be read. */
+/**
+ * Encodes and decodes the objects of batch jobs that are stored on the platform. Reading returns empty if a value can't
+ * be decoded.
+ */
 public interface BatchCodec {
 
     /**
-     * Writes a job.
+     * Encodes a job.
      *
      * @param job The job.
      * @return The value.
@@ -16,7 +19,7 @@
     Bytes writeJob(BatchJob job);
 
     /**
-     * Reads a job.
+     * Decodes a job.
      *
      * @param value The value.
      * @return The job.
@@ -24,7 +27,7 @@
     Optional<BatchJob> readJob(Bytes value);
 
     /**
-     * Writes an entry of the index.
+     * Encodes an index entry.
      *
      * @param entry The entry.
      * @return The value.
@@ -32,7 +35,7 @@
     Bytes writeEntry(BatchIndexEntry entry);
 
     /**
-     * Reads an entry of the index.
+     * Decodes an index entry.
      *
      * @param value The value.
      * @return The entry.
@@ -40,7 +43,7 @@
     Optional<BatchIndexEntry> readEntry(Bytes value);
 
     /**
-     * Writes results that are listed together.
+     * Encodes results that are listed in one object.
      *
      * @param results The results, in the order of their positions.
      * @return The value.
@@ -48,7 +51,7 @@
     Bytes writeResults(List<BatchResult> results);
 
     /**
-     * Writes parts of texts in progress that are kept together.
+     * Encodes parts of texts in progress that are stored in one object.
      *
      * @param parts The parts.
      * @return The value.
@@ -56,7 +59,7 @@
     Bytes writeTexts(List<TextPart> parts);
 
     /**
-     * Reads parts of texts that were kept together.
+     * Decodes parts of texts that were stored in one object.
      *
      * @param value The value.
      * @return The parts.
@@ -64,7 +67,7 @@
     Optional<List<TextPart>> readTexts(Bytes value);
 
     /**
-     * Reads results that were listed together.
+     * Decodes results that were listed in one object.
      *
      * @param value The value.
      * @return The results, in the order of their positions.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchCommitSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchCommitSystem.java
@@ -18,28 +18,33 @@
 import java.util.OptionalLong;
 
 /**
- * Lists results on the platform. Each object of results is created under the number behind the last known one, such
- * that of two nodes that run one job only one creates it; the other reads the winner's and goes on behind it.
+ * Lists results on the platform. Each object of results is created under the number that follows the last known one, so
+ * that of two nodes that run the same job only one creates it; the other reads the created object and continues after
+ * it.
  */
 final class BatchCommitSystem implements DecisionSystem {
 
-    /** The pause between two objects of one job. Each has a price, and a trainer reads about twice a second. */
-    private static final Duration INTERVAL = Duration.ofMillis(300);
+    /**
+     * The delay between two objects of one job. Each object is a platform call, and a trainer reads about twice a
+     * second.
+     */
+    private static final Duration COMMIT_INTERVAL = Duration.ofMillis(300);
 
     /**
-     * The pause before an object that makes a group whole. Trainers wait for whole groups, and the last ones of a step
-     * come one by one: the longer pause would hold each of them back by up to 300 ms, and make a trainer miss a read.
+     * The delay before an object that completes a group. Trainers wait for complete groups, and the last groups of a
+     * step complete one by one: the longer delay would hold back each of them by up to 300 ms, and make a trainer miss
+     * a read.
      */
-    private static final Duration WHOLE_GROUP_INTERVAL = Duration.ofMillis(60);
+    private static final Duration COMPLETE_GROUP_INTERVAL = Duration.ofMillis(60);
 
-    /** The wait after a call that failed, on top of the pause between two objects. */
-    private static final Duration FAILURE_WAIT = Duration.ofMillis(140);
+    /** The delay after a failed call, in addition to the delay between two objects. */
+    private static final Duration FAILURE_DELAY = Duration.ofMillis(140);
 
-    /** The largest size of the outputs in one object, in bytes. Encoded, they stay well below a megabyte. */
-    private static final long OBJECT_BYTES = 300_000;
+    /** The maximum size of the outputs in one object, in bytes. Encoded, they stay well below a megabyte. */
+    private static final long MAXIMUM_OBJECT_BYTES = 300_000;
 
-    /** How long another node may take to list results: the time of a call to the platform, and some for the way. */
-    private static final Duration RELAY_TIME = Duration.ofMillis(1500);
+    /** How long another node may take to list results: the duration of a platform call, plus the network latency. */
+    private static final Duration RELAY_TIMEOUT = Duration.ofMillis(1500);
 
     /** The tables of the batch system. */
     private final BatchState state;
@@ -47,7 +52,7 @@
     /** The results that other nodes were asked to list, by ticket. */
     private final EntityTable<Long, Relayed> relayed = new EntityTable<>();
 
-    /** The ticket that was handed out last. */
+    /** The last allocated ticket. */
     private long lastTicket;
 
     /**
@@ -61,27 +66,29 @@
 
     @Override
     public void run(Tick tick) {
-        takeRelayed(tick);
+        handleRelayed(tick);
         for (RunningJob job : state.running().rows()) {
             List<BatchResult> pending = job.pending();
-            if (!pending.isEmpty() && job.mayCommit(tick.now(), pause(job))) {
+            if (!pending.isEmpty() && job.mayCommit(tick.now(), delay(job))) {
                 commit(tick, job, firstOf(pending));
             }
         }
     }
 
     /**
-     * Returns the pause before the next results of a job.
+     * Returns the delay before the next results of a job.
      *
      * @param job The job.
-     * @return The pause, which is short if a group is whole with them.
+     * @return The delay, which is short if the results complete a group.
      */
-    private static Duration pause(RunningJob job) {
-        return job.isFinished() ? Duration.ZERO : job.hasWholeGroupPending() ? WHOLE_GROUP_INTERVAL : INTERVAL;
+    private static Duration delay(RunningJob job) {
+        return job.isFinished()
+                ? Duration.ZERO
+                : job.hasCompleteGroupPending() ? COMPLETE_GROUP_INTERVAL : COMMIT_INTERVAL;
     }
 
     /**
-     * Sends results to the platform.
+     * Writes results to the platform.
      *
      * @param tick The tick.
      * @param job The job.
@@ -101,11 +108,11 @@
     }
 
     /**
-     * Takes the platform's answer.
+     * Handles the platform's answer.
      *
      * @param tick The tick.
-     * @param commit What was sent.
-     * @param results The results that were sent.
+     * @param commit The write.
+     * @param results The written results.
      * @param event The answer.
      */
     private void receive(Tick tick, Commit commit, List<BatchResult> results, PlatformEvent event) {
@@ -128,10 +135,10 @@
     }
 
     /**
-     * Asks another node to list results, as the platform may answer that one.
+     * Asks another node to list results, as the platform may be reachable from there.
      *
      * @param tick The tick.
-     * @param commit What is to be listed.
+     * @param commit The write to relay.
      * @param results The results.
      * @return Whether a node was asked.
      */
@@ -143,7 +150,7 @@
         NodeName other = chosen.get();
         lastTicket++;
         relayed.put(
-                lastTicket, new Relayed(lastTicket, commit, other, tick.now().plus(RELAY_TIME)));
+                lastTicket, new Relayed(lastTicket, commit, other, tick.now().plus(RELAY_TIMEOUT)));
         tick.emit(new PeerEffect.Send(
                 other,
                 new BatchMessage.StoreResults(
@@ -155,16 +162,16 @@
     }
 
     /**
-     * Takes what became of results that other nodes were asked to list.
+     * Handles the answers and timeouts of results that other nodes were asked to list.
      *
      * @param tick The tick.
      */
-    private void takeRelayed(Tick tick) {
+    private void handleRelayed(Tick tick) {
         for (PeerEvent.Received received : tick.events(PeerEvent.Received.class)) {
             if (received.message() instanceof BatchMessage.ResultsStored stored) {
                 relayed.find(stored.ticket())
                         .filter(request -> request.isAnsweredBy(stored))
-                        .ifPresent(request -> take(tick, request, stored));
+                        .ifPresent(request -> handle(tick, request, stored));
             }
         }
         for (Relayed request : relayed.rows()) {
@@ -176,13 +183,13 @@
     }
 
     /**
-     * Takes the answer of another node.
+     * Handles the answer of another node.
      *
      * @param tick The tick.
-     * @param request What the node was asked.
+     * @param request The relayed write.
      * @param stored The answer.
      */
-    private void take(Tick tick, Relayed request, BatchMessage.ResultsStored stored) {
+    private void handle(Tick tick, Relayed request, BatchMessage.ResultsStored stored) {
         relayed.remove(request.ticket());
         Optional<List<BatchResult>> results =
                 stored.listed() ? state.codec().readResults(stored.value()) : Optional.empty();
@@ -194,24 +201,24 @@
     }
 
     /**
-     * Takes note that results are not listed yet.
+     * Records that results are not listed yet.
      *
      * @param tick The tick.
-     * @param commit What was sent.
-     * @param reason Why, for logs.
+     * @param commit The write.
+     * @param reason The reason, for logs.
      */
     private static void fail(Tick tick, Commit commit, String reason) {
-        commit.job().endCommit(tick.now().plus(FAILURE_WAIT));
+        commit.job().endCommit(tick.now().plus(FAILURE_DELAY));
         tick.decide(Decision.of("batch-results", commit.job().job().id().value(), "not listed", reason));
     }
 
     /**
-     * Takes results that lie on the platform, unless a reader has found them there already.
+     * Appends results that are listed on the platform to the log, unless a reader has already added them.
      *
      * @param tick The tick.
-     * @param commit What was sent.
+     * @param commit The write.
      * @param results The results.
-     * @param choice What happened, for logs.
+     * @param choice The outcome, for logs.
      */
     private void append(Tick tick, Commit commit, List<BatchResult> results, String choice) {
         BatchJobId id = commit.job().job().id();
@@ -223,13 +230,13 @@
                 id.value(),
                 choice,
                 "object " + commit.number() + " with " + results.size() + " results, "
-                        + commit.log().size() + " in all"));
-        state.drop(tick, id, results);
+                        + commit.log().size() + " in total"));
+        state.removeListed(tick, id, results);
         commit.job().endCommit(tick.now());
     }
 
     /**
-     * Returns as many results as fit one object.
+     * Returns as many results as fit in one object.
      *
      * @param pending The results that are not listed.
      * @return The first of them.
@@ -239,7 +246,7 @@
         long size = 0;
         for (BatchResult result : pending) {
             size += result.output().size();
-            if (!first.isEmpty() && size > OBJECT_BYTES) {
+            if (!first.isEmpty() && size > MAXIMUM_OBJECT_BYTES) {
                 break;
             }
             first.add(result);
@@ -248,7 +255,7 @@
     }
 
     /**
-     * Results that were sent to the platform.
+     * A write of results to the platform.
      *
      * @param job The job.
      * @param log The job's log.
@@ -260,14 +267,14 @@
      * Results that another node was asked to list.
      *
      * @param ticket The ticket of the request.
-     * @param commit What is to be listed.
+     * @param commit The write to relay.
      * @param other The node.
-     * @param until Until when its answer is awaited.
+     * @param until The time until which its answer is awaited.
      */
     private record Relayed(long ticket, Commit commit, NodeName other, MonotonicTime until) {
 
         /**
-         * Returns whether an answer belongs to this request, and not to one of this node's earlier life.
+         * Returns whether an answer belongs to this request, and not to one of an earlier incarnation of this node.
          *
          * @param stored The answer.
          * @return {@code true} if it names the same object.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchEffect.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchEffect.java
@@ -4,20 +4,20 @@
 import io.yuccaswitch.core.registry.RegisteredEndpoint;
 import java.time.Duration;
 
-/** What is to be done for batch jobs. */
+/** Effects that the batch system requests. */
 public sealed interface BatchEffect extends Effect {
 
     /**
-     * An item is to be run at an engine.
+     * Runs an item at an engine.
      *
      * @param id The job.
      * @param item The item.
      * @param attempt The number of the attempt.
      * @param host The host of the job's route.
      * @param endpoint The engine.
-     * @param lastEventId The identifier of the event behind which the engine goes on, or 0 to begin anew.
-     * @param timeLeft How long the item may still take.
-     * @param inDoubt Whether an engine may have ended under the item, such that it needs a connection of its own.
+     * @param lastEventId The identifier of the event after which the engine resumes, or 0 to start from the beginning.
+     * @param timeLeft The time that remains for the item.
+     * @param inDoubt Whether the item may have caused an engine to end, and therefore needs a separate connection.
      */
     record Run(
             BatchJobId id,
@@ -31,7 +31,7 @@
             implements BatchEffect {}
 
     /**
-     * An attempt is to be broken off, and the engine must hear of it.
+     * Cancels an attempt and notifies the engine.
      *
      * @param id The job.
      * @param item The item's identifier.
@@ -40,15 +40,15 @@
     record Cancel(BatchJobId id, String item, int attempt) implements BatchEffect {}
 
     /**
-     * The whole output of an item is to be scored.
+     * Requests the score of the complete output of an item.
      *
      * @param id The job.
      * @param item The item's identifier.
-     * @param attempt The number of the attempt to score it.
+     * @param attempt The number of the scoring attempt.
      * @param request The scoring request.
      * @param endpoint The endpoint.
-     * @param timeLeft How long the attempt may take.
-     * @param inDoubt Whether an endpoint may have ended under the request, such that it needs a connection of its own.
+     * @param timeLeft The time allowed for the attempt.
+     * @param inDoubt Whether the request may have caused an endpoint to end, and therefore needs a separate connection.
      */
     record Score(
             BatchJobId id,
@@ -61,18 +61,18 @@
             implements BatchEffect {}
 
     /**
-     * An attempt to score an output is to be broken off.
+     * Cancels a scoring attempt.
      *
      * @param id The job.
      * @param item The item's identifier.
-     * @param attempt The number of the attempt to score it.
+     * @param attempt The number of the scoring attempt.
      */
     record CancelScoring(BatchJobId id, String item, int attempt) implements BatchEffect {}
 
     /**
-     * A call is answered.
+     * Answers a call.
      *
-     * @param ticket Identifies the call.
+     * @param ticket The identifier of the call.
      * @param answer The answer.
      */
     record Reply(long ticket, BatchAnswer answer) implements BatchEffect {}
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchEndSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchEndSystem.java
@@ -10,11 +10,11 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** Ends batch jobs: marks the entry in the index, and tells the runner, which breaks the items in progress off. */
+/** Ends batch jobs: marks the index entry as ended, and notifies the runner, which cancels the items in progress. */
 final class BatchEndSystem implements DecisionSystem {
 
-    /** How often the end of a job is tried again after another change of its entry came first. */
-    private static final int ATTEMPTS = 4;
+    /** The maximum number of writes of the end of a job when concurrent changes of its entry conflict with them. */
+    private static final int MAXIMUM_ATTEMPTS = 4;
 
     /** The tables of the batch system. */
     private final BatchState state;
@@ -35,40 +35,40 @@
                 stop(
                         tick,
                         new BatchJobId(ended.id()),
-                        "told by " + received.sender().name());
+                        "notified by " + received.sender().name());
             }
         }
         tick.events(BatchEvent.EndRequested.class).forEach(request -> begin(tick, request));
     }
 
     /**
-     * Begins to end a job, with the entry that is known here, or with the platform's where none is.
+     * Starts ending a job, with this node's copy of the entry, or with the platform's if there is no copy.
      *
      * @param tick The tick.
      * @param request The call.
      */
     private void begin(Tick tick, BatchEvent.EndRequested request) {
-        Optional<BatchIndex.Row> known = state.index().find(request.id());
-        if (known.isPresent()) {
-            end(tick, request, known.get(), ATTEMPTS);
+        Optional<BatchIndex.Row> existing = state.index().find(request.id());
+        if (existing.isPresent()) {
+            end(tick, request, existing.get(), MAXIMUM_ATTEMPTS);
             return;
         }
         state.read(
                 tick,
                 request.deadline(),
                 BatchObjects.index(request.id()),
-                (later, event) -> mark(later, request, event, ATTEMPTS));
+                (later, event) -> mark(later, request, event, MAXIMUM_ATTEMPTS));
     }
 
     /**
-     * Marks a job as ended, given its entry as it is.
+     * Marks a job as ended, based on the current entry.
      *
      * @param tick The tick.
      * @param request The call.
-     * @param event The answer that bears the entry.
-     * @param left How often the mark may be tried.
+     * @param event The answer that contains the entry.
+     * @param attemptsLeft The number of remaining attempts.
      */
-    private void mark(Tick tick, BatchEvent.EndRequested request, PlatformEvent event, int left) {
+    private void mark(Tick tick, BatchEvent.EndRequested request, PlatformEvent event, int attemptsLeft) {
         if (event instanceof PlatformEvent.Unavailable failure) {
             BatchAnswer answer = failure.maybeApplied()
                     ? new BatchAnswer.Unsure(failure.reason())
@@ -84,20 +84,20 @@
             reply(tick, request, new BatchAnswer.Unknown());
             return;
         }
-        end(tick, request, new BatchIndex.Row(entry.get(), object.get().version()), left);
+        end(tick, request, new BatchIndex.Row(entry.get(), object.get().version()), attemptsLeft);
     }
 
     /**
-     * Writes the end of a job, unless it is ended already.
+     * Writes the end of a job, unless it has already been ended.
      *
      * @param tick The tick.
      * @param request The call.
      * @param row The job's entry.
-     * @param left How often it is tried.
+     * @param attemptsLeft The number of remaining attempts.
      */
-    private void end(Tick tick, BatchEvent.EndRequested request, BatchIndex.Row row, int left) {
+    private void end(Tick tick, BatchEvent.EndRequested request, BatchIndex.Row row, int attemptsLeft) {
         BatchIndexEntry entry = row.entry();
-        if (entry.ended() || left == 0) {
+        if (entry.ended() || attemptsLeft == 0) {
             reply(tick, request, entry.ended() ? new BatchAnswer.Ended() : new BatchAnswer.NotAccepted("contended"));
             return;
         }
@@ -112,13 +112,13 @@
                         announce(later, entry);
                         reply(later, request, new BatchAnswer.Ended());
                     } else {
-                        mark(later, request, answer, left - 1);
+                        mark(later, request, answer, attemptsLeft - 1);
                     }
                 });
     }
 
     /**
-     * Tells the runner that its job is ended.
+     * Notifies the runner that its job has been ended.
      *
      * @param tick The tick.
      * @param entry The job's entry.
@@ -133,11 +133,11 @@
     }
 
     /**
-     * Stops a job that runs here.
+     * Stops a job that runs at this node.
      *
      * @param tick The tick.
      * @param id The job.
-     * @param reason Why.
+     * @param reason The reason.
      */
     private void stop(Tick tick, BatchJobId id, String reason) {
         state.stop(tick, id, reason);
@@ -153,7 +153,7 @@
      */
     private static void reply(Tick tick, BatchEvent.EndRequested request, BatchAnswer answer) {
         tick.emit(new BatchEffect.Reply(request.ticket(), answer));
-        tick.decide(
-                Decision.of("batch-end", request.id().value(), answer.getClass().getSimpleName(), "asked by a caller"));
+        tick.decide(Decision.of(
+                "batch-end", request.id().value(), answer.getClass().getSimpleName(), "requested by a caller"));
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchEvent.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchEvent.java
@@ -6,85 +6,85 @@
 import java.util.List;
 import java.util.OptionalInt;
 
-/** What callers ask about batch jobs, and what becomes of the attempts at engines. */
+/** Events about batch jobs: requests of callers, and the progress and outcomes of attempts. */
 public sealed interface BatchEvent extends Event {
 
     /**
      * A batch job was submitted.
      *
-     * @param ticket Identifies the call, which the answer bears.
+     * @param ticket The identifier of the call, which the answer repeats.
      * @param job The job.
-     * @param deadline By when the call has to be answered.
+     * @param deadline The time by which the call must be answered.
      */
     record Submitted(long ticket, BatchJob job, MonotonicTime deadline) implements BatchEvent {}
 
     /**
-     * Results are asked for.
+     * Results were requested.
      *
-     * @param ticket Identifies the call.
+     * @param ticket The identifier of the call.
      * @param id The job.
-     * @param position The position from which results are asked for.
-     * @param until Until when the answer may wait for a result.
-     * @param deadline By when the call has to be answered.
+     * @param position The position of the first requested result.
+     * @param until The time until which the answer may wait for a result.
+     * @param deadline The time by which the call must be answered.
      */
     record ResultsRequested(long ticket, BatchJobId id, int position, MonotonicTime until, MonotonicTime deadline)
             implements BatchEvent {}
 
     /**
-     * The body of an item is asked for.
+     * The body of an item was requested.
      *
-     * @param ticket Identifies the call.
+     * @param ticket The identifier of the call.
      * @param id The job.
      * @param item The item.
-     * @param deadline By when the call has to be answered.
+     * @param deadline The time by which the call must be answered.
      */
     record BodyRequested(long ticket, BatchJobId id, String item, MonotonicTime deadline) implements BatchEvent {}
 
     /**
-     * A job is to be ended.
+     * The end of a job was requested.
      *
-     * @param ticket Identifies the call.
+     * @param ticket The identifier of the call.
      * @param id The job.
-     * @param deadline By when the call has to be answered.
+     * @param deadline The time by which the call must be answered.
      */
     record EndRequested(long ticket, BatchJobId id, MonotonicTime deadline) implements BatchEvent {}
 
     /**
-     * An engine has begun to answer an attempt, such that it takes items of the model.
+     * An engine has started to answer an attempt, which shows that it accepts items of the model.
      *
      * @param id The job.
      * @param item The item.
      * @param attempt The number of the attempt.
-     * @param version The version of the weights under which the answer begins.
+     * @param version The version of the weights at the start of the answer.
      */
     record AttemptBegun(BatchJobId id, String item, int attempt, long version) implements BatchEvent {}
 
     /**
      * Attempts have made progress.
      *
-     * @param attempts How far they are.
+     * @param attempts The progress of each attempt.
      */
     record Progressed(List<Progress> attempts) implements BatchEvent {}
 
     /**
-     * How far an attempt is.
+     * The progress of an attempt.
      *
      * @param id The job.
      * @param item The item.
      * @param attempt The number of the attempt.
-     * @param events The number of events that have arrived.
-     * @param since How long ago the answer began.
+     * @param events The number of received events.
+     * @param since The time since the answer started.
      */
     record Progress(BatchJobId id, String item, int attempt, long events, Duration since) {}
 
     /**
-     * An attempt in progress has added events to the text of an item that has run for long.
+     * An attempt in progress has added events to the text of a long-running item.
      *
      * @param id The job.
      * @param item The item.
      * @param attempt The number of the attempt.
-     * @param after The identifier of the event behind which the added ones go on.
-     * @param part The added events, and the versions under which they were made.
+     * @param after The identifier of the event that precedes the added ones.
+     * @param part The added events, and the versions that generated them.
      */
     record TextGrown(BatchJobId id, String item, int attempt, long after, ItemText part) implements BatchEvent {}
 
@@ -94,8 +94,8 @@
      * @param id The job.
      * @param item The item.
      * @param attempt The number of the attempt.
-     * @param outcome What became of it.
-     * @param text The events that arrived.
+     * @param outcome The outcome of the attempt.
+     * @param text The received events.
      */
     record AttemptEnded(BatchJobId id, String item, int attempt, AttemptOutcome outcome, ItemText text)
             implements BatchEvent {}
@@ -106,12 +106,12 @@
      * @param id The job.
      * @param item The item.
      * @param attempt The number of the attempt to score it.
-     * @param outcome What became of it.
-     * @param load The number of requests that the endpoint runs or that wait there, if it told.
+     * @param outcome The outcome of the attempt.
+     * @param load The number of requests that run or wait at the endpoint, if it reported that number.
      */
     record ScoringEnded(BatchJobId id, String item, int attempt, ScoringOutcome outcome, OptionalInt load)
             implements BatchEvent {}
 
-    /** This node is about to stop: it takes no further jobs over. */
+    /** This node is about to stop and takes over no further jobs. */
     record Leaving() implements BatchEvent {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchIndex.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchIndex.java
@@ -11,27 +11,28 @@
 import java.util.Set;
 
 /**
- * The index of batch jobs as this node knows it. It may be a moment old: a claim or an end is checked by the platform.
+ * This node's copy of the index of batch jobs. It may be slightly stale: the platform checks the version when a job is
+ * claimed or ended.
  */
 final class BatchIndex {
 
-    /** Brings the entries. */
+    /** Supplies the entries. */
     private final KindFeed feed;
 
-    /** Reads entries. */
+    /** Decodes entries. */
     private final BatchCodec codec;
 
     /** The entries. */
     private final EntityTable<BatchJobId, Row> rows = new EntityTable<>();
 
-    /** The jobs that are not ended. */
+    /** The jobs that have not been ended. */
     private final Set<BatchJobId> open = new HashSet<>();
 
     /**
-     * Creates an index that knows no jobs.
+     * Creates an empty index.
      *
-     * @param feed Brings the entries.
-     * @param codec Reads entries.
+     * @param feed Supplies the entries.
+     * @param codec Decodes entries.
      */
     BatchIndex(KindFeed feed, BatchCodec codec) {
         this.feed = feed;
@@ -39,23 +40,23 @@
     }
 
     /**
-     * Takes what is new.
+     * Applies changes.
      *
      * @param tick The tick.
      * @return The entries that changed.
      */
     List<Row> run(Tick tick) {
-        Optional<KindFeed.News> news = feed.run(tick);
-        if (news.isEmpty()) {
+        Optional<KindFeed.News> update = feed.run(tick);
+        if (update.isEmpty()) {
             return List.of();
         }
-        if (news.get().complete()) {
+        if (update.get().complete()) {
             rows.removeIf(_row -> true);
             open.clear();
         }
         List<Row> changed = new ArrayList<>();
-        for (StoredObject object : news.get().objects()) {
-            take(object).ifPresent(changed::add);
+        for (StoredObject object : update.get().objects()) {
+            apply(object).ifPresent(changed::add);
         }
         return changed;
     }
@@ -64,7 +65,7 @@
      * Finds a job.
      *
      * @param id The job.
-     * @return Its entry, or empty if it is not known here.
+     * @return Its entry, or empty if this node has none.
      */
     Optional<Row> find(BatchJobId id) {
         return rows.find(id);
@@ -80,12 +81,12 @@
     }
 
     /**
-     * Takes an entry as it is now.
+     * Applies the current state of an entry.
      *
      * @param object The entry's object.
      * @return The entry, or empty if it was removed or can't be read.
      */
-    private Optional<Row> take(StoredObject object) {
+    private Optional<Row> apply(StoredObject object) {
         BatchJobId id = new BatchJobId(object.key().name());
         if (object.deleted()) {
             rows.remove(id);
@@ -107,7 +108,7 @@
     /**
      * An entry.
      *
-     * @param entry What it says.
+     * @param entry The content of the entry.
      * @param version The version of its object.
      */
     record Row(BatchIndexEntry entry, long version) {}
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchIndexEntry.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchIndexEntry.java
@@ -3,13 +3,14 @@
 import io.yuccaswitch.core.identity.NodeName;
 
 /**
- * What every node may need to know of an accepted batch job. Its existence means that the job is accepted.
+ * The index entry of an accepted batch job, which is available at every node. Its existence means that the job is
+ * accepted.
  *
  * @param id The job.
  * @param runner The node that runs it.
- * @param ended Whether its submitter ended it.
+ * @param ended Whether the job was ended by its submitter.
  * @param items The number of its items.
- * @param model The model that makes its outputs, or an empty text in an entry of an earlier release.
+ * @param model The model that generates its outputs, or an empty string in an entry of an earlier release.
  */
 public record BatchIndexEntry(BatchJobId id, NodeName runner, boolean ended, int items, String model) {
 
@@ -24,7 +25,7 @@
     }
 
     /**
-     * Returns the entry of the ended job.
+     * Returns the entry marked as ended.
      *
      * @return The entry.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchItem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchItem.java
@@ -13,8 +13,8 @@
  * @param headers The headers of its requests, by name.
  * @param body The body of its requests.
  * @param group The group, whose items share their prompt.
- * @param expectedTokens The number of tokens that it is expected to make, by which long items start first.
- * @param scoring The request that scores its output, if its result needs a score.
+ * @param expectedTokens The expected number of generated tokens. Longer items start first.
+ * @param scoring The request that scores its output, if its result requires a score.
  */
 public record BatchItem(
         String id,
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Computes the fingerprint by which the item is recognised at other nodes and in later jobs. Items of a group may
-     * have the same body, so the identifier counts too.
+     * Computes the fingerprint that identifies the item at all nodes and in later jobs. Items of a group may have the
+     * same body, so the fingerprint includes the identifier.
      *
      * @param host The host of the job's route.
      * @return The fingerprint.
@@ -45,7 +45,7 @@
     }
 
     /**
-     * Describes the item for operators, without what its trainer sends.
+     * Describes the item for operators, without the headers and the body.
      *
      * @param host The host of the job's route.
      * @return The method, host, path and identifier.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchJob.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchJob.java
@@ -12,7 +12,7 @@
  * @param host The host of its route.
  * @param path The path under which it was submitted, which selects its route.
  * @param model The model whose weights generate its results.
- * @param minimumVersion The oldest version of the weights that may generate its results.
+ * @param minimumVersion The minimum version of the weights that may generate its results.
  * @param submittedAt When it was first submitted, in milliseconds since the epoch.
  * @param items The items.
  */
@@ -25,7 +25,7 @@
         long submittedAt,
         List<BatchItem> items) {
 
-    /** Copies the items and checks that no identifier stands twice. */
+    /** Copies the items and validates that their identifiers are unique. */
     public BatchJob {
         items = List.copyOf(items);
         Set<String> seen = new HashSet<>();
@@ -47,12 +47,12 @@
     }
 
     /**
-     * Returns whether a job asks for the same work, apart from when it was submitted.
+     * Returns whether another job has the same model, minimum version and item identifiers.
      *
      * @param other The other job.
      * @return {@code true} if it does.
      */
-    public boolean asksTheSame(BatchJob other) {
+    public boolean hasSameContent(BatchJob other) {
         return model.equals(other.model)
                 && minimumVersion == other.minimumVersion
                 && items.stream()
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchMessage.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchMessage.java
@@ -6,60 +6,60 @@
 import java.util.List;
 import java.util.Map;
 
-/** What nodes tell each other about batch jobs. */
+/** Messages that nodes exchange about batch jobs. */
 public sealed interface BatchMessage extends PeerMessage {
 
     /**
-     * Hands a job over that was accepted for the receiver to run.
+     * Hands over an accepted job to the node that is to run it.
      *
      * @param id The job.
-     * @param job The job as the platform keeps it.
+     * @param job The job, encoded as it is stored on the platform.
      */
     record HandedOver(String id, Bytes job) implements BatchMessage {}
 
     /**
-     * Tells the runner of a job that the job is ended.
+     * Notifies the runner of a job that the job has been ended.
      *
      * @param id The job.
      */
     record Ended(String id) implements BatchMessage {}
 
     /**
-     * Asks the runner of a job for results. It answers as soon as there is one, and not at all if there is none in
-     * time.
+     * Requests results from the runner of a job. The runner answers as soon as there is a result, and sends no answer
+     * if there is none in time.
      *
-     * @param ticket The sender's ticket, which the answer bears.
+     * @param ticket The sender's ticket, which the answer repeats.
      * @param id The job.
-     * @param position The position from which results are wanted.
+     * @param position The position of the first requested result.
      * @param waitMillis How long the sender waits, in milliseconds.
      */
     record ReadResults(long ticket, String id, int position, long waitMillis) implements BatchMessage {}
 
     /**
-     * Hands on results that are kept on the platform. Tickets begin anew when a node restarts, so answers bear what was
-     * asked beside them.
+     * Returns results that are stored on the platform. Tickets start again from the beginning when a node restarts, so
+     * answers also repeat the parameters of the request.
      *
      * @param ticket The ticket of the request.
      * @param id The job.
-     * @param position The position that was asked for.
+     * @param position The requested position.
      * @param total The number of the job's items.
-     * @param next The position behind the last result.
+     * @param next The position after the last result.
      * @param results The results.
      */
     record ResultsRead(long ticket, String id, int position, int total, int next, List<BatchResult> results)
             implements BatchMessage {}
 
     /**
-     * Asks the runner of a job for the body of an item.
+     * Requests the body of an item from the runner of a job.
      *
-     * @param ticket The sender's ticket, which the answer bears.
+     * @param ticket The sender's ticket, which the answer repeats.
      * @param id The job.
      * @param item The item.
      */
     record ReadBody(long ticket, String id, String item) implements BatchMessage {}
 
     /**
-     * Hands on the body of an item.
+     * Returns the body of an item.
      *
      * @param ticket The ticket of the request.
      * @param id The job.
@@ -69,9 +69,9 @@
     record BodyRead(long ticket, String id, String item, Bytes body) implements BatchMessage {}
 
     /**
-     * Asks another node to list results on the platform, which does not answer the sender.
+     * Requests that another node lists results on the platform, because the platform does not answer the sender.
      *
-     * @param ticket The sender's ticket, which the answer bears.
+     * @param ticket The sender's ticket, which the answer repeats.
      * @param id The job.
      * @param number The number of the object with the results.
      * @param value The object's value.
@@ -79,29 +79,30 @@
     record StoreResults(long ticket, String id, int number, Bytes value) implements BatchMessage {}
 
     /**
-     * Says what became of results that the sender was asked to list.
+     * Reports the outcome of a request to list results.
      *
      * @param ticket The ticket of the request.
      * @param id The job.
      * @param number The number of the object.
-     * @param listed Whether the platform keeps an object of this number now.
-     * @param value What the object holds, which may be other results, or empty if nothing is known.
+     * @param listed Whether an object with this number is now stored on the platform.
+     * @param value The value of the object, which may hold other results, or empty if it is unknown.
      */
     record ResultsStored(long ticket, String id, int number, boolean listed, Bytes value) implements BatchMessage {}
 
     /**
-     * Tells another node that runs jobs what the sender has at the engines and still has to place.
+     * Reports to another node that runs jobs how many items the sender has in progress at each engine, and how many
+     * wait for slots.
      *
      * @param running The items that the sender has in progress, by engine.
-     * @param demands The jobs that wait for places.
+     * @param demands The jobs that wait for slots.
      */
     record EnginesInUse(Map<EndpointName, Integer> running, List<Demand> demands) implements BatchMessage {
 
         /**
-         * Copies the lists.
+         * Copies the collections.
          *
          * @param running The items that the sender has in progress, by engine.
-         * @param demands The jobs that wait for places.
+         * @param demands The jobs that wait for slots.
          */
         public EnginesInUse {
             running = Map.copyOf(running);
@@ -110,16 +111,17 @@
     }
 
     /**
-     * A job that waits for places at engines.
+     * A job that waits for slots at engines.
      *
      * @param model The model.
-     * @param submittedAt When the job was submitted, in milliseconds of the time of day.
-     * @param waiting How many of its items wait.
+     * @param submittedAt When the job was submitted, in milliseconds since the epoch.
+     * @param waiting The number of its items that wait.
      */
     record Demand(String model, long submittedAt, int waiting) {}
 
     /**
-     * Says that the sender does not run the job or knows nothing of the item, such that the platform has to be asked.
+     * Reports that the sender does not run the job or has no such item, so that the requester has to query the
+     * platform.
      *
      * @param ticket The ticket of the request.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchObjects.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchObjects.java
@@ -3,20 +3,22 @@
 import io.yuccaswitch.core.platform.ObjectKey;
 import java.util.OptionalInt;
 
-/** Where batch jobs lie on the platform. */
+/** The kinds and keys of the objects of batch jobs on the platform. */
 final class BatchObjects {
 
-    /** The kind of the index, whose entries are small and whose existence accepts a job. */
+    /** The kind of the index entries, which are small. The existence of an entry means that its job is accepted. */
     static final String INDEX = "batch-index";
 
     /** The kind of the jobs as they were submitted, each created once. */
     private static final String JOBS = "batch-job";
 
-    /** What the kind of a job's results begins with. Each job has a kind of its own, such that it is read alone. */
-    private static final String RESULTS = "batch-results-";
+    /**
+     * The prefix of the kind of a job's results. Each job has its own kind, so that its results are read separately.
+     */
+    private static final String RESULTS_PREFIX = "batch-results-";
 
-    /** What the kind of the texts of a job's items in progress begins with. */
-    private static final String TEXTS = "batch-texts-";
+    /** The prefix of the kind of the texts of a job's items in progress. */
+    private static final String TEXTS_PREFIX = "batch-texts-";
 
     /** This class has no instances. */
     private BatchObjects() {}
@@ -48,15 +50,15 @@
      * @return The kind.
      */
     static String results(BatchJobId id) {
-        return RESULTS + id.value();
+        return RESULTS_PREFIX + id.value();
     }
 
     /**
-     * Returns the key of results that are listed together.
+     * Returns the key of an object with results.
      *
      * @param id The job.
      * @param number The number of the object, counted from 0 without gaps.
-     * @return The key, whose names sort like the numbers.
+     * @return The key. The names of the keys sort in the order of the numbers.
      */
     static ObjectKey results(BatchJobId id, int number) {
         return new ObjectKey(results(id), name(number));
@@ -69,15 +71,15 @@
      * @return The kind.
      */
     static String texts(BatchJobId id) {
-        return TEXTS + id.value();
+        return TEXTS_PREFIX + id.value();
     }
 
     /**
-     * Returns the key of texts that are kept together.
+     * Returns the key of an object with texts.
      *
      * @param id The job.
      * @param number The number of the object, counted from 0.
-     * @return The key, whose names sort like the numbers.
+     * @return The key. The names of the keys sort in the order of the numbers.
      */
     static ObjectKey texts(BatchJobId id, int number) {
         return new ObjectKey(texts(id), name(number));
@@ -94,10 +96,10 @@
     }
 
     /**
-     * Reads the number of an object with results from its name.
+     * Parses the number of an object with results from its name.
      *
      * @param name The name.
-     * @return The number, or empty if the name bears none.
+     * @return The number, or empty if the name is not a number.
      */
     static OptionalInt number(String name) {
         try {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchOwnershipSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchOwnershipSystem.java
@@ -23,48 +23,51 @@
 import java.util.Set;
 
 /**
- * Sees to it that each accepted job is run by a living node: takes back the jobs of this node's earlier life, takes
- * over those of nodes that are gone, and gives up those that another node has taken over. A claim only saves work; the
- * order of results is safe without it.
+ * Ensures that each accepted job is run by a running node: resumes the jobs of this node's previous incarnation, takes
+ * over the jobs of nodes that are gone, and stops jobs that another node has taken over. A claim only avoids duplicate
+ * work; the order of results is safe without it.
  */
 final class BatchOwnershipSystem implements DecisionSystem {
 
-    /** For how long a runner must be missing before its jobs are taken over, as a restarted one takes them back. */
-    private static final Duration ORPHAN_TIME = Duration.ofMillis(700);
+    /**
+     * How long a runner must be missing before its jobs are taken over. The delay lets a restarted runner resume them
+     * itself.
+     */
+    private static final Duration ORPHAN_TIMEOUT = Duration.ofMillis(700);
 
-    /** The pause after a claim or a load that failed, by when the index shows what others have changed. */
-    private static final Duration FAILURE_PAUSE = Duration.ofMillis(600);
+    /** The delay after a failed claim or load. By its end the index shows the changes of other nodes. */
+    private static final Duration FAILURE_DELAY = Duration.ofMillis(600);
 
     /** The tables of the batch system. */
     private final BatchState state;
 
-    /** Finds out when a job is given up. */
-    private final GiveUpTimes giveUpTimes;
+    /** Computes the deadlines of jobs. */
+    private final JobTimeouts jobTimeouts;
 
-    /** Since when the runner of a job has been missing. */
+    /** The time since which the runner of a job has been missing. */
     private final Map<BatchJobId, MonotonicTime> orphanedSince = new HashMap<>();
 
-    /** Until when a job is left alone that could not be claimed or loaded. */
-    private final Map<BatchJobId, MonotonicTime> pausedUntil = new HashMap<>();
+    /** The time until which a job that could not be claimed or loaded is skipped. */
+    private final Map<BatchJobId, MonotonicTime> excludedUntil = new HashMap<>();
 
-    /** The jobs that are being taken over. */
-    private final Set<BatchJobId> taking = new HashSet<>();
+    /** The jobs that are being claimed or loaded. */
+    private final Set<BatchJobId> claimingOrLoading = new HashSet<>();
 
-    /** Whether this node knows the other nodes. */
+    /** Whether this node has received the table of members, or found that it is alone. */
     private boolean joined;
 
     /** Whether this node is about to stop. */
     private boolean leaving;
 
     /**
-     * Creates a system that knows no jobs.
+     * Creates a system without jobs.
      *
      * @param state The tables of the batch system.
-     * @param giveUpTimes Finds out when a job is given up.
+     * @param jobTimeouts Computes the deadlines of jobs.
      */
-    BatchOwnershipSystem(BatchState state, GiveUpTimes giveUpTimes) {
+    BatchOwnershipSystem(BatchState state, JobTimeouts jobTimeouts) {
         this.state = state;
-        this.giveUpTimes = giveUpTimes;
+        this.jobTimeouts = jobTimeouts;
     }
 
     @Override
@@ -72,18 +75,18 @@
         joined |= !tick.events(MembershipEvent.SelfJoined.class).isEmpty();
         leaving |= !tick.events(BatchEvent.Leaving.class).isEmpty();
         for (BatchIndex.Row changed : state.index().run(tick)) {
-            judge(tick, changed);
+            evaluate(tick, changed);
         }
-        state.index().open().forEach(row -> judge(tick, row));
+        state.index().open().forEach(row -> evaluate(tick, row));
     }
 
     /**
-     * Decides what an entry of the index means for this node.
+     * Acts on the current state of an index entry: stops, loads or claims the job.
      *
      * @param tick The tick.
      * @param row The entry.
      */
-    private void judge(Tick tick, BatchIndex.Row row) {
+    private void evaluate(Tick tick, BatchIndex.Row row) {
         BatchIndexEntry entry = row.entry();
         BatchJobId id = entry.id();
         boolean own = entry.runner().equals(state.membership().self().identity().name());
@@ -99,44 +102,44 @@
             }
             return;
         }
-        boolean inProgress = taking.contains(id) || state.admitting().containsKey(id);
-        if (inProgress || leaving || state.finished().contains(id) || isPaused(tick, id)) {
+        boolean inProgress = claimingOrLoading.contains(id) || state.admitting().containsKey(id);
+        if (inProgress || leaving || state.finished().contains(id) || isExcluded(tick, id)) {
             return;
         }
         if (own) {
-            load(tick, entry, "accepted by an earlier life of this node");
-        } else if (isOrphaned(tick, entry) && isFirst(id)) {
+            load(tick, entry, "accepted by an earlier incarnation of this node");
+        } else if (isOrphaned(tick, entry) && isPreferredRunner(id)) {
             claim(tick, row);
         }
     }
 
     /**
-     * Returns whether a job is left alone for a while.
+     * Returns whether a job is currently skipped.
      *
      * @param tick The tick.
      * @param id The job.
-     * @return {@code true} if a claim or load failed a short time ago.
+     * @return {@code true} if a claim or load failed recently.
      */
-    private boolean isPaused(Tick tick, BatchJobId id) {
-        MonotonicTime until = pausedUntil.get(id);
+    private boolean isExcluded(Tick tick, BatchJobId id) {
+        MonotonicTime until = excludedUntil.get(id);
         if (until == null) {
             return false;
         }
         if (tick.now().isBefore(until)) {
             return true;
         }
-        pausedUntil.remove(id);
+        excludedUntil.remove(id);
         return false;
     }
 
     /**
-     * Leaves a job alone for a while after a failure.
+     * Skips a job for a while after a failure.
      *
      * @param tick The tick.
      * @param id The job.
      */
-    private void pause(Tick tick, BatchJobId id) {
-        pausedUntil.put(id, tick.now().plus(FAILURE_PAUSE));
+    private void exclude(Tick tick, BatchJobId id) {
+        excludedUntil.put(id, tick.now().plus(FAILURE_DELAY));
     }
 
     /**
@@ -152,11 +155,11 @@
             return false;
         }
         MonotonicTime since = orphanedSince.computeIfAbsent(entry.id(), _id -> tick.now());
-        return tick.now().since(since).compareTo(ORPHAN_TIME) >= 0;
+        return tick.now().since(since).compareTo(ORPHAN_TIMEOUT) >= 0;
     }
 
     /**
-     * Returns whether a node still runs its jobs. A node that is about to stop does.
+     * Returns whether a node still runs its jobs. A node that is about to stop still runs them.
      *
      * @param node The node.
      * @return {@code true} unless it is gone.
@@ -174,7 +177,7 @@
      * @param id The job.
      * @return {@code true} if it ranks first among the working nodes.
      */
-    private boolean isFirst(BatchJobId id) {
+    private boolean isPreferredRunner(BatchJobId id) {
         Member self = state.membership().self();
         return RendezvousRanking.rank(id.value(), state.membership().working()).stream()
                 .findFirst()
@@ -183,14 +186,14 @@
     }
 
     /**
-     * Takes a job over.
+     * Claims a job of a runner that is gone.
      *
      * @param tick The tick.
      * @param row The job's entry.
      */
     private void claim(Tick tick, BatchIndex.Row row) {
         BatchIndexEntry entry = row.entry();
-        taking.add(entry.id());
+        claimingOrLoading.add(entry.id());
         BatchIndexEntry own =
                 entry.withRunner(state.membership().self().identity().name());
         state.write(
@@ -199,7 +202,7 @@
                 OptionalLong.of(row.version()),
                 state.codec().writeEntry(own),
                 (later, event) -> {
-                    taking.remove(entry.id());
+                    claimingOrLoading.remove(entry.id());
                     boolean granted = event instanceof PlatformEvent.Accepted;
                     later.decide(Decision.of(
                             "batch-claim",
@@ -207,7 +210,7 @@
                             granted ? "granted" : "not granted",
                             "runner " + entry.runner() + " is gone, entry version " + row.version()));
                     if (!granted) {
-                        pause(later, entry.id());
+                        exclude(later, entry.id());
                     } else if (!state.running().contains(entry.id())) {
                         load(later, own, "taken over from " + entry.runner());
                     }
@@ -215,7 +218,7 @@
     }
 
     /**
-     * Reads a job and its listed results from the platform, and runs it.
+     * Reads a job and its listed results from the platform, and runs the job.
      *
      * @param tick The tick.
      * @param entry The job's entry.
@@ -223,7 +226,7 @@
      */
     private void load(Tick tick, BatchIndexEntry entry, String reason) {
         BatchJobId id = entry.id();
-        taking.add(id);
+        claimingOrLoading.add(id);
         state.calls()
                 .call(
                         tick,
@@ -234,8 +237,8 @@
                                             .flatMap(object -> state.codec().readJob(object.value()))
                                     : Optional.empty();
                             if (job.isEmpty()) {
-                                taking.remove(id);
-                                pause(later, id);
+                                claimingOrLoading.remove(id);
+                                exclude(later, id);
                                 later.decide(Decision.of("batch-job", id.value(), "not loaded", reason));
                                 return;
                             }
@@ -244,7 +247,7 @@
     }
 
     /**
-     * Reads a job's listed results from the platform, and runs the rest.
+     * Reads a job's listed results from the platform, and runs the remaining items.
      *
      * @param tick The tick.
      * @param job The job.
@@ -258,32 +261,32 @@
                         token -> new PlatformEffect.ListKind(token, PlatformPurpose.BATCH, kind),
                         (later, event) -> {
                             if (!(event instanceof PlatformEvent.ObjectsListed listed)) {
-                                taking.remove(job.id());
-                                pause(later, job.id());
+                                claimingOrLoading.remove(job.id());
+                                exclude(later, job.id());
                                 later.decide(Decision.of("batch-job", job.id().value(), "not loaded", reason));
                                 return;
                             }
                             ResultLog log = state.log(job.id(), job.items().size(), later.now());
-                            log.take(listed.objects(), listed.version(), state.codec());
+                            log.apply(listed.objects(), listed.version(), state.codec());
                             if (log.isComplete()) {
-                                taking.remove(job.id());
+                                claimingOrLoading.remove(job.id());
                                 state.finished().add(job.id());
                                 return;
                             }
-                            loadTexts(later, job, Optional.empty(), new KeptTexts(), 0);
+                            loadTexts(later, job, Optional.empty(), new StoredTexts(), 0);
                         });
     }
 
     /**
-     * Reads the texts that an earlier runner has kept on the platform, page by page, and runs the job.
+     * Reads the texts that an earlier runner stored on the platform, page by page, and runs the job.
      *
      * @param tick The tick.
      * @param job The job.
-     * @param after The name behind which the next page begins, or empty for the first page.
-     * @param texts The texts so far.
-     * @param known The number of objects that were read.
+     * @param after The name after which the next page starts, or empty for the first page.
+     * @param texts The texts read so far.
+     * @param objectsRead The number of objects read so far.
      */
-    private void loadTexts(Tick tick, BatchJob job, Optional<String> after, KeptTexts texts, int known) {
+    private void loadTexts(Tick tick, BatchJob job, Optional<String> after, StoredTexts texts, int objectsRead) {
         String kind = BatchObjects.texts(job.id());
         state.calls()
                 .call(
@@ -294,8 +297,8 @@
                                     event instanceof PlatformEvent.ObjectsListed listed ? listed.objects() : List.of();
                             objects.forEach(object -> state.codec()
                                     .readTexts(object.value())
-                                    .ifPresent(parts -> parts.forEach(texts::take)));
-                            int read = known + objects.size();
+                                    .ifPresent(parts -> parts.forEach(texts::add)));
+                            int read = objectsRead + objects.size();
                             boolean more = event instanceof PlatformEvent.ObjectsListed listed && listed.more();
                             if (more && !objects.isEmpty()) {
                                 String last =
@@ -308,20 +311,20 @@
     }
 
     /**
-     * Runs a job whose listed results are known.
+     * Runs a job after its listed results have been read.
      *
      * @param tick The tick.
      * @param job The job.
-     * @param texts The texts that an earlier runner has kept.
-     * @param textObjects The number of objects with texts that an earlier runner has kept.
+     * @param texts The texts that an earlier runner stored.
+     * @param textObjects The number of objects with texts that an earlier runner stored.
      */
-    private void begin(Tick tick, BatchJob job, KeptTexts texts, int textObjects) {
-        taking.remove(job.id());
+    private void begin(Tick tick, BatchJob job, StoredTexts texts, int textObjects) {
+        claimingOrLoading.remove(job.id());
         if (state.running().contains(job.id()) || state.finished().contains(job.id())) {
             return;
         }
         ResultLog log = state.log(job.id(), job.items().size(), tick.now());
-        state.run(tick, job, log, giveUpTimes.of(job, tick.now()), texts);
-        state.running().find(job.id()).ifPresent(started -> started.countTextObjects(textObjects));
+        state.run(tick, job, log, jobTimeouts.deadline(job, tick.now()), texts);
+        state.running().find(job.id()).ifPresent(started -> started.skipTextObjects(textObjects));
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchReadSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchReadSystem.java
@@ -16,19 +16,19 @@
 import java.util.Set;
 
 /**
- * Answers calls for results at any node: from the log of a job that runs here, else with what the job's runner shows,
- * else from what lies on the platform. No call is answered that there is nothing before the platform was asked.
+ * Answers calls for results at any node: from the log of a job that runs at this node, otherwise with the results of
+ * the job's runner, otherwise from the platform. An empty answer is given only after the platform has been queried.
  */
 final class BatchReadSystem implements DecisionSystem {
 
-    /** How long one watch for results waits at most. */
-    private static final Duration LONGEST_WATCH = Duration.ofSeconds(1);
+    /** The maximum wait of one watch for results. */
+    private static final Duration MAXIMUM_WATCH_WAIT = Duration.ofSeconds(1);
 
-    /** A wait below which a watch is not worth its price. */
-    private static final Duration SHORTEST_WATCH = Duration.ofMillis(100);
+    /** The minimum wait of a watch. For a shorter time the results are listed instead. */
+    private static final Duration MINIMUM_WATCH_WAIT = Duration.ofMillis(100);
 
-    /** How long the index may take to name the runner of a job that was just accepted elsewhere. */
-    private static final Duration INDEX_TIME = Duration.ofMillis(700);
+    /** How long the index may take to show the runner of a job that another node has just accepted. */
+    private static final Duration INDEX_TIMEOUT = Duration.ofMillis(700);
 
     /** The tables of the batch system. */
     private final BatchState state;
@@ -36,13 +36,13 @@
     /** The calls that wait for results, by their tickets. */
     private final EntityTable<Long, BatchEvent.ResultsRequested> waiting = new EntityTable<>();
 
-    /** Asks the runners of jobs. */
-    private final RunnerReads runners;
+    /** Queries the runners of jobs. */
+    private final RunnerQueries runnerQueries;
 
-    /** Until when calls wait for the index to name their job's runner, by their tickets. */
-    private final Map<Long, MonotonicTime> unplaced = new HashMap<>();
+    /** The time until which calls wait for the index to show their job's runner, by their tickets. */
+    private final Map<Long, MonotonicTime> waitingForIndex = new HashMap<>();
 
-    /** The jobs that are being read. */
+    /** The jobs whose results are being read. */
     private final Set<BatchJobId> reading = new HashSet<>();
 
     /**
@@ -52,7 +52,7 @@
      */
     BatchReadSystem(BatchState state) {
         this.state = state;
-        runners = new RunnerReads(state.index(), state.membership());
+        runnerQueries = new RunnerQueries(state.index(), state.membership());
     }
 
     @Override
@@ -61,83 +61,83 @@
             waiting.put(request.ticket(), request);
             begin(tick, request);
         }
-        runners.receive(tick).forEach(answer -> takeRunners(tick, answer));
+        runnerQueries.receive(tick).forEach(answer -> handleRunnerAnswer(tick, answer));
         waiting.rows().forEach(request -> answerIfReady(tick, request));
-        state.trimLogs();
+        state.evictLogs();
     }
 
     /**
-     * Takes the answer of a runner. Where it has none, the platform is asked.
+     * Handles the answer of a runner. If the runner has none, the platform is queried.
      *
      * @param tick The tick.
-     * @param taken The answer.
+     * @param answer The answer.
      */
-    private void takeRunners(Tick tick, RunnerReads.Answer taken) {
-        Optional<BatchEvent.ResultsRequested> request = waiting.find(taken.ticket());
+    private void handleRunnerAnswer(Tick tick, RunnerQueries.Answer answer) {
+        Optional<BatchEvent.ResultsRequested> request = waiting.find(answer.ticket());
         if (request.isEmpty()) {
             return;
         }
-        if (taken.answer().isPresent()) {
-            reply(tick, request.get(), taken.answer().get());
+        if (answer.answer().isPresent()) {
+            reply(tick, request.get(), answer.answer().get());
         } else {
             refresh(tick, request.get().id(), request.get());
         }
     }
 
     /**
-     * Begins to answer a call for results.
+     * Starts answering a call for results.
      *
      * @param tick The tick.
      * @param request The call.
      */
     private void begin(Tick tick, BatchEvent.ResultsRequested request) {
         Optional<ResultLog> log = state.logs().find(request.id());
-        log.ifPresent(known -> known.use(tick.now()));
+        log.ifPresent(existing -> existing.touch(tick.now()));
         if (log.isPresent() && (log.get().size() > request.position() || isLocal(request.id(), log.get()))) {
             return;
         }
         if (log.isEmpty()
                 && state.index().find(request.id()).isEmpty()
                 && tick.now().isBefore(request.until())) {
-            unplaced.put(request.ticket(), tick.now().plus(INDEX_TIME));
+            waitingForIndex.put(request.ticket(), tick.now().plus(INDEX_TIMEOUT));
             return;
         }
-        place(tick, request);
+        queryRunner(tick, request);
     }
 
     /**
-     * Asks the runner of a job for results, or the platform if the runner is not known.
+     * Requests results from the runner of a job, or from the platform if the runner can't be queried.
      *
      * @param tick The tick.
      * @param request The call.
      */
-    private void place(Tick tick, BatchEvent.ResultsRequested request) {
-        unplaced.remove(request.ticket());
-        BatchMessage question = new BatchMessage.ReadResults(
+    private void queryRunner(Tick tick, BatchEvent.ResultsRequested request) {
+        waitingForIndex.remove(request.ticket());
+        BatchMessage query = new BatchMessage.ReadResults(
                 request.ticket(),
                 request.id().value(),
                 request.position(),
                 request.until().since(tick.now()).toMillis());
-        if (tick.now().isBefore(request.until()) && runners.ask(tick, request.id(), request.ticket(), question)) {
+        if (tick.now().isBefore(request.until()) && runnerQueries.send(tick, request.id(), request.ticket(), query)) {
             return;
         }
         refresh(tick, request.id(), request);
     }
 
     /**
-     * Returns whether new results become known here without a call for each reader.
+     * Returns whether this node gets new results without a call for each reader.
      *
      * @param id The job.
      * @param log The log.
-     * @return {@code true} if the job runs here or all its results are known.
+     * @return {@code true} if the job runs at this node or the log is complete.
      */
     private boolean isLocal(BatchJobId id, ResultLog log) {
         return log.isComplete() || state.running().contains(id);
     }
 
     /**
-     * Answers a waiting call if there is a result. When its time is up, the platform is asked before the answer says
-     * that there is none: another node may have taken the job over meanwhile.
+     * Answers a waiting call if there is a result. When its wait ends, the platform is queried before an empty answer
+     * is given, because another node may have taken over the job in the meantime.
      *
      * @param tick The tick.
      * @param request The call.
@@ -149,34 +149,34 @@
             reply(tick, request, log.get().page(request.position()));
         } else if (!tick.now().isBefore(request.deadline())) {
             reply(tick, request, new BatchAnswer.Unsure("no answer by the deadline"));
-        } else if (isToBePlaced(tick, request)) {
-            place(tick, request);
+        } else if (isIndexWaitOver(tick, request)) {
+            queryRunner(tick, request);
         } else if (!tick.now().isBefore(request.until())) {
-            unplaced.remove(request.ticket());
-            runners.forget(request.ticket());
+            waitingForIndex.remove(request.ticket());
+            runnerQueries.forget(request.ticket());
             refresh(tick, request.id(), request);
         }
     }
 
     /**
-     * Returns whether a call that waits for the index need not wait any longer.
+     * Returns whether a call no longer has to wait for the index.
      *
      * @param tick The tick.
      * @param request The call.
-     * @return {@code true} if the index names the job's runner, or did not do so in time.
+     * @return {@code true} if the index shows the job's runner, or did not show it in time.
      */
-    private boolean isToBePlaced(Tick tick, BatchEvent.ResultsRequested request) {
-        MonotonicTime until = unplaced.get(request.ticket());
+    private boolean isIndexWaitOver(Tick tick, BatchEvent.ResultsRequested request) {
+        MonotonicTime until = waitingForIndex.get(request.ticket());
         return until != null
                 && (state.index().find(request.id()).isPresent() || !tick.now().isBefore(until));
     }
 
     /**
-     * Reads what lies behind the known results of a job, unless that is in progress.
+     * Reads the results after those in the log of a job, unless a read is in progress.
      *
      * @param tick The tick.
      * @param id The job.
-     * @param request The call that needs it.
+     * @param request The call that needs them.
      */
     private void refresh(Tick tick, BatchJobId id, BatchEvent.ResultsRequested request) {
         if (!reading.add(id)) {
@@ -195,7 +195,7 @@
     }
 
     /**
-     * Finds out whether there is such a job.
+     * Determines whether a job exists, and lists its results if it does.
      *
      * @param tick The tick.
      * @param id The job.
@@ -222,7 +222,7 @@
     }
 
     /**
-     * Lists the objects behind the known ones.
+     * Lists the objects after those in the log.
      *
      * @param tick The tick.
      * @param id The job.
@@ -240,7 +240,7 @@
     }
 
     /**
-     * Waits for objects behind the known ones.
+     * Watches for objects after those in the log.
      *
      * @param tick The tick.
      * @param id The job.
@@ -249,11 +249,11 @@
      */
     private void watch(Tick tick, BatchJobId id, ResultLog log, BatchEvent.ResultsRequested request) {
         Duration left = request.until().since(tick.now());
-        if (left.compareTo(SHORTEST_WATCH) < 0) {
+        if (left.compareTo(MINIMUM_WATCH_WAIT) < 0) {
             list(tick, id, log);
             return;
         }
-        Duration wait = left.compareTo(LONGEST_WATCH) < 0 ? left : LONGEST_WATCH;
+        Duration wait = left.compareTo(MAXIMUM_WATCH_WAIT) < 0 ? left : MAXIMUM_WATCH_WAIT;
         OptionalLong version = log.version();
         state.calls()
                 .call(
@@ -268,7 +268,7 @@
     }
 
     /**
-     * Takes listed or changed objects, and answers the calls that wait for them.
+     * Appends listed or changed objects to the log, and answers the calls that wait for them.
      *
      * @param tick The tick.
      * @param id The job.
@@ -281,14 +281,15 @@
             return;
         }
         if (listed.reset()) {
-            log.forgetVersion();
+            log.clearVersion();
             list(tick, id, log);
             return;
         }
         reading.remove(id);
-        state.drop(tick, id, log.take(listed.objects(), listed.version(), state.codec()));
+        state.removeListed(tick, id, log.apply(listed.objects(), listed.version(), state.codec()));
         for (BatchEvent.ResultsRequested request : waiting.rows()) {
-            if (!request.id().equals(id) || (runners.isAsked(request.ticket()) && log.size() <= request.position())) {
+            if (!request.id().equals(id)
+                    || (runnerQueries.isWaiting(request.ticket()) && log.size() <= request.position())) {
                 continue;
             }
             boolean waits = log.size() <= request.position()
@@ -303,11 +304,11 @@
     }
 
     /**
-     * Tells all calls for a job that nothing is sure.
+     * Answers all calls for a job that its results are unknown.
      *
      * @param tick The tick.
      * @param id The job.
-     * @param reason Why.
+     * @param reason The reason.
      */
     private void failAll(Tick tick, BatchJobId id, String reason) {
         reading.remove(id);
@@ -336,8 +337,8 @@
      */
     private void reply(Tick tick, BatchEvent.ResultsRequested request, BatchAnswer answer) {
         waiting.remove(request.ticket());
-        unplaced.remove(request.ticket());
-        runners.forget(request.ticket());
+        waitingForIndex.remove(request.ticket());
+        runnerQueries.forget(request.ticket());
         tick.emit(new BatchEffect.Reply(request.ticket(), answer));
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchResult.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchResult.java
@@ -8,10 +8,10 @@
  * The result of one item.
  *
  * @param item The identifier of the item.
- * @param completed Whether the output is whole. A result that is not completed was given up.
- * @param output The data of all events in order, separated by line feeds, or nothing if it was given up.
+ * @param completed Whether the output is complete. A result that is not completed belongs to an abandoned item.
+ * @param output The data of all events in order, separated by line feeds, or empty if the item was abandoned.
  * @param versions All versions of the weights that generated an event of the output, in ascending order.
- * @param score The score of the output, if the item asks for one and it is completed.
+ * @param score The score of the output, if the item requires one and is completed.
  */
 public record BatchResult(String item, boolean completed, Bytes output, List<Long> versions, Optional<String> score) {
 
@@ -21,12 +21,12 @@
     }
 
     /**
-     * Creates the result of an item that was given up.
+     * Creates the result of an abandoned item.
      *
      * @param item The identifier of the item.
      * @return The result.
      */
-    static BatchResult givenUp(String item) {
+    static BatchResult abandoned(String item) {
         return new BatchResult(item, false, Bytes.EMPTY, List.of(), Optional.empty());
     }
 
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchRunSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchRunSystem.java
@@ -14,20 +14,20 @@
 import java.util.Set;
 import java.util.function.Supplier;
 
-/** Runs the items of jobs at engines, and takes what becomes of the attempts. */
+/** Runs the items of jobs at engines, and handles the outcomes of the attempts. */
 final class BatchRunSystem implements DecisionSystem {
 
-    /** How long an engine that broke an attempt off gets no item of the model. */
-    private static final Duration INTERRUPTION_PAUSE = Duration.ofMillis(400);
+    /** How long an engine is excluded for a model after it interrupted an attempt. */
+    private static final Duration INTERRUPTION_EXCLUSION = Duration.ofMillis(400);
 
-    /** How long an engine that can't be connected to gets no item of the model. */
-    private static final Duration UNREACHABLE_PAUSE = Duration.ofSeconds(1);
+    /** How long an engine is excluded for a model after a connection to it failed. */
+    private static final Duration UNREACHABLE_EXCLUSION = Duration.ofSeconds(1);
 
     /**
-     * The order of waiting items: those that were broken off go on first. They were begun early because they are long,
-     * and their groups wait for what they have lost.
+     * The order of waiting items: interrupted items resume first. They were started early because they are long, and
+     * their groups wait for the lost progress.
      */
-    private static final Comparator<RunningItem> BEGUN_FIRST =
+    private static final Comparator<RunningItem> INTERRUPTED_FIRST =
             Comparator.comparing(item -> item.text().isEmpty());
 
     /** The tables of the batch system. */
@@ -37,7 +37,7 @@
     private final EngineChoice choice;
 
     /**
-     * Creates a system that runs nothing.
+     * Creates a system without items in progress.
      *
      * @param state The tables of the batch system.
      */
@@ -48,8 +48,8 @@
 
     @Override
     public void run(Tick tick) {
-        tick.events(BatchEvent.AttemptBegun.class).forEach(begun -> takeBegin(tick, begun));
-        tick.events(BatchEvent.AttemptEnded.class).forEach(ended -> take(tick, ended));
+        tick.events(BatchEvent.AttemptBegun.class).forEach(begun -> handleStart(tick, begun));
+        tick.events(BatchEvent.AttemptEnded.class).forEach(ended -> handle(tick, ended));
         if (state.routes().inForce().isEmpty()) {
             return;
         }
@@ -60,16 +60,16 @@
     }
 
     /**
-     * Gives up or starts the waiting items of a job.
+     * Starts the waiting items of a job, or abandons its items if the job has no route or its deadline has passed.
      *
      * @param tick The tick.
      * @param job The job.
-     * @param mayStart Whether what is known of the engines is recent enough for items to start.
+     * @param mayStart Whether the state of the engines is recent enough for items to start.
      */
     private void advance(Tick tick, RunningJob job, boolean mayStart) {
         Optional<Route> route = state.route(job.job());
         if (route.isEmpty() || job.isOverdue(tick.now())) {
-            giveUp(tick, job, route.isEmpty() ? "the route is gone" : "its time is up");
+            abandon(tick, job, route.isEmpty() ? "the route no longer exists" : "the deadline of the job has passed");
             return;
         }
         List<RunningItem> waiting = job.waiting();
@@ -83,22 +83,22 @@
         }
         Set<EndpointName> share = choice.share(job, route.get());
         waiting.stream()
-                .sorted(BEGUN_FIRST)
+                .sorted(INTERRUPTED_FIRST)
                 .limit(startable)
-                .forEach(item -> startSomewhere(tick, job, item, engines, share, route.get()));
+                .forEach(item -> startAtFreeEngine(tick, job, item, engines, share, route.get()));
     }
 
     /**
-     * Starts a waiting item, if an engine has a place for it.
+     * Starts a waiting item if an engine has a free slot.
      *
      * @param tick The tick.
      * @param job The job.
      * @param item The item.
      * @param engines The engines that may run it.
-     * @param share The engines that jobs of the model take first.
+     * @param share The engines that jobs of the model prefer.
      * @param route The job's route.
      */
-    private void startSomewhere(
+    private void startAtFreeEngine(
             Tick tick,
             RunningJob job,
             RunningItem item,
@@ -117,7 +117,7 @@
     }
 
     /**
-     * Returns what recognises an item.
+     * Computes the fingerprint of an item.
      *
      * @param job The job.
      * @param item The item.
@@ -138,13 +138,13 @@
      */
     private void start(Tick tick, RunningJob job, RunningItem item, RegisteredEndpoint engine, Route route) {
         if (!route.resumable()
-                || breaksSingleVersion(route, item, engine, job.job().model())) {
-            item.keep(ItemText.EMPTY);
+                || violatesSingleVersion(route, item, engine, job.job().model())) {
+            item.replaceText(ItemText.EMPTY);
         }
         int attempt = item.begin(engine.name());
         state.loads().begin(engine.name());
-        state.loads().tryOut(engine.name(), job.job().model());
-        job.remember(item.item().group(), engine.name());
+        state.loads().startTrial(engine.name(), job.job().model());
+        job.setLastEngine(item.item().group(), engine.name());
         tick.emit(new BatchEffect.Run(
                 job.job().id(),
                 item.item(),
@@ -152,55 +152,56 @@
                 job.job().host(),
                 engine,
                 item.text().lastEventId(),
-                job.giveUpAt().since(tick.now()),
+                job.deadline().since(tick.now()),
                 state.quarantine().isInDoubt(() -> fingerprint(job, item.item()))));
         tick.decide(Decision.of(
                 "batch-item",
                 item.item().id(),
                 engine.name().value(),
-                "job " + job.job().id() + " attempt " + attempt + " behind event "
+                "job " + job.job().id() + " attempt " + attempt + " after event "
                         + item.text().lastEventId() + " engine version "
                         + engine.version(job.job().model()).orElse(0)));
     }
 
     /**
-     * Returns whether going on at an engine would mix versions on a route that forbids it.
+     * Returns whether resuming at an engine would mix versions on a route that requires a single version.
      *
      * @param route The route.
      * @param item The item.
      * @param engine The engine.
      * @param model The model.
-     * @return {@code true} if the item has to begin anew there.
+     * @return {@code true} if the item has to start from the beginning there.
      */
-    private static boolean breaksSingleVersion(Route route, RunningItem item, RegisteredEndpoint engine, String model) {
+    private static boolean violatesSingleVersion(
+            Route route, RunningItem item, RegisteredEndpoint engine, String model) {
         return route.demandsSingleVersion()
                 && !item.text().isEmpty()
                 && !item.text().versions().equals(List.of(engine.version(model).orElse(0)));
     }
 
     /**
-     * Gives up all items of a job that have no result.
+     * Abandons all items of a job that have no result.
      *
      * @param tick The tick.
      * @param job The job.
-     * @param reason Why.
+     * @param reason The reason.
      */
-    private void giveUp(Tick tick, RunningJob job, String reason) {
+    private void abandon(Tick tick, RunningJob job, String reason) {
         for (RunningItem item : job.items()) {
             if (item.result().isEmpty()) {
-                state.breakOff(tick, job.job().id(), item);
-                finish(tick, item, BatchResult.givenUp(item.item().id()), reason);
+                state.cancel(tick, job.job().id(), item);
+                finish(tick, item, BatchResult.abandoned(item.item().id()), reason);
             }
         }
     }
 
     /**
-     * Takes the beginning of an answer.
+     * Handles the start of an answer.
      *
      * @param tick The tick.
-     * @param begun The beginning.
+     * @param begun The start of the answer.
      */
-    private void takeBegin(Tick tick, BatchEvent.AttemptBegun begun) {
+    private void handleStart(Tick tick, BatchEvent.AttemptBegun begun) {
         Optional<RunningJob> job = state.running().find(begun.id());
         Optional<EndpointName> engine = job.flatMap(found -> found.find(begun.item()))
                 .filter(item -> item.isCurrent(begun.attempt()))
@@ -213,12 +214,12 @@
     }
 
     /**
-     * Takes the end of an attempt.
+     * Handles the end of an attempt.
      *
      * @param tick The tick.
      * @param ended The end of the attempt.
      */
-    private void take(Tick tick, BatchEvent.AttemptEnded ended) {
+    private void handle(Tick tick, BatchEvent.AttemptEnded ended) {
         Optional<RunningJob> job = state.running().find(ended.id());
         Optional<RunningItem> item =
                 job.flatMap(found -> found.find(ended.item())).filter(found -> found.isCurrent(ended.attempt()));
@@ -231,7 +232,7 @@
         state.loads().endTrial(engine, model);
         ended.text().versions().stream().max(Comparator.naturalOrder()).ifPresent(version -> state.registry()
                 .noteVersion(tick, engine, model, version));
-        item.get().keep(item.get().text().append(ended.text()));
+        item.get().replaceText(item.get().text().append(ended.text()));
         AttemptOutcome outcome = ended.outcome();
         if (outcome instanceof AttemptOutcome.Completed) {
             state.loads().succeed(engine, model);
@@ -242,17 +243,21 @@
                             item.get().attempt() == 1);
             complete(tick, job.get(), item.get(), engine);
         } else if (outcome instanceof AttemptOutcome.Impossible) {
-            finish(tick, item.get(), BatchResult.givenUp(ended.item()), "the engine can never run it");
+            finish(
+                    tick,
+                    item.get(),
+                    BatchResult.abandoned(ended.item()),
+                    "the engine reported that the item can never run");
         } else if (outcome instanceof AttemptOutcome.Failed) {
             fail(tick, job.get(), item.get(), engine);
         } else if (outcome instanceof AttemptOutcome.Refused refused) {
             state.loads().refuse(engine, model, tick.now());
-            again(tick, item.get(), engine, refused.reason());
+            retry(tick, item.get(), engine, refused.reason());
         } else if (outcome instanceof AttemptOutcome.Withheld withheld) {
-            again(tick, item.get(), engine, withheld.reason());
+            retry(tick, item.get(), engine, withheld.reason());
         } else if (outcome instanceof AttemptOutcome.Interrupted interrupted) {
-            Duration pause = interrupted.unreachable() ? UNREACHABLE_PAUSE : INTERRUPTION_PAUSE;
-            state.loads().pause(engine, model, tick.now(), pause);
+            Duration exclusion = interrupted.unreachable() ? UNREACHABLE_EXCLUSION : INTERRUPTION_EXCLUSION;
+            state.loads().exclude(engine, model, tick.now(), exclusion);
             BatchItem lost = item.get().item();
             state.quarantine()
                     .lose(
@@ -261,12 +266,12 @@
                             lost.describe(job.get().job().host()),
                             engine,
                             interrupted.loss());
-            again(tick, item.get(), engine, interrupted.reason());
+            retry(tick, item.get(), engine, interrupted.reason());
         }
     }
 
     /**
-     * Takes a whole output, if its versions are allowed.
+     * Accepts a complete output if its versions are allowed.
      *
      * @param tick The tick.
      * @param job The job.
@@ -281,23 +286,25 @@
                 && versions.get(0) >= job.job().minimumVersion()
                 && (!single || versions.size() == 1);
         if (!allowed) {
-            item.keep(ItemText.EMPTY);
-            state.loads().pause(engine, job.job().model(), tick.now(), INTERRUPTION_PAUSE);
-            again(tick, item, engine, "versions " + versions + " are not allowed");
+            item.replaceText(ItemText.EMPTY);
+            state.loads().exclude(engine, job.job().model(), tick.now(), INTERRUPTION_EXCLUSION);
+            retry(tick, item, engine, "versions " + versions + " are not allowed");
             return;
         }
-        String reason = "whole, versions " + versions + " from " + engine.value();
-        BatchResult whole = new BatchResult(item.item().id(), true, item.text().output(), versions, Optional.empty());
+        String reason = "complete, versions " + versions + " from " + engine.value();
+        BatchResult completed =
+                new BatchResult(item.item().id(), true, item.text().output(), versions, Optional.empty());
         if (item.item().scoring().isEmpty()) {
-            finish(tick, item, whole, reason);
+            finish(tick, item, completed, reason);
             return;
         }
-        item.beginScoring(item.item().scoring().get(), whole, tick.now());
+        item.beginScoring(item.item().scoring().get(), completed, tick.now());
         tick.decide(Decision.of("batch-item", item.item().id(), "to be scored", reason));
     }
 
     /**
-     * Takes a failure of an engine, and gives the item up after as many as the route allows.
+     * Handles a failure of an engine, and abandons the item once the failures reach the number of attempts that the
+     * route allows.
      *
      * @param tick The tick.
      * @param job The job.
@@ -305,30 +312,30 @@
      * @param engine The engine.
      */
     private void fail(Tick tick, RunningJob job, RunningItem item, EndpointName engine) {
-        int failures = item.fail();
+        int failures = item.countFailure();
         int allowed = state.route(job.job()).map(Route::maximumAttempts).orElse(1);
         if (failures >= allowed) {
-            finish(tick, item, BatchResult.givenUp(item.item().id()), "failed " + failures + " times");
+            finish(tick, item, BatchResult.abandoned(item.item().id()), "failed " + failures + " times");
             return;
         }
-        state.loads().pause(engine, job.job().model(), tick.now(), INTERRUPTION_PAUSE);
-        again(tick, item, engine, "the engine failed");
+        state.loads().exclude(engine, job.job().model(), tick.now(), INTERRUPTION_EXCLUSION);
+        retry(tick, item, engine, "the engine failed");
     }
 
     /**
-     * Lets an item wait for another attempt.
+     * Records why an item waits for another attempt.
      *
      * @param tick The tick.
      * @param item The item.
      * @param engine The engine of the last attempt.
-     * @param reason Why.
+     * @param reason The reason.
      */
-    private static void again(Tick tick, RunningItem item, EndpointName engine, String reason) {
+    private static void retry(Tick tick, RunningItem item, EndpointName engine, String reason) {
         tick.decide(Decision.of(
                 "batch-item",
                 item.item().id(),
                 "wait",
-                "attempt " + item.attempt() + " at " + engine.value() + ": " + reason + ", events kept to "
+                "attempt " + item.attempt() + " at " + engine.value() + ": " + reason + ", events retained up to "
                         + item.text().lastEventId()));
     }
 
@@ -338,7 +345,7 @@
      * @param tick The tick.
      * @param item The item.
      * @param result The result.
-     * @param reason Why.
+     * @param reason The reason.
      */
     private static void finish(Tick tick, RunningItem item, BatchResult result, String reason) {
         item.finish(result);
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchState.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchState.java
@@ -29,23 +29,23 @@
 import java.util.function.BiConsumer;
 
 /**
- * The tables that the parts of the batch system share.
+ * The tables that the subsystems of the batch system share.
  *
  * @param membership The nodes of the site.
  * @param registry The engines.
  * @param routes The configuration of routes.
- * @param codec Writes and reads what is kept on the platform.
- * @param calls The calls to the platform that wait for their answers.
+ * @param codec Encodes and decodes the values that are stored on the platform.
+ * @param calls The platform calls that wait for answers.
  * @param index The jobs of the site.
- * @param admitting The jobs whose admission is in progress here, with the ticket that is answered.
+ * @param admitting The jobs whose admission is in progress at this node, with the ticket of the call.
  * @param running The jobs that this node runs.
- * @param finished The jobs that this node ran to their ends, or that were ended.
- * @param logs The results that are listed, as far as they are known here.
- * @param loads How many items run at each engine.
- * @param rates How fast the engines are.
+ * @param finished The jobs that this node completed, or that were ended.
+ * @param logs This node's copies of the listed results.
+ * @param loads The number of items that run at each engine.
+ * @param rates The event rates of the engines.
  * @param scoringLoads Chooses the endpoints of scoring requests.
- * @param runners What other nodes that run jobs have at the engines.
- * @param quarantine Keeps items under which engines ended away from further ones.
+ * @param remoteLoads The engine loads reported by other nodes that run jobs.
+ * @param quarantine Withholds items that caused engines to end from further engines.
  */
 record BatchState(
         MembershipView membership,
@@ -61,11 +61,11 @@
         EngineLoads loads,
         EngineRates rates,
         ScoringLoads scoringLoads,
-        OtherRunners runners,
+        RemoteRunnerLoads remoteLoads,
         QuarantineCheck quarantine) {
 
-    /** The largest size of the outputs that are kept here, in bytes. Others are read from the platform again. */
-    private static final long LOG_BYTES = 6L << 20;
+    /** The maximum size of the outputs in the cached logs, in bytes. Evicted logs are read from the platform again. */
+    private static final long MAXIMUM_LOG_BYTES = 6L << 20;
 
     /**
      * Creates empty tables.
@@ -73,10 +73,10 @@
      * @param membership The nodes of the site.
      * @param registry The engines.
      * @param routes The configuration of routes.
-     * @param codec Writes and reads what is kept on the platform.
-     * @param calls The calls to the platform that wait for their answers.
+     * @param codec Encodes and decodes the values that are stored on the platform.
+     * @param calls The platform calls that wait for answers.
      * @param index The jobs of the site.
-     * @param quarantine What is known of requests under which endpoints ended.
+     * @param quarantine The state of requests that may have caused endpoints to end.
      * @return The tables.
      */
     static BatchState empty(
@@ -101,32 +101,33 @@
                 new EngineLoads(),
                 new EngineRates(),
                 new ScoringLoads(membership.self()),
-                new OtherRunners(),
+                new RemoteRunnerLoads(),
                 new QuarantineCheck(quarantine));
     }
 
     /**
-     * Creates an object on the platform, or replaces one as it was last seen.
+     * Creates an object on the platform, or replaces one that still has the expected version.
      *
      * @param tick The tick.
      * @param key The key of the object.
-     * @param expected The version that the object must have, or empty if there must be none.
+     * @param expected The version that the object must have, or empty if the object must not exist.
      * @param value The value.
-     * @param then What follows the answer.
+     * @param callback The callback for the answer.
      */
-    void write(Tick tick, ObjectKey key, OptionalLong expected, Bytes value, BiConsumer<Tick, PlatformEvent> then) {
-        calls.call(tick, token -> new PlatformEffect.Write(token, PlatformPurpose.BATCH, key, expected, value), then);
+    void write(Tick tick, ObjectKey key, OptionalLong expected, Bytes value, BiConsumer<Tick, PlatformEvent> callback) {
+        calls.call(
+                tick, token -> new PlatformEffect.Write(token, PlatformPurpose.BATCH, key, expected, value), callback);
     }
 
     /**
-     * Creates an object on the platform, or replaces one as it was last seen, for a caller who waits.
+     * Creates an object on the platform, or replaces one that still has the expected version, for a caller that waits.
      *
      * @param tick The tick.
-     * @param deadline By when the write has to be over.
+     * @param deadline The time by which the write must finish.
      * @param key The key of the object.
-     * @param expected The version that the object must have, or empty if there must be none.
+     * @param expected The version that the object must have, or empty if the object must not exist.
      * @param value The value.
-     * @param then What follows the answer, or the deadline.
+     * @param callback The callback for the answer, or for an expired deadline.
      */
     void write(
             Tick tick,
@@ -134,55 +135,55 @@
             ObjectKey key,
             OptionalLong expected,
             Bytes value,
-            BiConsumer<Tick, PlatformEvent> then) {
+            BiConsumer<Tick, PlatformEvent> callback) {
         calls.call(
                 tick,
                 deadline,
                 token -> new PlatformEffect.Write(token, PlatformPurpose.BATCH, key, expected, value),
-                then);
+                callback);
     }
 
     /**
-     * Reads an object on the platform, for a caller who waits.
+     * Reads an object on the platform, for a caller that waits.
      *
      * @param tick The tick.
-     * @param deadline By when the read has to be over.
+     * @param deadline The time by which the read must finish.
      * @param key The key of the object.
-     * @param then What follows the answer, or the deadline.
+     * @param callback The callback for the answer, or for an expired deadline.
      */
-    void read(Tick tick, MonotonicTime deadline, ObjectKey key, BiConsumer<Tick, PlatformEvent> then) {
-        calls.call(tick, deadline, token -> new PlatformEffect.Read(token, PlatformPurpose.BATCH, key), then);
+    void read(Tick tick, MonotonicTime deadline, ObjectKey key, BiConsumer<Tick, PlatformEvent> callback) {
+        calls.call(tick, deadline, token -> new PlatformEffect.Read(token, PlatformPurpose.BATCH, key), callback);
     }
 
     /**
-     * Returns the log of a job, which is created where none is known.
+     * Returns the log of a job, and creates it if there is none.
      *
      * @param id The job.
      * @param total The number of its items.
-     * @param now The present.
+     * @param now The current time.
      * @return The log.
      */
     ResultLog log(BatchJobId id, int total, MonotonicTime now) {
-        Optional<ResultLog> known = logs.find(id);
-        if (known.isPresent()) {
-            return known.get();
+        Optional<ResultLog> existing = logs.find(id);
+        if (existing.isPresent()) {
+            return existing.get();
         }
         ResultLog log = new ResultLog(total, now);
         logs.put(id, log);
         return log;
     }
 
-    /** Forgets the logs that were not used for longest, as long as the outputs take too much memory. */
-    void trimLogs() {
+    /** Evicts the least recently used logs while the outputs exceed the memory limit. */
+    void evictLogs() {
         long bytes = logs.view().stream().mapToLong(ResultLog::bytes).sum();
-        if (bytes <= LOG_BYTES) {
+        if (bytes <= MAXIMUM_LOG_BYTES) {
             return;
         }
         List<ResultLog> oldestFirst = logs.rows().stream()
-                .sorted(Comparator.comparing(ResultLog::usedAt))
+                .sorted(Comparator.comparing(ResultLog::lastUsedAt))
                 .toList();
         for (ResultLog log : oldestFirst) {
-            if (bytes <= LOG_BYTES) {
+            if (bytes <= MAXIMUM_LOG_BYTES) {
                 return;
             }
             if (logs.removeIf(candidate -> candidate == log && !isRunning(candidate))) {
@@ -192,16 +193,16 @@
     }
 
     /**
-     * Starts to run a job.
+     * Starts running a job.
      *
      * @param tick The tick.
      * @param job The job.
-     * @param log The results that are listed already.
-     * @param giveUpAt When the job is given up.
-     * @param texts The texts that an earlier runner has kept.
+     * @param log The results that are already listed.
+     * @param deadline The deadline of the job.
+     * @param texts The texts that an earlier runner stored.
      */
-    void run(Tick tick, BatchJob job, ResultLog log, MonotonicTime giveUpAt, KeptTexts texts) {
-        RunningJob started = new RunningJob(job, log, tick.now(), giveUpAt);
+    void run(Tick tick, BatchJob job, ResultLog log, MonotonicTime deadline, StoredTexts texts) {
+        RunningJob started = new RunningJob(job, log, tick.now(), deadline);
         long resumed = texts.all().entrySet().stream()
                 .filter(text -> started.resume(text.getKey(), text.getValue()))
                 .count();
@@ -215,34 +216,34 @@
     }
 
     /**
-     * Stops running a job and breaks off its items.
+     * Stops running a job and cancels its items.
      *
      * @param tick The tick.
      * @param id The job.
-     * @param reason Why.
+     * @param reason The reason.
      */
     void stop(Tick tick, BatchJobId id, String reason) {
         Optional<RunningJob> job = running.remove(id);
         if (job.isEmpty()) {
             return;
         }
-        int broken = 0;
+        int cancelled = 0;
         for (RunningItem item : job.get().items()) {
-            broken += breakOff(tick, id, item) ? 1 : 0;
+            cancelled += cancel(tick, id, item) ? 1 : 0;
         }
-        tick.decide(Decision.of("batch-job", id.value(), "stop here", reason + ", items broken off " + broken));
+        tick.decide(Decision.of("batch-job", id.value(), "stop here", reason + ", items cancelled " + cancelled));
     }
 
     /**
-     * Breaks off what is in progress for an item: the attempt at an engine, or those to score its output.
+     * Cancels the work in progress for an item: the attempt at an engine, or the attempts to score its output.
      *
      * @param tick The tick.
      * @param id The job.
      * @param item The item.
      * @return Whether an attempt at an engine was in progress.
      */
-    boolean breakOff(Tick tick, BatchJobId id, RunningItem item) {
-        breakOffScoring(tick, id, item);
+    boolean cancel(Tick tick, BatchJobId id, RunningItem item) {
+        cancelScoring(tick, id, item);
         Optional<EndpointName> engine = item.stop();
         engine.ifPresent(running -> {
             tick.emit(new BatchEffect.Cancel(id, item.item().id(), item.attempt()));
@@ -252,13 +253,13 @@
     }
 
     /**
-     * Breaks off an attempt such that its item goes on elsewhere. The end of the attempt then brings the events that
-     * arrived.
+     * Cancels an attempt so that its item resumes at another engine. The end of the attempt then supplies the received
+     * events.
      *
      * @param tick The tick.
      * @param job The job.
      * @param item The item.
-     * @param reason Why the engine is left, for logs.
+     * @param reason Why the item leaves the engine, for logs.
      */
     void move(Tick tick, RunningJob job, RunningItem item, String reason) {
         item.move();
@@ -267,13 +268,13 @@
     }
 
     /**
-     * Breaks off the attempts to score an item's output.
+     * Cancels the attempts to score an item's output.
      *
      * @param tick The tick.
      * @param id The job.
      * @param item The item.
      */
-    void breakOffScoring(Tick tick, BatchJobId id, RunningItem item) {
+    void cancelScoring(Tick tick, BatchJobId id, RunningItem item) {
         List<ItemScoring.Attempt> ended =
                 item.scoring().map(ItemScoring::endAll).orElseGet(List::of);
         for (ItemScoring.Attempt attempt : ended) {
@@ -283,54 +284,54 @@
     }
 
     /**
-     * Finds the body of an item of a job that runs here.
+     * Finds the body of an item of a job that runs at this node.
      *
      * @param id The job.
      * @param item The item.
-     * @return The body, or empty if the job does not run here or has no such item.
+     * @return The body, or empty if the job does not run at this node or has no such item.
      */
     Optional<Bytes> body(BatchJobId id, String item) {
         return running.find(id).flatMap(job -> job.job().find(item)).map(BatchItem::body);
     }
 
     /**
-     * Returns the other nodes that run jobs, as far as this one knows.
+     * Returns the other nodes that run jobs, according to this node's state.
      *
      * @return The nodes.
      */
     Set<NodeName> otherRunners() {
-        Set<NodeName> others = new HashSet<>(runners.nodes());
+        Set<NodeName> others = new HashSet<>(remoteLoads.nodes());
         index.open().forEach(row -> others.add(row.entry().runner()));
         others.remove(membership.self().identity().name());
         return others;
     }
 
     /**
-     * Returns the route of a job as it is now.
+     * Returns the current route of a job.
      *
      * @param job The job.
-     * @return The route, or empty if there is none any more.
+     * @return The route, or empty if it no longer exists.
      */
     Optional<Route> route(BatchJob job) {
         return routes.find(job.host(), job.path());
     }
 
     /**
-     * Takes note of results that are listed: their items need not run here any more.
+     * Processes listed results: their items no longer need to run at this node.
      *
      * @param tick The tick.
      * @param id The job.
      * @param listed The results.
      */
-    void drop(Tick tick, BatchJobId id, List<BatchResult> listed) {
+    void removeListed(Tick tick, BatchJobId id, List<BatchResult> listed) {
         Optional<RunningJob> job = running.find(id);
         if (job.isEmpty()) {
             return;
         }
         for (BatchResult result : listed) {
-            job.get().find(result.item()).ifPresent(item -> breakOff(tick, id, item));
+            job.get().find(result.item()).ifPresent(item -> cancel(tick, id, item));
         }
-        job.get().drop(listed);
+        job.get().removeListed(listed);
         boolean complete = logs.find(id).filter(ResultLog::isComplete).isPresent();
         if (complete) {
             running.remove(id);
@@ -340,7 +341,7 @@
     }
 
     /**
-     * Returns whether a log belongs to a job that runs here.
+     * Returns whether a log belongs to a job that runs at this node.
      *
      * @param log The log.
      * @return {@code true} if it does.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchSystem.java
@@ -16,17 +16,20 @@
 import java.util.Set;
 import java.util.function.LongSupplier;
 
-/** Accepts, runs, lists, and ends batch jobs. What has to last lies on the platform; a node keeps none of it. */
+/** Accepts, runs, lists, and ends batch jobs. All durable state is stored on the platform; a node stores none of it. */
 public final class BatchSystem implements DecisionSystem {
 
-    /** Gathers changes of the index, which only save work and calls, into few answers of the platform. */
-    private static final Duration GATHERING = Duration.ofMillis(400);
+    /**
+     * The delay for which the platform batches index changes into one answer. The index only saves work and calls, so a
+     * delay is harmless.
+     */
+    private static final Duration BATCHING_DELAY = Duration.ofMillis(400);
 
-    /** The tables that the parts share. */
+    /** The tables that the subsystems share. */
     private final BatchState state;
 
-    /** The parts, in the order in which they run. */
-    private final List<DecisionSystem> parts;
+    /** The subsystems, in the order in which they run. */
+    private final List<DecisionSystem> subsystems;
 
     /**
      * Creates a system without jobs.
@@ -35,10 +38,10 @@
      * @param watches This node's shared watches.
      * @param registry The engines.
      * @param routes The configuration of routes.
-     * @param codec Writes and reads what is kept on the platform.
-     * @param tokens Hands out the tokens of calls.
-     * @param quarantine What is known of requests under which endpoints ended.
-     * @param timeOfDay Tells the time of day in milliseconds since the epoch.
+     * @param codec Encodes and decodes the values that are stored on the platform.
+     * @param tokens Allocates the tokens of calls.
+     * @param quarantine The state of requests that may have caused endpoints to end.
+     * @param timeOfDay Supplies the time of day in milliseconds since the epoch.
      */
     public BatchSystem(
             MembershipView membership,
@@ -49,14 +52,14 @@
             PlatformTokens tokens,
             Quarantine quarantine,
             LongSupplier timeOfDay) {
-        KindFeed entries = watches.watch(BatchObjects.INDEX, PlatformPurpose.BATCH, tokens, GATHERING);
+        KindFeed entries = watches.watch(BatchObjects.INDEX, PlatformPurpose.BATCH, tokens, BATCHING_DELAY);
         BatchIndex index = new BatchIndex(entries, codec);
         state = BatchState.empty(membership, registry, routes, codec, new PlatformCalls(tokens), index, quarantine);
-        GiveUpTimes giveUpTimes = new GiveUpTimes(routes, timeOfDay);
-        parts = List.of(
-                new BatchAdmissionSystem(state, giveUpTimes, new RunnerChoice(membership, routes)),
-                new JobHandOverSystem(state, giveUpTimes),
-                new BatchOwnershipSystem(state, giveUpTimes),
+        JobTimeouts jobTimeouts = new JobTimeouts(routes, timeOfDay);
+        subsystems = List.of(
+                new BatchAdmissionSystem(state, jobTimeouts, new RunnerChoice(membership, routes)),
+                new JobHandOverSystem(state, jobTimeouts),
+                new BatchOwnershipSystem(state, jobTimeouts),
                 new BatchEndSystem(state),
                 new LoadSharingSystem(state),
                 new RestartedEngineSystem(state),
@@ -74,13 +77,14 @@
     @Override
     public void run(Tick tick) {
         state.calls().answer(tick);
-        parts.forEach(part -> part.run(tick));
+        subsystems.forEach(subsystem -> subsystem.run(tick));
     }
 
     /**
-     * Returns the number of items of the site's open jobs, which would run now if there were places for all.
+     * Returns the number of items of the site's open jobs, which is the number that would run now if there were enough
+     * slots.
      *
-     * @param models The models of the jobs that count.
+     * @param models The models whose jobs are counted.
      * @return The number.
      */
     public int openItems(Set<String> models) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BodyReadSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BodyReadSystem.java
@@ -9,17 +9,20 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** Answers calls for the bodies of items: from the job that runs here, else from its runner, else from the platform. */
+/**
+ * Answers calls for the bodies of items from the job if it runs at this node, otherwise from its runner, otherwise from
+ * the platform.
+ */
 final class BodyReadSystem implements DecisionSystem {
 
-    /** How long a runner may take to hand on a body, of the second that callers wait at least. */
-    private static final Duration RUNNER_TIME = Duration.ofMillis(250);
+    /** How long a runner may take to return a body. Callers wait for at least one second. */
+    private static final Duration RUNNER_TIMEOUT = Duration.ofMillis(250);
 
     /** The tables of the batch system. */
     private final BatchState state;
 
-    /** Asks the runners of jobs. */
-    private final RunnerReads runners;
+    /** Queries the runners of jobs. */
+    private final RunnerQueries runnerQueries;
 
     /** The calls for bodies that wait for a runner's answer, by their tickets. */
     private final EntityTable<Long, BodyCall> bodyCalls = new EntityTable<>();
@@ -31,31 +34,31 @@
      */
     BodyReadSystem(BatchState state) {
         this.state = state;
-        runners = new RunnerReads(state.index(), state.membership());
+        runnerQueries = new RunnerQueries(state.index(), state.membership());
     }
 
     @Override
     public void run(Tick tick) {
         tick.events(BatchEvent.BodyRequested.class).forEach(request -> readBody(tick, request));
-        runners.receive(tick).forEach(answer -> takeRunners(tick, answer));
+        runnerQueries.receive(tick).forEach(answer -> handleRunnerAnswer(tick, answer));
         bodyCalls.rows().stream()
                 .filter(call -> !tick.now().isBefore(call.until()))
                 .forEach(call -> readStoredBody(tick, call.request()));
     }
 
     /**
-     * Takes the answer of a runner. Where it has none, the platform is asked.
+     * Handles the answer of a runner. If the runner has none, the platform is queried.
      *
      * @param tick The tick.
-     * @param taken The answer.
+     * @param answer The answer.
      */
-    private void takeRunners(Tick tick, RunnerReads.Answer taken) {
-        Optional<BodyCall> call = bodyCalls.find(taken.ticket());
+    private void handleRunnerAnswer(Tick tick, RunnerQueries.Answer answer) {
+        Optional<BodyCall> call = bodyCalls.find(answer.ticket());
         if (call.isEmpty()) {
             return;
         }
-        if (taken.answer().isPresent()) {
-            replyBody(tick, call.get().request(), taken.answer().get());
+        if (answer.answer().isPresent()) {
+            replyBody(tick, call.get().request(), answer.answer().get());
         } else {
             readStoredBody(tick, call.get().request());
         }
@@ -73,35 +76,35 @@
             tick.emit(new BatchEffect.Reply(request.ticket(), new BatchAnswer.Body(body.get())));
             return;
         }
-        BatchMessage question =
+        BatchMessage query =
                 new BatchMessage.ReadBody(request.ticket(), request.id().value(), request.item());
-        if (runners.ask(tick, request.id(), request.ticket(), question)) {
-            bodyCalls.put(request.ticket(), new BodyCall(request, runnerUntil(tick, request)));
+        if (runnerQueries.send(tick, request.id(), request.ticket(), query)) {
+            bodyCalls.put(request.ticket(), new BodyCall(request, runnerDeadline(tick, request)));
             return;
         }
         readStoredBody(tick, request);
     }
 
     /**
-     * Returns until when a runner may answer.
+     * Returns the time until which a runner may answer.
      *
      * @param tick The tick.
      * @param request The call.
      * @return The time.
      */
-    private static MonotonicTime runnerUntil(Tick tick, BatchEvent.BodyRequested request) {
-        MonotonicTime until = tick.now().plus(RUNNER_TIME);
+    private static MonotonicTime runnerDeadline(Tick tick, BatchEvent.BodyRequested request) {
+        MonotonicTime until = tick.now().plus(RUNNER_TIMEOUT);
         return until.isBefore(request.deadline()) ? until : request.deadline();
     }
 
     /**
-     * Answers a call for a body with what the platform keeps.
+     * Answers a call for a body from the job stored on the platform.
      *
      * @param tick The tick.
      * @param request The call.
      */
     private void readStoredBody(Tick tick, BatchEvent.BodyRequested request) {
-        runners.forget(request.ticket());
+        runnerQueries.forget(request.ticket());
         bodyCalls.remove(request.ticket());
         state.read(
                 tick,
@@ -144,7 +147,7 @@
      * A call for a body that waits for a runner's answer.
      *
      * @param request The call.
-     * @param until When the platform is asked instead.
+     * @param until When the platform is queried instead.
      */
     private record BodyCall(BatchEvent.BodyRequested request, MonotonicTime until) {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/EngineChoice.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/EngineChoice.java
@@ -18,16 +18,16 @@
 final class EngineChoice {
 
     /**
-     * How long a new job waits to hear what other nodes have at the engines. They answer within a round trip, and an
-     * item that is refused by a full engine loses more.
+     * How long a new job waits for the engine loads of other nodes. They answer within a round trip, and an item that a
+     * full engine refuses loses more time.
      */
-    private static final Duration HEARING_TIME = Duration.ofMillis(60);
+    private static final Duration LOAD_REPORT_TIMEOUT = Duration.ofMillis(60);
 
     /**
-     * For how long a job leaves places to an earlier one in a row. A place that is still free then is one that the
-     * earlier job can't use, such as at an engine that its node does not reach.
+     * How long a job may continuously leave slots to an earlier one. A slot that is still free then is one that the
+     * earlier job can't use, for example at an engine that its node can't reach.
      */
-    private static final Duration YIELDING_TIME = Duration.ofMillis(600);
+    private static final Duration YIELD_TIMEOUT = Duration.ofMillis(600);
 
     /** The tables of the batch system. */
     private final BatchState state;
@@ -47,7 +47,7 @@
      * @param tick The tick.
      * @param job The job.
      * @param route The job's route.
-     * @return The working engines with the job's version that are not left alone.
+     * @return The working engines that serve the job's minimum version and are not excluded.
      */
     List<RegisteredEndpoint> engines(Tick tick, RunningJob job, Route route) {
         return route.pools().stream()
@@ -56,12 +56,12 @@
                 .filter(engine ->
                         engine.servesAtLeast(job.job().model(), job.job().minimumVersion()))
                 .filter(engine ->
-                        !state.loads().isPaused(engine.name(), job.job().model(), tick.now()))
+                        !state.loads().isExcluded(engine.name(), job.job().model(), tick.now()))
                 .toList();
     }
 
     /**
-     * Returns the engines that jobs of a model take before others.
+     * Returns the engines that jobs of a job's model prefer.
      *
      * @param job The job.
      * @param route The job's route.
@@ -81,16 +81,16 @@
     }
 
     /**
-     * Chooses the engine for an item: that of its group, which has read the prompt, else the one with the newest
-     * version, of the model's share if there is one, and with the fewest items.
+     * Chooses the engine for an item: the engine of its group, which has already processed the prompt, or otherwise one
+     * with the newest version, in the model's share if possible, and with the lowest load.
      *
      * @param tick The tick.
      * @param job The job.
      * @param item The item.
      * @param engines The engines that may run it.
-     * @param share The engines that jobs of the model take first.
+     * @param share The engines that jobs of the model prefer.
      * @param route The job's route.
-     * @return The engine, or empty if all have enough to do.
+     * @return The engine, or empty if none has a free slot.
      */
     Optional<RegisteredEndpoint> choose(
             Tick tick,
@@ -100,21 +100,21 @@
             Set<EndpointName> share,
             Route route) {
         List<RegisteredEndpoint> free = engines.stream()
-                .filter(engine -> freePlaces(engine) > 0)
+                .filter(engine -> freeSlots(engine) > 0)
                 .filter(engine ->
                         !state.loads().isOnTrial(engine.name(), job.job().model()))
                 .filter(engine -> !isSlow(tick, engine.name()) || inUse(engine) == 0)
                 .toList();
         Optional<EndpointName> last = job.lastEngine(item.item().group());
-        Optional<RegisteredEndpoint> same = free.stream()
+        Optional<RegisteredEndpoint> groupEngine = free.stream()
                 .filter(engine -> last.filter(engine.name()::equals).isPresent())
                 .filter(engine -> !isSlow(tick, engine.name()))
                 .findFirst();
-        if (same.isPresent() && item.text().isEmpty()) {
-            return same;
+        if (groupEngine.isPresent() && item.text().isEmpty()) {
+            return groupEngine;
         }
         String model = job.job().model();
-        Optional<PoolName> pool = route.pick(pointOf(item.item().group()));
+        Optional<PoolName> pool = route.pick(positionOf(item.item().group()));
         return free.stream()
                 .min(Comparator.comparing((RegisteredEndpoint engine) -> isSlow(tick, engine.name()))
                         .thenComparing(
@@ -125,54 +125,55 @@
     }
 
     /**
-     * Returns how many items of a job may start now: as many as places are free that no earlier job waits for. The
-     * trainer waits for the earlier one first, so a later one does not take its places.
+     * Returns the number of items of a job that may start now: the number of free slots that no earlier job waits for.
+     * The trainer waits for the earlier job first, so a later one does not take its slots.
      *
      * @param tick The tick.
      * @param running The job.
      * @param engines The engines that may run it.
-     * @return The number, which is zero for a moment while the other nodes that run jobs are asked.
+     * @return The number, which is briefly zero until the other nodes that run jobs have reported their loads.
      */
     long startable(Tick tick, RunningJob running, List<RegisteredEndpoint> engines) {
-        boolean isNew = tick.now().since(running.begunAt()).compareTo(HEARING_TIME) < 0;
-        if (isNew && !state.runners().nodes().containsAll(state.otherRunners())) {
+        boolean isNew = tick.now().since(running.startedAt()).compareTo(LOAD_REPORT_TIMEOUT) < 0;
+        if (isNew && !state.remoteLoads().nodes().containsAll(state.otherRunners())) {
             return 0;
         }
         BatchJob job = running.job();
-        long free = engines.stream().mapToLong(this::freePlaces).sum();
-        long startable = free - state.runners().waitingBefore(job.model(), job.submittedAt());
-        return running.hasYielded(free > 0 && startable <= 0, tick.now(), YIELDING_TIME)
+        long free = engines.stream().mapToLong(this::freeSlots).sum();
+        long startable = free - state.remoteLoads().waitingBefore(job.model(), job.submittedAt());
+        return running.hasYielded(free > 0 && startable <= 0, tick.now(), YIELD_TIMEOUT)
                 ? free
                 : Math.max(0, startable);
     }
 
     /**
-     * Returns how many items an engine can take, by what is known of this node and the others.
+     * Returns the number of free slots of an engine, based on the loads of this node and the reports of other nodes.
      *
      * @param engine The engine.
      * @return The number, not negative.
      */
-    long freePlaces(RegisteredEndpoint engine) {
+    long freeSlots(RegisteredEndpoint engine) {
         return Math.max(0, engine.slots() - inUse(engine));
     }
 
     /**
-     * Returns how many items are in progress at an engine.
+     * Returns the number of items in progress at an engine.
      *
      * @param engine The engine.
      * @return The number.
      */
     private int inUse(RegisteredEndpoint engine) {
-        return state.loads().running(engine.name()) + state.runners().running(engine.name());
+        return state.loads().running(engine.name()) + state.remoteLoads().running(engine.name());
     }
 
     /**
-     * Returns where a group lies between the pools of a split route. All its items lie there, as they share a prompt.
+     * Returns the position of a group among the pool weights of a split route. All its items have the same position, as
+     * they share a prompt.
      *
      * @param group The group.
      * @return A number from 0 to below 1.
      */
-    private static double pointOf(String group) {
+    private static double positionOf(String group) {
         long hash = Hashing.farmHashFingerprint64()
                 .hashString(group, StandardCharsets.UTF_8)
                 .asLong();
@@ -180,7 +181,7 @@
     }
 
     /**
-     * Returns whether an engine is taken to be slow.
+     * Returns whether an engine is considered slow.
      *
      * @param tick The tick.
      * @param engine The engine.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/EngineLoads.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/EngineLoads.java
@@ -8,22 +8,22 @@
 import java.util.Map;
 import java.util.Set;
 
-/** How many items this node runs at each engine, and which engines it leaves alone for a while. */
+/** The number of items that this node runs at each engine, and the engines that are temporarily excluded. */
 final class EngineLoads {
 
-    /** The pause after a first refusal: about a sixth of the loading of a version. */
-    private static final Duration FIRST_REFUSAL_PAUSE = Duration.ofMillis(150);
+    /** The exclusion after the first refusal: about a sixth of the time that loading a version takes. */
+    private static final Duration INITIAL_REFUSAL_EXCLUSION = Duration.ofMillis(150);
 
-    /** The longest pause after refusals in a row: less than the loading of a version. */
-    private static final Duration LONGEST_REFUSAL_PAUSE = Duration.ofMillis(400);
+    /** The maximum exclusion after consecutive refusals: less than the time that loading a version takes. */
+    private static final Duration MAXIMUM_REFUSAL_EXCLUSION = Duration.ofMillis(400);
 
     /** The numbers of items in progress. */
     private final Map<EndpointName, Integer> running = new HashMap<>();
 
-    /** Until when an engine gets no item of a model, by engine and model. */
-    private final Map<Key, MonotonicTime> pausedUntil = new HashMap<>();
+    /** The time until which an engine is excluded, by engine and model. */
+    private final Map<Key, MonotonicTime> excludedUntil = new HashMap<>();
 
-    /** The numbers of refusals in a row. */
+    /** The numbers of consecutive refusals. */
     private final Map<Key, Integer> refusals = new HashMap<>();
 
     /** The engines that are being tried with one item after a refusal. */
@@ -40,7 +40,7 @@
     }
 
     /**
-     * Returns how many items run at each engine.
+     * Returns the number of items that run at each engine.
      *
      * @return The numbers, for engines with at least one.
      */
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Counts an item that begins.
+     * Counts an item that starts.
      *
      * @param endpoint The engine.
      */
@@ -67,39 +67,43 @@
     }
 
     /**
-     * Leaves an engine alone for a while.
+     * Excludes an engine for a while.
      *
      * @param endpoint The engine.
      * @param model The model.
-     * @param now The present.
-     * @param time For how long.
+     * @param now The current time.
+     * @param duration The duration of the exclusion.
      */
-    void pause(EndpointName endpoint, String model, MonotonicTime now, Duration time) {
-        pausedUntil.values().removeIf(until -> until.isBefore(now));
-        pausedUntil.merge(new Key(endpoint, model), now.plus(time), (a, b) -> a.isBefore(b) ? b : a);
+    void exclude(EndpointName endpoint, String model, MonotonicTime now, Duration duration) {
+        excludedUntil.values().removeIf(until -> until.isBefore(now));
+        excludedUntil.merge(new Key(endpoint, model), now.plus(duration), (a, b) -> a.isBefore(b) ? b : a);
     }
 
     /**
-     * Takes a refusal, after which the engine is left alone for a time that grows with each refusal in a row, and is
-     * then tried with one item.
+     * Handles a refusal. The engine is excluded for a time that grows with each consecutive refusal, and is then tried
+     * with one item.
      *
      * @param endpoint The engine.
      * @param model The model.
-     * @param now The present.
+     * @param now The current time.
      */
     void refuse(EndpointName endpoint, String model, MonotonicTime now) {
         Key key = new Key(endpoint, model);
         trials.remove(key);
-        if (isPaused(endpoint, model, now)) {
+        if (isExcluded(endpoint, model, now)) {
             return;
         }
         int count = refusals.merge(key, 1, Integer::sum);
-        Duration pause = FIRST_REFUSAL_PAUSE.multipliedBy(1L << Math.min(count - 1, 4));
-        pause(endpoint, model, now, pause.compareTo(LONGEST_REFUSAL_PAUSE) < 0 ? pause : LONGEST_REFUSAL_PAUSE);
+        Duration exclusion = INITIAL_REFUSAL_EXCLUSION.multipliedBy(1L << Math.min(count - 1, 4));
+        exclude(
+                endpoint,
+                model,
+                now,
+                exclusion.compareTo(MAXIMUM_REFUSAL_EXCLUSION) < 0 ? exclusion : MAXIMUM_REFUSAL_EXCLUSION);
     }
 
     /**
-     * Notes that an engine runs an item, such that it is not in doubt any more.
+     * Records that an engine runs an item, which ends its refusals and trial.
      *
      * @param endpoint The engine.
      * @param model The model.
@@ -111,12 +115,12 @@
     }
 
     /**
-     * Notes that an item is given to an engine, which is a trial if the engine refused the last one.
+     * Records that an item is sent to an engine, which is a trial if the engine refused the last one.
      *
      * @param endpoint The engine.
      * @param model The model.
      */
-    void tryOut(EndpointName endpoint, String model) {
+    void startTrial(EndpointName endpoint, String model) {
         Key key = new Key(endpoint, model);
         if (refusals.containsKey(key)) {
             trials.add(key);
@@ -124,7 +128,7 @@
     }
 
     /**
-     * Notes that an attempt ended without a word on whether the engine takes items.
+     * Records that an attempt ended without showing whether the engine accepts items.
      *
      * @param endpoint The engine.
      * @param model The model.
@@ -134,15 +138,15 @@
     }
 
     /**
-     * Returns whether an engine is left alone.
+     * Returns whether an engine is excluded.
      *
      * @param endpoint The engine.
      * @param model The model.
-     * @param now The present.
-     * @return {@code true} if it gets no item of the model now.
+     * @param now The current time.
+     * @return {@code true} if it currently gets no item of the model.
      */
-    boolean isPaused(EndpointName endpoint, String model, MonotonicTime now) {
-        MonotonicTime until = pausedUntil.get(new Key(endpoint, model));
+    boolean isExcluded(EndpointName endpoint, String model, MonotonicTime now) {
+        MonotonicTime until = excludedUntil.get(new Key(endpoint, model));
         return until != null && now.isBefore(until);
     }
 
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/EngineRates.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/EngineRates.java
@@ -10,85 +10,92 @@
 import java.util.Set;
 
 /**
- * How fast engines make the events of this node's items, by which an engine that has turned slow or silent is told. It
- * answers engines that turn several times slower in the middle of their work: what counts is the rate since the last
- * reading, as the mean over a long attempt hides a change for seconds.
+ * The rates at which engines generate the events of this node's items, used to detect engines that have become slow or
+ * silent. Engines may become several times slower in the middle of an attempt, so the rate since the last reading is
+ * used: the mean over a long attempt would hide a change for seconds.
  */
 final class EngineRates {
 
-    /** The weight of the newest reading in an engine's rate: a change shows after two or three readings. */
-    private static final double NEWEST_WEIGHT = 0.5;
+    /** The weight of the newest reading in an engine's mean rate: a change is visible after two or three readings. */
+    private static final double NEWEST_READING_WEIGHT = 0.5;
 
-    /** The share of the other engines' median rate below which an engine is slow. Full batches differ far less. */
-    private static final double SLOW_SHARE = 0.45;
+    /**
+     * The share of the other engines' median rate below which an engine is slow. Rates of full batches differ far less.
+     */
+    private static final double SLOW_RATE_SHARE = 0.45;
 
-    /** For how long an engine must have been slow, or not, before that is believed: two readings of the attempts. */
-    private static final Duration EVIDENCE = Duration.ofMillis(450);
+    /**
+     * How long readings must consistently show an engine as slow, or as not slow, before its state changes: two
+     * readings of the attempts.
+     */
+    private static final Duration MINIMUM_EVIDENCE = Duration.ofMillis(450);
 
-    /** For how long a reading counts. */
-    private static final Duration MEMORY = Duration.ofSeconds(10);
+    /** How long a reading is retained. */
+    private static final Duration READING_RETENTION = Duration.ofSeconds(10);
 
     /**
-     * For how long an engine is taken to be slow without a further reading. A node that has no items there would think
-     * so until its next step, and begin it with too few engines (two of six held one item each for 0.7 s).
+     * How long an engine is considered slow without a further reading. Without this limit, a node that has no items at
+     * the engine would consider it slow until its next step, and start that step with too few engines (two of six had
+     * one item each for 0.7 s).
      */
-    private static final Duration SLOW_MEMORY = Duration.ofSeconds(3);
+    private static final Duration SLOW_VALIDITY = Duration.ofSeconds(3);
 
     /** The engines, by name. */
     private final Map<EndpointName, Row> rows = new HashMap<>();
 
-    /** The engines that are taken to be slow. */
+    /** The engines that are considered slow. */
     private final Set<EndpointName> slow = new HashSet<>();
 
     /**
-     * Takes a reading.
+     * Adds a reading.
      *
      * @param engine The engine.
-     * @param reading What its attempts have made since the last reading.
-     * @param now The present.
+     * @param reading The progress of its attempts since the last reading.
+     * @param now The current time.
      */
-    void read(EndpointName engine, Reading reading, MonotonicTime now) {
-        rows.values().removeIf(row -> now.since(row.at).compareTo(MEMORY) > 0);
-        slow.removeIf(known -> !isSlow(known, now));
-        rows.computeIfAbsent(engine, _engine -> new Row(reading)).take(reading, now);
+    void addReading(EndpointName engine, Reading reading, MonotonicTime now) {
+        rows.values().removeIf(row -> now.since(row.at).compareTo(READING_RETENTION) > 0);
+        slow.removeIf(name -> !isSlow(name, now));
+        rows.computeIfAbsent(engine, _engine -> new Row(reading)).update(reading, now);
     }
 
     /**
-     * Judges an engine by its last reading, after those of all engines were taken.
+     * Evaluates an engine by its last reading, after the readings of all engines have been added.
      *
      * @param engine The engine.
-     * @return What the reading changed.
+     * @return The change of the state of the engine.
      */
-    Verdict judge(EndpointName engine) {
+    Verdict evaluate(EndpointName engine) {
         Row row = rows.get(engine);
-        double usual = usualRate(engine);
-        if (row == null || usual <= 0) {
+        double median = medianRate(engine);
+        if (row == null || median <= 0) {
             return Verdict.UNCHANGED;
         }
-        boolean bad = row.last.perSecond() < SLOW_SHARE * usual;
-        row.count(bad);
-        boolean believed = row.evidence.compareTo(EVIDENCE) >= 0;
-        if (believed && bad && slow.add(engine)) {
+        boolean belowThreshold = row.last.perSecond() < SLOW_RATE_SHARE * median;
+        row.addEvidence(belowThreshold);
+        boolean confirmed = row.evidence.compareTo(MINIMUM_EVIDENCE) >= 0;
+        if (confirmed && belowThreshold && slow.add(engine)) {
             return Verdict.TURNED_SLOW;
         }
-        return believed && !bad && slow.remove(engine) ? Verdict.RECOVERED : Verdict.UNCHANGED;
+        return confirmed && !belowThreshold && slow.remove(engine) ? Verdict.RECOVERED : Verdict.UNCHANGED;
     }
 
     /**
-     * Returns whether an engine is taken to be slow.
+     * Returns whether an engine is considered slow.
      *
      * @param engine The engine.
-     * @param now The present.
-     * @return {@code true} if its readings said so, none has said otherwise since, and the last one is not old.
+     * @param now The current time.
+     * @return {@code true} if its readings showed it as slow, none has shown otherwise since, and the last one is
+     *     recent.
      */
     boolean isSlow(EndpointName engine, MonotonicTime now) {
         return slow.contains(engine)
                 && rows.containsKey(engine)
-                && now.since(rows.get(engine).at).compareTo(SLOW_MEMORY) < 0;
+                && now.since(rows.get(engine).at).compareTo(SLOW_VALIDITY) < 0;
     }
 
     /**
-     * Describes an engine's last reading, for logs.
+     * Describes an engine's last reading for logs.
      *
      * @param engine The engine.
      * @return The description.
@@ -97,16 +104,16 @@
         Row row = rows.get(engine);
         return row == null
                 ? "not read"
-                : String.format("%.1f events/s of %.1f", row.last.perSecond(), usualRate(engine));
+                : String.format("%.1f events/s of %.1f", row.last.perSecond(), medianRate(engine));
     }
 
     /**
-     * Returns the median rate of the other engines of a pool.
+     * Returns the median rate of the other engines of an engine's pool.
      *
      * @param engine The engine.
-     * @return The events a second of one item, or 0 if no other engine was read.
+     * @return The events per second of one item, or 0 if there is no reading of another engine.
      */
-    private double usualRate(EndpointName engine) {
+    private double medianRate(EndpointName engine) {
         List<Double> others = rows.entrySet().stream()
                 .filter(entry -> !entry.getKey().equals(engine))
                 .filter(entry -> entry.getKey().pool().equals(engine.pool()))
@@ -116,21 +123,21 @@
         return others.isEmpty() ? 0 : others.get(others.size() / 2);
     }
 
-    /** What a reading changed. */
+    /** The change of the state of an engine by a reading. */
     enum Verdict {
-        /** Nothing. */
+        /** The state is unchanged. */
         UNCHANGED,
-        /** The engine is taken to be slow from now on. */
+        /** The engine is now considered slow. */
         TURNED_SLOW,
-        /** The engine is not taken to be slow any more. */
+        /** The engine is no longer considered slow. */
         RECOVERED
     }
 
     /**
-     * What the attempts at an engine have made since the last reading.
+     * The progress of the attempts at an engine since the last reading.
      *
      * @param events The number of events of all attempts.
-     * @param seconds For how long the attempts have run, added up.
+     * @param seconds The total running time of the attempts, in seconds.
      * @param span The time since the last reading.
      */
     record Reading(double events, double seconds, Duration span) {
@@ -139,7 +146,7 @@
          * Creates the reading of one attempt.
          *
          * @param events The number of its events.
-         * @param time For how long it has run.
+         * @param time Its running time.
          * @return The reading.
          */
         static Reading of(long events, Duration time) {
@@ -147,10 +154,10 @@
         }
 
         /**
-         * Joins the readings of attempts at the same engine.
+         * Combines the readings of attempts at the same engine.
          *
          * @param other The other reading.
-         * @return The reading of all.
+         * @return The combined reading.
          */
         Reading join(Reading other) {
             return new Reading(
@@ -158,31 +165,31 @@
         }
 
         /**
-         * Returns the rate of one attempt.
+         * Returns the mean rate of one attempt.
          *
-         * @return The events a second.
+         * @return The events per second.
          */
         double perSecond() {
             return events / Math.max(1e-3, seconds);
         }
     }
 
-    /** What is known of one engine. */
+    /** The state of one engine. */
     private static final class Row {
 
         /** The last reading. */
         private Reading last;
 
-        /** The mean rate, in events a second. */
+        /** The mean rate, in events per second. */
         private double mean;
 
-        /** When it was last read. */
+        /** When the last reading was added. */
         private MonotonicTime at = new MonotonicTime(Long.MIN_VALUE / 2);
 
-        /** Whether the readings said that it is slow. */
-        private boolean bad;
+        /** Whether the latest readings show the engine as slow. */
+        private boolean belowThreshold;
 
-        /** For how long the readings have said the same. */
+        /** The time over which the readings have consistently shown the same state. */
         private Duration evidence = Duration.ZERO;
 
         /**
@@ -196,25 +203,25 @@
         }
 
         /**
-         * Takes a reading.
+         * Adds a reading.
          *
          * @param reading The reading.
-         * @param now The present.
+         * @param now The current time.
          */
-        private void take(Reading reading, MonotonicTime now) {
+        private void update(Reading reading, MonotonicTime now) {
             last = reading;
-            mean = mean * (1 - NEWEST_WEIGHT) + reading.perSecond() * NEWEST_WEIGHT;
+            mean = mean * (1 - NEWEST_READING_WEIGHT) + reading.perSecond() * NEWEST_READING_WEIGHT;
             at = now;
         }
 
         /**
-         * Counts the last reading as evidence.
+         * Adds the last reading to the evidence.
          *
-         * @param said Whether it said that the engine is slow.
+         * @param isBelowThreshold Whether it shows the engine as slow.
          */
-        private void count(boolean said) {
-            evidence = said == bad ? evidence.plus(last.span()) : last.span();
-            bad = said;
+        private void addEvidence(boolean isBelowThreshold) {
+            evidence = isBelowThreshold == belowThreshold ? evidence.plus(last.span()) : last.span();
+            belowThreshold = isBelowThreshold;
         }
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/ItemScoring.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/ItemScoring.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** An item whose output is whole, and whose score is outstanding. */
+/** The scoring of an item whose output is complete and whose score is outstanding. */
 final class ItemScoring {
 
     /** The scoring request. */
@@ -17,36 +17,36 @@
     /** The result, which lacks its score. */
     private final BatchResult unscored;
 
-    /** Since when the score is outstanding. */
+    /** The time since which the score has been outstanding. */
     private final MonotonicTime since;
 
-    /** The attempts in progress, by number, in the order in which they began. */
+    /** The attempts in progress, by number, in the order in which they started. */
     private final Map<Integer, Attempt> running = new LinkedHashMap<>();
 
-    /** The number of attempts that were begun. */
+    /** The number of started attempts. */
     private int attempts;
 
     /** The number of attempts that may have run. */
-    private int runs;
+    private int possibleRuns;
 
     /** The number of attempts at which an endpoint failed. */
     private int failures;
 
-    /** The number of attempts that ended without a score, in a row. */
+    /** The number of consecutive attempts that ended without a score. */
     private int misses;
 
-    /** When the next attempt may begin. */
+    /** When the next attempt may start. */
     private MonotonicTime nextAt;
 
-    /** Since when no route serves the request, if none does. */
+    /** The time since which no route serves the request, if none does. */
     private Optional<MonotonicTime> withoutRouteSince = Optional.empty();
 
     /**
-     * Creates the scoring of an output before the first attempt.
+     * Creates a scoring without attempts.
      *
      * @param request The scoring request.
      * @param unscored The result, which lacks its score.
-     * @param now The present.
+     * @param now The current time.
      */
     ItemScoring(ScoringRequest request, BatchResult unscored, MonotonicTime now) {
         this.request = request;
@@ -74,19 +74,19 @@
     }
 
     /**
-     * Returns since when the score is outstanding.
+     * Returns the time since which the score has been outstanding.
      *
-     * @return The time at which the output was whole.
+     * @return The time at which the output was complete.
      */
     MonotonicTime since() {
         return since;
     }
 
     /**
-     * Begins an attempt.
+     * Starts an attempt.
      *
      * @param endpoint The endpoint.
-     * @param now The present.
+     * @param now The current time.
      * @return The number of the attempt.
      */
     int begin(RegisteredEndpoint endpoint, MonotonicTime now) {
@@ -126,8 +126,8 @@
     }
 
     /** Counts an attempt that may have run. */
-    void mayHaveRun() {
-        runs++;
+    void countPossibleRun() {
+        possibleRuns++;
     }
 
     /**
@@ -135,34 +135,34 @@
      *
      * @return The number.
      */
-    int runs() {
-        return runs + running.size();
+    int possibleRuns() {
+        return possibleRuns + running.size();
     }
 
     /**
      * Counts an attempt that ended without a score.
      *
-     * @return The number of such attempts in a row.
+     * @return The number of consecutive such attempts.
      */
-    int miss() {
+    int countMiss() {
         misses++;
         return misses;
     }
 
     /**
-     * Lets the next attempt wait.
+     * Delays the next attempt.
      *
-     * @param until When it may begin.
+     * @param until When it may start.
      */
     void waitUntil(MonotonicTime until) {
         nextAt = until;
     }
 
     /**
-     * Returns whether the next attempt may begin.
+     * Returns whether the next attempt may start.
      *
-     * @param now The present.
-     * @return {@code true} unless it is to wait.
+     * @param now The current time.
+     * @return {@code true} unless it is delayed.
      */
     boolean mayBegin(MonotonicTime now) {
         return !now.isBefore(nextAt);
@@ -173,19 +173,19 @@
      *
      * @return The number of such attempts.
      */
-    int fail() {
+    int countFailure() {
         failures++;
         return failures;
     }
 
     /**
-     * Notes whether a route serves the request.
+     * Records whether a route serves the request.
      *
      * @param served Whether one does.
-     * @param now The present.
-     * @return Since when none does, or empty if one does.
+     * @param now The current time.
+     * @return The time since which none does, or empty if one does.
      */
-    Optional<MonotonicTime> noteRoute(boolean served, MonotonicTime now) {
+    Optional<MonotonicTime> updateRoute(boolean served, MonotonicTime now) {
         withoutRouteSince = served ? Optional.empty() : Optional.of(withoutRouteSince.orElse(now));
         return withoutRouteSince;
     }
@@ -195,7 +195,7 @@
      *
      * @param number The number of the attempt, counted from 1.
      * @param endpoint The endpoint.
-     * @param begunAt When it began.
+     * @param startedAt When it started.
      */
-    record Attempt(int number, RegisteredEndpoint endpoint, MonotonicTime begunAt) {}
+    record Attempt(int number, RegisteredEndpoint endpoint, MonotonicTime startedAt) {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/ItemText.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/ItemText.java
@@ -7,7 +7,7 @@
 import java.util.TreeSet;
 
 /**
- * The events of an item's output so far.
+ * The events of an item's output received so far.
  *
  * @param lastEventId The identifier of the last event, or 0 before the first.
  * @param events The data of the events, in order.
@@ -34,7 +34,7 @@
     }
 
     /**
-     * Appends the events of an attempt that went on behind this text.
+     * Appends the events of an attempt that resumed after this text.
      *
      * @param continuation The events of that attempt.
      * @return The joined text.
@@ -51,18 +51,18 @@
     }
 
     /**
-     * Returns the events behind one of this text's events.
+     * Returns the events after a given event of this text.
      *
      * @param eventId The identifier of that event.
-     * @return The rest, which names all versions of this text.
+     * @return The remaining events, with all versions of this text.
      */
-    ItemText behind(long eventId) {
+    ItemText eventsAfter(long eventId) {
         long rest = Math.min(events.size(), Math.max(0, lastEventId - eventId));
         return new ItemText(lastEventId, events.subList((int) (events.size() - rest), events.size()), versions);
     }
 
     /**
-     * Returns the output of an item whose text is whole.
+     * Returns the output of an item whose text is complete.
      *
      * @return The data of all events, separated by line feeds.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/JobHandOverSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/JobHandOverSystem.java
@@ -8,29 +8,29 @@
 import java.util.Optional;
 
 /**
- * Runs jobs that another node has accepted for this one, as soon as it says so. The index says the same a moment later,
- * so that a message that gets lost costs no more than that moment.
+ * Runs jobs that another node has accepted for this one, as soon as the message arrives. The index contains the same
+ * information shortly afterwards, so a lost message only delays the job until then.
  */
 final class JobHandOverSystem implements DecisionSystem {
 
     /** The tables of the batch system. */
     private final BatchState state;
 
-    /** Finds out when a job is given up. */
-    private final GiveUpTimes giveUpTimes;
+    /** Computes the deadlines of jobs. */
+    private final JobTimeouts jobTimeouts;
 
     /** Whether this node is about to stop. */
     private boolean leaving;
 
     /**
-     * Creates a system that has got nothing.
+     * Creates a system.
      *
      * @param state The tables of the batch system.
-     * @param giveUpTimes Finds out when a job is given up.
+     * @param jobTimeouts Computes the deadlines of jobs.
      */
-    JobHandOverSystem(BatchState state, GiveUpTimes giveUpTimes) {
+    JobHandOverSystem(BatchState state, JobTimeouts jobTimeouts) {
         this.state = state;
-        this.giveUpTimes = giveUpTimes;
+        this.jobTimeouts = jobTimeouts;
     }
 
     @Override
@@ -40,30 +40,31 @@
             if (received.message() instanceof BatchMessage.HandedOver handed) {
                 state.codec()
                         .readJob(handed.job())
-                        .ifPresent(job -> take(tick, job, received.sender().name()));
+                        .ifPresent(job -> accept(tick, job, received.sender().name()));
             }
         }
     }
 
     /**
-     * Takes a job.
+     * Runs a job unless this node is leaving, has already handled it, or is not its runner.
      *
      * @param tick The tick.
      * @param job The job.
      * @param sender The node that accepted it.
      */
-    private void take(Tick tick, BatchJob job, NodeName sender) {
-        boolean known = state.running().contains(job.id()) || state.finished().contains(job.id());
+    private void accept(Tick tick, BatchJob job, NodeName sender) {
+        boolean alreadyHandled =
+                state.running().contains(job.id()) || state.finished().contains(job.id());
         Optional<BatchIndex.Row> row = state.index().find(job.id());
-        boolean others = row.filter(found -> !found.entry()
+        boolean assignedElsewhere = row.filter(found -> !found.entry()
                         .runner()
                         .equals(state.membership().self().identity().name()))
                 .isPresent();
-        if (leaving || known || others) {
+        if (leaving || alreadyHandled || assignedElsewhere) {
             tick.decide(Decision.of("batch-job", job.id().value(), "not taken", "handed over by " + sender));
             return;
         }
         ResultLog log = state.log(job.id(), job.items().size(), tick.now());
-        state.run(tick, job, log, giveUpTimes.of(job, tick.now()), new KeptTexts());
+        state.run(tick, job, log, jobTimeouts.deadline(job, tick.now()), new StoredTexts());
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/GiveUpTimes.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/JobTimeouts.java
@@ -6,41 +6,41 @@
 import java.time.Duration;
 import java.util.function.LongSupplier;
 
-/** Finds out when jobs are given up, which depends on when they were first submitted. */
-final class GiveUpTimes {
+/** Computes the deadlines of jobs, which depend on when they were first submitted. */
+final class JobTimeouts {
 
-    /** The time after which a job of a route that is not known any more is given up. */
-    private static final Duration FALLBACK = Duration.ofSeconds(40);
+    /** The queue timeout of a job whose route no longer exists. */
+    private static final Duration DEFAULT_QUEUE_TIMEOUT = Duration.ofSeconds(40);
 
     /** The configuration of routes. */
     private final RouteConfigurationSystem routes;
 
-    /** Tells the time of day in milliseconds since the epoch. It comes from the shell with each reading. */
+    /** Supplies the time of day in milliseconds since the epoch. Each call reads it from the shell. */
     private final LongSupplier timeOfDay;
 
     /**
-     * Creates a helper.
+     * Creates an instance.
      *
      * @param routes The configuration of routes.
-     * @param timeOfDay Tells the time of day in milliseconds since the epoch.
+     * @param timeOfDay Supplies the time of day in milliseconds since the epoch.
      */
-    GiveUpTimes(RouteConfigurationSystem routes, LongSupplier timeOfDay) {
+    JobTimeouts(RouteConfigurationSystem routes, LongSupplier timeOfDay) {
         this.routes = routes;
         this.timeOfDay = timeOfDay;
     }
 
     /**
-     * Returns when a job is given up.
+     * Returns the deadline of a job.
      *
      * @param job The job.
-     * @param now The present.
+     * @param now The current time.
      * @return The time.
      */
-    MonotonicTime of(BatchJob job, MonotonicTime now) {
+    MonotonicTime deadline(BatchJob job, MonotonicTime now) {
         Duration allowed = routes.find(job.host(), job.path())
                 .flatMap(Route::batch)
                 .map(Route.BatchTerms::queueTimeout)
-                .orElse(FALLBACK);
+                .orElse(DEFAULT_QUEUE_TIMEOUT);
         long age = Math.max(0, timeOfDay.getAsLong() - job.submittedAt());
         return now.plus(allowed.minusMillis(Math.min(age, allowed.toMillis())));
     }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/LoadSharingSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/LoadSharingSystem.java
@@ -12,27 +12,27 @@
 import java.util.Set;
 
 /**
- * Tells the other nodes that run jobs what this one has at the engines. Only these exchange messages, a few in each
- * interval, so the cost grows with the jobs that are open and not with the nodes.
+ * Reports the engine loads of this node to the other nodes that run jobs. Only these nodes exchange messages, a few in
+ * each interval, so the number of messages grows with the open jobs and not with the nodes.
  */
 final class LoadSharingSystem implements DecisionSystem {
 
-    /** The interval, well below the time that an item takes. */
-    private static final Duration INTERVAL = Duration.ofMillis(100);
+    /** The interval between two reports, well below the duration of an item. */
+    private static final Duration REPORT_INTERVAL = Duration.ofMillis(100);
 
-    /** The largest number of nodes that are told. */
-    private static final int NODES = 16;
+    /** The maximum number of nodes that receive a report. */
+    private static final int MAXIMUM_RECIPIENTS = 16;
 
-    /** What the systems of batch jobs share. */
+    /** The tables of the batch system. */
     private final BatchState state;
 
-    /** When the others are told next. */
+    /** When the next report is due. */
     private MonotonicTime nextAt = new MonotonicTime(Long.MIN_VALUE);
 
     /**
      * Creates a system.
      *
-     * @param state What the systems of batch jobs share.
+     * @param state The tables of the batch system.
      */
     LoadSharingSystem(BatchState state) {
         this.state = state;
@@ -42,28 +42,28 @@
     public void run(Tick tick) {
         for (PeerEvent.Received received : tick.events(PeerEvent.Received.class)) {
             if (received.message() instanceof BatchMessage.EnginesInUse inUse) {
-                if (!state.runners().nodes().contains(received.sender().name())) {
+                if (!state.remoteLoads().nodes().contains(received.sender().name())) {
                     nextAt = tick.now();
                 }
-                state.runners().take(received.sender().name(), inUse, tick.now());
+                state.remoteLoads().update(received.sender().name(), inUse, tick.now());
             }
         }
-        state.runners().forget(tick.now());
+        state.remoteLoads().removeStale(tick.now());
         if (state.running().size() == 0 || tick.now().isBefore(nextAt)) {
             return;
         }
-        nextAt = tick.now().plus(INTERVAL);
+        nextAt = tick.now().plus(REPORT_INTERVAL);
         Set<NodeName> others = state.otherRunners();
         if (others.isEmpty()) {
             return;
         }
         BatchMessage.EnginesInUse inUse =
                 new BatchMessage.EnginesInUse(state.loads().running(), demands());
-        others.stream().limit(NODES).forEach(node -> tick.emit(new PeerEffect.Send(node, inUse)));
+        others.stream().limit(MAXIMUM_RECIPIENTS).forEach(node -> tick.emit(new PeerEffect.Send(node, inUse)));
     }
 
     /**
-     * Returns the jobs of this node that wait for places.
+     * Returns the jobs of this node that wait for slots.
      *
      * @return The jobs.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/ModelShare.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/ModelShare.java
@@ -9,10 +9,10 @@
 import java.util.TreeSet;
 
 /**
- * The engines of a pool that jobs of one model take before others: each model has every n-th, as all nodes work out
- * alike without a word. Jobs of several models that begin at the same moment, each at its own node, would else all take
- * the same engines before they hear of each other: 32 items were sent to each of ten engines of 8 places while 21 had
- * none.
+ * The engines of a pool that jobs of one model prefer: with n models, each model has every n-th engine, which all nodes
+ * compute alike without communication. Otherwise, jobs of several models that start at the same moment, each at its own
+ * node, would all choose the same engines before they receive reports from each other: 32 items were sent to each of
+ * ten engines with 8 slots while 21 engines had none.
  */
 final class ModelShare {
 
@@ -20,7 +20,7 @@
     private ModelShare() {}
 
     /**
-     * Returns the engines that jobs of a model take first.
+     * Returns the engines that jobs of a model prefer.
      *
      * @param model The model.
      * @param models The models that the pool serves.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/RestartedEngineSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/RestartedEngineSystem.java
@@ -4,21 +4,22 @@
 import io.yuccaswitch.core.decision.Tick;
 
 /**
- * Breaks off attempts at engines that have started again since. Such an engine knows nothing of them, and where its
- * connections fell silent their end would show only after seconds; the item goes on elsewhere with the events it has.
+ * Cancels attempts at engines that have restarted since the attempt started. A restarted engine has no state of these
+ * attempts, and if its connections became silent, the loss would be detected only after seconds. The item resumes at
+ * another engine after the events that it has.
  */
 final class RestartedEngineSystem implements DecisionSystem {
 
-    /** What the systems of batch jobs share. */
+    /** The tables of the batch system. */
     private final BatchState state;
 
-    /** The state of the registry that was looked at. */
-    private long seen;
+    /** The change count of the registry that was last processed. */
+    private long processedChanges;
 
     /**
      * Creates a system.
      *
-     * @param state What the systems of batch jobs share.
+     * @param state The tables of the batch system.
      */
     RestartedEngineSystem(BatchState state) {
         this.state = state;
@@ -27,15 +28,15 @@
     @Override
     public void run(Tick tick) {
         long changes = state.registry().changes();
-        if (changes == seen) {
+        if (changes == processedChanges) {
             return;
         }
-        seen = changes;
+        processedChanges = changes;
         for (RunningJob job : state.running().rows()) {
             for (RunningItem item : job.items()) {
                 item.endpoint()
                         .filter(engine -> !item.isMoving() && state.registry().hasStartedAgain(engine))
-                        .ifPresent(engine -> state.move(tick, job, item, engine + " has started again"));
+                        .ifPresent(engine -> state.move(tick, job, item, engine + " has restarted"));
             }
         }
     }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/ResultLog.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/ResultLog.java
@@ -11,44 +11,47 @@
 import java.util.Set;
 
 /**
- * The results of a job that lie on the platform, in the order of their positions. It grows at its end only, by objects
- * with consecutive numbers.
+ * A copy of the results of a job that are listed on the platform, in the order of their positions. The log is
+ * append-only and consists of objects with consecutive numbers.
  */
 final class ResultLog {
 
-    /** The largest size of the outputs in one answer, in bytes. Encoded, they stay below the megabyte of a page. */
-    private static final long PAGE_BYTES = 600_000;
+    /**
+     * The maximum size of the outputs in one answer, in bytes. Encoded, they stay below the limit of one megabyte for a
+     * page.
+     */
+    private static final long MAXIMUM_PAGE_BYTES = 600_000;
 
     /** The number of items of the job. */
     private final int total;
 
-    /** The results that are known. */
+    /** The results read so far. */
     private final List<BatchResult> results = new ArrayList<>();
 
-    /** The items whose results are known. */
+    /** The items whose results have been read. */
     private final Set<String> items = new HashSet<>();
 
-    /** The number of objects that are known. */
+    /** The number of objects read so far. */
     private int objects;
 
-    /** The size of the known outputs, in bytes. */
+    /** The size of the outputs read so far, in bytes. */
     private long bytes;
 
-    /** The platform's version up to which the objects are known, or empty if they were never listed. */
+    /** The platform version up to which the objects have been read, or empty if they were never listed. */
     private OptionalLong version = OptionalLong.empty();
 
     /** When the log was last used. */
-    private MonotonicTime usedAt;
+    private MonotonicTime lastUsedAt;
 
     /**
-     * Creates a log that knows no results.
+     * Creates an empty log.
      *
      * @param total The number of items of the job.
-     * @param now The present.
+     * @param now The current time.
      */
     ResultLog(int total, MonotonicTime now) {
         this.total = total;
-        usedAt = now;
+        lastUsedAt = now;
     }
 
     /**
@@ -66,14 +69,14 @@
     }
 
     /**
-     * Takes listed or changed objects, as far as they are the next ones.
+     * Appends listed or changed objects that directly follow the ones read so far.
      *
      * @param listed The objects, in any order.
-     * @param upTo The version up to which the objects are known thereby.
-     * @param codec Reads the objects.
-     * @return The results that were not known before.
+     * @param upTo The version up to which the objects have then been read.
+     * @param codec Decodes the objects.
+     * @return The results that were appended.
      */
-    List<BatchResult> take(List<StoredObject> listed, long upTo, BatchCodec codec) {
+    List<BatchResult> apply(List<StoredObject> listed, long upTo, BatchCodec codec) {
         int before = results.size();
         List<StoredObject> ordered = new ArrayList<>(listed);
         ordered.sort(java.util.Comparator.comparing(object -> object.key().name()));
@@ -100,7 +103,7 @@
         for (int i = position; i < results.size(); i++) {
             BatchResult result = results.get(i);
             size += result.output().size();
-            if (!page.isEmpty() && size > PAGE_BYTES) {
+            if (!page.isEmpty() && size > MAXIMUM_PAGE_BYTES) {
                 break;
             }
             page.add(result);
@@ -109,26 +112,26 @@
     }
 
     /**
-     * Returns whether an item's result is known.
+     * Returns whether the log contains an item's result.
      *
      * @param item The item.
-     * @return {@code true} if it is.
+     * @return {@code true} if it does.
      */
     boolean contains(String item) {
         return items.contains(item);
     }
 
     /**
-     * Returns whether the results of all items are known.
+     * Returns whether the log contains the results of all items.
      *
-     * @return {@code true} if they are.
+     * @return {@code true} if it does.
      */
     boolean isComplete() {
         return results.size() >= total;
     }
 
     /**
-     * Returns the number of known results.
+     * Returns the number of results.
      *
      * @return The number.
      */
@@ -137,7 +140,7 @@
     }
 
     /**
-     * Returns the number of known objects, which is also the number of the next one.
+     * Returns the number of objects, which is also the number of the next one.
      *
      * @return The number.
      */
@@ -146,7 +149,7 @@
     }
 
     /**
-     * Returns the size of the known outputs.
+     * Returns the size of the outputs.
      *
      * @return The size in bytes.
      */
@@ -155,7 +158,7 @@
     }
 
     /**
-     * Returns the version up to which the objects are known.
+     * Returns the version up to which the objects have been read.
      *
      * @return The version, or empty if they were never listed.
      */
@@ -163,18 +166,18 @@
         return version;
     }
 
-    /** Forgets up to which version the objects are known, such that they are listed anew. */
-    void forgetVersion() {
+    /** Clears the version up to which the objects have been read, so that they are listed again. */
+    void clearVersion() {
         version = OptionalLong.empty();
     }
 
     /**
-     * Notes that the log is used.
+     * Records that the log is used.
      *
-     * @param now The present.
+     * @param now The current time.
      */
-    void use(MonotonicTime now) {
-        usedAt = now;
+    void touch(MonotonicTime now) {
+        lastUsedAt = now;
     }
 
     /**
@@ -182,7 +185,7 @@
      *
      * @return The time.
      */
-    MonotonicTime usedAt() {
-        return usedAt;
+    MonotonicTime lastUsedAt() {
+        return lastUsedAt;
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/ResultRelaySystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/ResultRelaySystem.java
@@ -11,8 +11,9 @@
 import java.util.OptionalLong;
 
 /**
- * Lists results on the platform for other nodes, which the platform does not answer. The creation of an object under
- * its number decides, whoever asks for it and however late, so a node that asks two others at once lists nothing twice.
+ * Lists results on the platform on behalf of other nodes that get no answer from the platform. Each object is created
+ * under its number by a conditional creation, so results are not listed twice, even if a node asks two others at once
+ * or a request is late.
  */
 final class ResultRelaySystem implements DecisionSystem {
 
@@ -42,7 +43,7 @@
      *
      * @param tick The tick.
      * @param sender The node.
-     * @param store What to create.
+     * @param store The request.
      */
     private void write(Tick tick, NodeName sender, BatchMessage.StoreResults store) {
         state.write(
@@ -65,7 +66,7 @@
     /**
      * Builds the answer.
      *
-     * @param store What was to be created.
+     * @param store The request.
      * @param event The platform's answer.
      * @return The answer.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/RunnerChoice.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/RunnerChoice.java
@@ -12,28 +12,29 @@
 import java.util.TreeSet;
 
 /**
- * Decides which node runs a batch job: where all VMs are alike, the one that it was submitted to, which is any, as
- * callers choose by lot. Where they differ, one of the strong ones, and the same one for all jobs of a model. The
- * events of a job's items come at once over as many connections as it has items, which a weak VM takes twice as long to
- * read. As the next job of the model comes to the same node, connections are open and code is compiled. Models have
- * different nodes as far as there are enough.
+ * Chooses the node that runs a batch job. If all VMs have the same capacity, it is the node that the job was submitted
+ * to, which is a random one, as callers choose nodes at random. If capacities differ, it is one of the strong nodes,
+ * and the same one for all jobs of a model. The events of a job's items arrive at the same time over as many
+ * connections as it has items, and a weak VM takes twice as long to read them. As the next job of the model goes to the
+ * same node, its connections are already open and its code is already compiled. Models use different nodes as long as
+ * there are enough.
  */
 final class RunnerChoice {
 
-    /** The share of the strongest VM's capacity from which on a VM is strong. */
-    private static final double STRONG_SHARE = 0.7;
+    /** The minimum share of the strongest VM's capacity at which a VM is considered strong. */
+    private static final double STRONG_CAPACITY_SHARE = 0.7;
 
     /** The nodes of the site. */
     private final MembershipView membership;
 
-    /** The configuration, which names the models. */
+    /** The configuration of routes, which lists the models. */
     private final RouteConfigurationSystem routes;
 
     /**
      * Creates a choice.
      *
      * @param membership The nodes of the site.
-     * @param routes The configuration, which names the models.
+     * @param routes The configuration of routes, which lists the models.
      */
     RunnerChoice(MembershipView membership, RouteConfigurationSystem routes) {
         this.membership = membership;
@@ -48,23 +49,23 @@
      */
     NodeName choose(BatchJob job) {
         Member self = membership.self();
-        List<Member> near = membership.working().stream()
+        List<Member> sameRegion = membership.working().stream()
                 .filter(member -> member.condition() == MemberCondition.ALIVE)
                 .filter(member -> member.region().equals(self.region()))
                 .toList();
-        int most = near.stream().mapToInt(Member::capacity).max().orElse(0);
-        List<Member> strong = near.stream()
-                .filter(member -> member.capacity() >= STRONG_SHARE * most)
+        int maximumCapacity =
+                sameRegion.stream().mapToInt(Member::capacity).max().orElse(0);
+        List<Member> strong = sameRegion.stream()
+                .filter(member -> member.capacity() >= STRONG_CAPACITY_SHARE * maximumCapacity)
                 .toList();
-        if (strong.isEmpty() || strong.size() == near.size()) {
+        if (strong.isEmpty() || strong.size() == sameRegion.size()) {
             return self.identity().name();
         }
         return assigned(job.model(), strong);
     }
 
     /**
-     * Returns the node that runs the jobs of a model. All nodes that know the same members and models find the same
-     * one.
+     * Returns the node that runs the jobs of a model. All nodes with the same members and models choose the same one.
      *
      * @param model The model.
      * @param strong The nodes to choose from.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/RunnerReads.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/RunnerQueries.java
@@ -13,8 +13,8 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** Asks the runners of jobs for what they know, which costs no call to the platform. */
-final class RunnerReads {
+/** Queries the runners of jobs for results and bodies, which saves calls to the platform. */
+final class RunnerQueries {
 
     /** The index of jobs. */
     private final BatchIndex index;
@@ -23,36 +23,36 @@
     private final MembershipView membership;
 
     /** The requests that wait for a runner's answer, by their tickets. */
-    private final Map<Long, BatchMessage> asked = new HashMap<>();
+    private final Map<Long, BatchMessage> waiting = new HashMap<>();
 
     /**
-     * Creates an instance that has asked nobody.
+     * Creates an instance without requests.
      *
      * @param index The index of jobs.
      * @param membership The nodes of the site.
      */
-    RunnerReads(BatchIndex index, MembershipView membership) {
+    RunnerQueries(BatchIndex index, MembershipView membership) {
         this.index = index;
         this.membership = membership;
     }
 
     /**
-     * Asks the runner of a job, if it is another node that works.
+     * Queries the runner of a job if it is another working node.
      *
      * @param tick The tick.
      * @param id The job.
      * @param ticket The ticket of the request.
      * @param message The message.
-     * @return Whether the runner was asked.
+     * @return Whether the request was sent.
      */
-    boolean ask(Tick tick, BatchJobId id, long ticket, BatchMessage message) {
+    boolean send(Tick tick, BatchJobId id, long ticket, BatchMessage message) {
         Optional<NodeName> runner = index.find(id)
                 .map(row -> row.entry().runner())
                 .filter(node -> !node.equals(membership.self().identity().name()))
                 .filter(node -> membership.working().stream()
                         .anyMatch(member -> member.identity().name().equals(node)));
         runner.ifPresent(node -> {
-            asked.put(ticket, message);
+            waiting.put(ticket, message);
             tick.emit(new PeerEffect.Send(node, message));
         });
         return runner.isPresent();
@@ -64,24 +64,24 @@
      * @param ticket The ticket of the request.
      * @return {@code true} if it does.
      */
-    boolean isAsked(long ticket) {
-        return asked.containsKey(ticket);
+    boolean isWaiting(long ticket) {
+        return waiting.containsKey(ticket);
     }
 
     /**
-     * Waits no longer for a runner's answer.
+     * Stops waiting for a runner's answer.
      *
      * @param ticket The ticket of the request.
      */
     void forget(long ticket) {
-        asked.remove(ticket);
+        waiting.remove(ticket);
     }
 
     /**
-     * Takes the answers of runners, and notices requests that could not be sent.
+     * Receives the answers of runners, and detects requests that could not be delivered.
      *
      * @param tick The tick.
-     * @return The answers. Where there is none, the platform has to be asked.
+     * @return The answers. If an answer is empty, the platform has to be queried.
      */
     List<Answer> receive(Tick tick) {
         List<Answer> answers = new ArrayList<>();
@@ -91,29 +91,30 @@
         for (PeerEvent.Undeliverable lost : tick.events(PeerEvent.Undeliverable.class)) {
             ticketOf(lost.message()).ifPresent(ticket -> answers.add(new Answer(ticket, Optional.empty())));
         }
-        answers.removeIf(answer -> asked.remove(answer.ticket()) == null);
+        answers.removeIf(answer -> waiting.remove(answer.ticket()) == null);
         return answers;
     }
 
     /**
-     * Reads an answer to a request that waits.
+     * Matches a message to a waiting request.
      *
      * @param message The message.
-     * @return The answer, or empty if the message is none, or answers a request of this node's earlier life.
+     * @return The answer, or empty if the message is not an answer, or answers a request of an earlier incarnation of
+     *     this node.
      */
     private Optional<Answer> answer(PeerMessage message) {
         if (message instanceof BatchMessage.ResultsRead read
-                && asked.get(read.ticket()) instanceof BatchMessage.ReadResults question
-                && question.id().equals(read.id())
-                && question.position() == read.position()) {
+                && waiting.get(read.ticket()) instanceof BatchMessage.ReadResults query
+                && query.id().equals(read.id())
+                && query.position() == read.position()) {
             return Optional.of(new Answer(
                     read.ticket(),
                     Optional.of(new BatchAnswer.Results(read.total(), read.next(), List.copyOf(read.results())))));
         }
         if (message instanceof BatchMessage.BodyRead read
-                && asked.get(read.ticket()) instanceof BatchMessage.ReadBody question
-                && question.id().equals(read.id())
-                && question.item().equals(read.item())) {
+                && waiting.get(read.ticket()) instanceof BatchMessage.ReadBody query
+                && query.id().equals(read.id())
+                && query.item().equals(read.item())) {
             return Optional.of(new Answer(read.ticket(), Optional.of(new BatchAnswer.Body(read.body()))));
         }
         if (message instanceof BatchMessage.ReadDeclined declined) {
@@ -126,7 +127,7 @@
      * Returns the ticket of a request.
      *
      * @param message The message.
-     * @return The ticket, or empty if the message is no request to a runner.
+     * @return The ticket, or empty if the message is not a request to a runner.
      */
     private static OptionalLong ticketOf(PeerMessage message) {
         if (message instanceof BatchMessage.ReadResults read) {
@@ -139,7 +140,7 @@
     }
 
     /**
-     * What became of a request.
+     * The outcome of a request.
      *
      * @param ticket The ticket of the request.
      * @param answer The answer, or empty if the runner has none.
