--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/RunnerReadSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/RunnerReadSystem.java
@@ -12,9 +12,9 @@
 import java.util.Optional;
 
 /**
- * Answers other nodes that ask for results and bodies of the jobs that run here. Results never change once they are
- * listed, so what a runner shows is right even if another node has taken the job over; that there is no result is never
- * said here, as only the platform knows that.
+ * Answers requests of other nodes for results and bodies of the jobs that run at this node. Results never change once
+ * they are listed, so the results of a runner are correct even if another node has taken over the job. A runner never
+ * reports that there is no result, as only the platform can confirm that.
  */
 final class RunnerReadSystem implements DecisionSystem {
 
@@ -48,18 +48,18 @@
     }
 
     /**
-     * Answers a request if that can be done now.
+     * Answers a request if possible.
      *
      * @param tick The tick.
      * @param request The request.
-     * @return Whether the request needs no further look.
+     * @return Whether the request is done.
      */
     private boolean isDone(Tick tick, Waiting request) {
         BatchMessage.ReadResults read = request.read();
         BatchJobId id = new BatchJobId(read.id());
         Optional<ResultLog> log = state.logs().find(id);
         if (log.isPresent() && (log.get().size() > read.position() || log.get().isComplete())) {
-            log.get().use(tick.now());
+            log.get().touch(tick.now());
             BatchAnswer.Results page = log.get().page(read.position());
             tick.emit(new PeerEffect.Send(
                     request.sender(),
@@ -87,9 +87,9 @@
     }
 
     /**
-     * Tells requests apart.
+     * Identifies a request.
      *
-     * @param sender The node that asks.
+     * @param sender The requesting node.
      * @param ticket The node's ticket.
      */
     private record Key(NodeName sender, long ticket) {}
@@ -97,9 +97,9 @@
     /**
      * A request that waits.
      *
-     * @param sender The node that asks.
+     * @param sender The requesting node.
      * @param read The request.
-     * @param until Until when the node waits.
+     * @param until The time until which the node waits.
      */
     private record Waiting(NodeName sender, BatchMessage.ReadResults read, MonotonicTime until) {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/RunningItem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/RunningItem.java
@@ -11,7 +11,7 @@
     /** The item. */
     private final BatchItem item;
 
-    /** The number of attempts that were begun. */
+    /** The number of started attempts. */
     private int attempts;
 
     /** The number of attempts at which an engine failed. */
@@ -20,26 +20,26 @@
     /** The engine that runs it, if any. */
     private Optional<EndpointName> endpoint = Optional.empty();
 
-    /** Whether the attempt in progress is being broken off, to go on at another engine. */
+    /** Whether the attempt in progress is being cancelled so that the item resumes at another engine. */
     private boolean moving;
 
     /** The number of events of the attempt in progress at the last reading. */
     private long eventsRead;
 
-    /** How long the answer of the attempt in progress had lasted at the last reading. */
-    private Duration timeRead = Duration.ZERO;
+    /** The duration of the answer of the attempt in progress at the last reading. */
+    private Duration durationRead = Duration.ZERO;
 
-    /** The events so far. */
+    /** The events received so far. */
     private ItemText text = ItemText.EMPTY;
 
-    /** The scoring of the whole output, while its score is outstanding. */
+    /** The scoring of the complete output while its score is outstanding. */
     private Optional<ItemScoring> scoring = Optional.empty();
 
     /** The result, once there is one. */
     private Optional<BatchResult> result = Optional.empty();
 
     /**
-     * Creates an item that waits.
+     * Creates a waiting item.
      *
      * @param item The item.
      */
@@ -66,7 +66,7 @@
     }
 
     /**
-     * Begins an attempt.
+     * Starts an attempt.
      *
      * @param chosen The engine.
      * @return The number of the attempt.
@@ -75,7 +75,7 @@
         endpoint = Optional.of(chosen);
         moving = false;
         eventsRead = 0;
-        timeRead = Duration.ZERO;
+        durationRead = Duration.ZERO;
         attempts++;
         return attempts;
     }
@@ -110,13 +110,13 @@
         return attempts;
     }
 
-    /** Notes that the attempt in progress is being broken off, to go on at another engine. */
+    /** Records that the attempt in progress is being cancelled so that the item resumes at another engine. */
     void move() {
         moving = true;
     }
 
     /**
-     * Returns whether the attempt in progress is being broken off, to go on at another engine.
+     * Returns whether the attempt in progress is being cancelled so that the item resumes at another engine.
      *
      * @return {@code true} if it is.
      */
@@ -125,16 +125,16 @@
     }
 
     /**
-     * Takes how far the attempt in progress is.
+     * Records the progress of the current attempt.
      *
      * @param events The number of its events.
-     * @param since How long its answer has lasted.
-     * @return What it has made since the last reading.
+     * @param since The time since its answer started.
+     * @return The progress since the last reading.
      */
     EngineRates.Reading read(long events, Duration since) {
-        EngineRates.Reading reading = EngineRates.Reading.of(events - eventsRead, since.minus(timeRead));
+        EngineRates.Reading reading = EngineRates.Reading.of(events - eventsRead, since.minus(durationRead));
         eventsRead = events;
-        timeRead = since;
+        durationRead = since;
         return reading;
     }
 
@@ -152,13 +152,13 @@
      *
      * @return The number of such attempts.
      */
-    int fail() {
+    int countFailure() {
         failures++;
         return failures;
     }
 
     /**
-     * Returns the events so far.
+     * Returns the events received so far.
      *
      * @return The text.
      */
@@ -167,28 +167,28 @@
     }
 
     /**
-     * Goes on behind a text that an earlier runner has kept, if its versions are allowed.
+     * Resumes after a text that an earlier runner stored, if its versions are allowed.
      *
-     * @param kept The text.
-     * @param minimumVersion The oldest version that is allowed.
-     * @return Whether the item goes on behind it.
+     * @param stored The text.
+     * @param minimumVersion The minimum allowed version.
+     * @return Whether the item resumes after it.
      */
-    boolean resume(ItemText kept, long minimumVersion) {
+    boolean resume(ItemText stored, long minimumVersion) {
         boolean allowed = isWaiting()
-                && !kept.isEmpty()
-                && kept.versions().stream().allMatch(version -> version >= minimumVersion);
+                && !stored.isEmpty()
+                && stored.versions().stream().allMatch(version -> version >= minimumVersion);
         if (allowed) {
-            text = kept;
+            text = stored;
         }
         return allowed;
     }
 
     /**
-     * Replaces the events so far.
+     * Replaces the events received so far.
      *
      * @param replacement The text.
      */
-    void keep(ItemText replacement) {
+    void replaceText(ItemText replacement) {
         text = replacement;
     }
 
@@ -202,7 +202,7 @@
     }
 
     /**
-     * Returns the scoring of the whole output.
+     * Returns the scoring of the complete output.
      *
      * @return The scoring, or empty unless the score is outstanding.
      */
@@ -211,11 +211,11 @@
     }
 
     /**
-     * Lets the whole output wait for its score.
+     * Starts waiting for the score of the complete output.
      *
      * @param request The scoring request.
      * @param unscored The result, which lacks its score.
-     * @param now The present.
+     * @param now The current time.
      */
     void beginScoring(ScoringRequest request, BatchResult unscored, MonotonicTime now) {
         scoring = Optional.of(new ItemScoring(request, unscored, now));
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/RunningJob.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/RunningJob.java
@@ -19,42 +19,45 @@
     /** The job. */
     private final BatchJob job;
 
-    /** The items whose results are not listed, those that are expected to be long first. */
+    /** The items whose results are not listed, ordered by descending expected length. */
     private final Map<String, RunningItem> items = new LinkedHashMap<>();
 
-    /** The engines that last ran an item of a group, which keep the group's prompt in their memory. */
-    private final Map<String, EndpointName> groups = new HashMap<>();
+    /** The engine that last ran an item of each group, which has the group's prompt in its cache. */
+    private final Map<String, EndpointName> lastEngines = new HashMap<>();
 
-    /** When the job is given up, as far as items are left. */
-    private final MonotonicTime giveUpAt;
+    /** The deadline of the job, after which the remaining items are abandoned. */
+    private final MonotonicTime deadline;
 
     /** The number of the next object with texts in progress. */
     private int textObjects;
 
-    /** Since when free places were left to an earlier job in a row, if they are. */
+    /** The time since which free slots have continuously been left to an earlier job, if they are. */
     private Optional<MonotonicTime> yieldingSince = Optional.empty();
 
-    /** When this node began to run the job. */
-    private final MonotonicTime begunAt;
+    /** When this node started to run the job. */
+    private final MonotonicTime startedAt;
 
-    /** Whether results are on their way to the platform. */
+    /** Whether a write of results to the platform is in progress. */
     private boolean committing;
 
-    /** When the platform last answered on results, or when the next may be sent after a failure. */
+    /**
+     * When the platform last answered a write of results, or when the delay before the next write starts after a
+     * failure.
+     */
     private MonotonicTime commitAt;
 
     /**
-     * Creates a job of which nothing ran here.
+     * Creates a job without started items.
      *
      * @param job The job.
-     * @param log The results that are listed already.
-     * @param now The present.
-     * @param giveUpAt When the job is given up.
+     * @param log The results that are already listed.
+     * @param now The current time.
+     * @param deadline The deadline of the job.
      */
-    RunningJob(BatchJob job, ResultLog log, MonotonicTime now, MonotonicTime giveUpAt) {
-        begunAt = now;
+    RunningJob(BatchJob job, ResultLog log, MonotonicTime now, MonotonicTime deadline) {
+        startedAt = now;
         this.job = job;
-        this.giveUpAt = giveUpAt;
+        this.deadline = deadline;
         commitAt = now;
         List<BatchItem> ordered = new ArrayList<>(job.items());
         ordered.sort(Comparator.comparingLong(BatchItem::expectedTokens).reversed());
@@ -84,33 +87,34 @@
     }
 
     /**
-     * Notes whether free places are left to an earlier job, and returns whether that has lasted for long enough.
+     * Records whether free slots are left to an earlier job, and returns whether that has continued for the maximum
+     * time.
      *
-     * @param yielding Whether they are.
-     * @param now The present.
-     * @param longest For how long they may be left in a row.
-     * @return {@code true} if they were left for that long.
+     * @param yielding Whether free slots are left to an earlier job.
+     * @param now The current time.
+     * @param maximum The maximum time for which they may continuously be left.
+     * @return {@code true} if they have been left for that long.
      */
-    boolean hasYielded(boolean yielding, MonotonicTime now, Duration longest) {
+    boolean hasYielded(boolean yielding, MonotonicTime now, Duration maximum) {
         if (!yielding) {
             yieldingSince = Optional.empty();
             return false;
         }
         yieldingSince = Optional.of(yieldingSince.orElse(now));
-        return now.since(yieldingSince.get()).compareTo(longest) >= 0;
+        return now.since(yieldingSince.get()).compareTo(maximum) >= 0;
     }
 
     /**
-     * Returns when this node began to run the job.
+     * Returns when this node started to run the job.
      *
      * @return The time.
      */
-    MonotonicTime begunAt() {
-        return begunAt;
+    MonotonicTime startedAt() {
+        return startedAt;
     }
 
     /**
-     * Returns the items that wait for a place at an engine.
+     * Returns the items that wait for a slot at an engine.
      *
      * @return The items, in the order in which they are run.
      */
@@ -129,22 +133,23 @@
     }
 
     /**
-     * Lets an item go on behind a text that an earlier runner has kept.
+     * Resumes an item after a text that an earlier runner stored.
      *
      * @param id The item's identifier.
      * @param text The text.
-     * @return Whether it does, as it needs a result still and the text's versions are allowed.
+     * @return Whether the item resumes after the text, which requires that it still needs a result and that the text's
+     *     versions are allowed.
      */
     boolean resume(String id, ItemText text) {
         return find(id).filter(item -> item.resume(text, job.minimumVersion())).isPresent();
     }
 
     /**
-     * Drops items whose results are listed.
+     * Removes items whose results are listed.
      *
      * @param listed The results.
      */
-    void drop(List<BatchResult> listed) {
+    void removeListed(List<BatchResult> listed) {
         listed.forEach(result -> items.remove(result.item()));
     }
 
@@ -160,11 +165,11 @@
     }
 
     /**
-     * Returns whether a group has become whole with results that are not listed. Whoever reads a job uses whole groups.
+     * Returns whether unlisted results complete a group. Readers of a job use complete groups.
      *
-     * @return {@code true} if all items of such a group have results.
+     * @return {@code true} if all items of a group with unlisted results have results.
      */
-    boolean hasWholeGroupPending() {
+    boolean hasCompleteGroupPending() {
         Set<String> open = new HashSet<>();
         Set<String> pending = new HashSet<>();
         for (RunningItem item : items.values()) {
@@ -177,33 +182,33 @@
     /**
      * Returns whether all items have results.
      *
-     * @return {@code true} if none waits or runs.
+     * @return {@code true} if no item waits, runs or is being scored.
      */
     boolean isFinished() {
         return items.values().stream().allMatch(item -> item.result().isPresent());
     }
 
     /**
-     * Returns whether the time for the job has passed.
+     * Returns whether the deadline of the job has passed.
      *
-     * @param now The present.
-     * @return {@code true} if what is left is to be given up.
+     * @param now The current time.
+     * @return {@code true} if the remaining items have to be abandoned.
      */
     boolean isOverdue(MonotonicTime now) {
-        return !now.isBefore(giveUpAt);
+        return !now.isBefore(deadline);
     }
 
     /**
-     * Returns when the job is given up.
+     * Returns the deadline of the job.
      *
      * @return The time.
      */
-    MonotonicTime giveUpAt() {
-        return giveUpAt;
+    MonotonicTime deadline() {
+        return deadline;
     }
 
     /**
-     * Returns the number of the next object with texts in progress, which is handed out once.
+     * Allocates the number of the next object with texts in progress.
      *
      * @return The number.
      */
@@ -212,11 +217,11 @@
     }
 
     /**
-     * Notes how many objects with texts in progress there are from an earlier runner.
+     * Skips the numbers of objects with texts in progress that an earlier runner wrote.
      *
-     * @param count The number of the next one.
+     * @param count The number of the next object.
      */
-    void countTextObjects(int count) {
+    void skipTextObjects(int count) {
         textObjects = Math.max(textObjects, count);
     }
 
@@ -227,39 +232,39 @@
      * @return The engine, or empty if none did.
      */
     Optional<EndpointName> lastEngine(String group) {
-        return Optional.ofNullable(groups.get(group));
+        return Optional.ofNullable(lastEngines.get(group));
     }
 
     /**
-     * Notes that an engine runs an item of a group.
+     * Records that an engine runs an item of a group.
      *
      * @param group The group.
      * @param endpoint The engine.
      */
-    void remember(String group, EndpointName endpoint) {
-        groups.put(group, endpoint);
+    void setLastEngine(String group, EndpointName endpoint) {
+        lastEngines.put(group, endpoint);
     }
 
     /**
-     * Returns whether results may be sent to the platform.
+     * Returns whether results may be written to the platform.
      *
-     * @param now The present.
-     * @param pause The pause after the last results.
-     * @return {@code true} if none are on their way and the pause has passed.
+     * @param now The current time.
+     * @param delay The delay after the last write of results.
+     * @return {@code true} if no write is in progress and the delay has passed.
      */
-    boolean mayCommit(MonotonicTime now, Duration pause) {
-        return !committing && !now.isBefore(commitAt.plus(pause));
+    boolean mayCommit(MonotonicTime now, Duration delay) {
+        return !committing && !now.isBefore(commitAt.plus(delay));
     }
 
-    /** Notes that results are on their way. */
+    /** Records that a write of results has started. */
     void beginCommit() {
         committing = true;
     }
 
     /**
-     * Notes that the platform answered, or that no answer will come.
+     * Records that the platform answered, or that no answer is expected any more.
      *
-     * @param at From when on the pause before the next results counts.
+     * @param at When the delay before the next write starts.
      */
     void endCommit(MonotonicTime at) {
         committing = false;
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/ScoringLoads.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/ScoringLoads.java
@@ -11,16 +11,21 @@
 import java.util.Set;
 
 /**
- * Chooses the endpoints of scoring requests. It answers the bursts that come when whole groups finish at once: this
- * node holds at most half of an endpoint's places with scoring requests, such that plain requests of the same service
- * find a place at once, and the rest of a burst waits here, from where it goes to whichever endpoint is free first.
+ * Chooses the endpoints of scoring requests. Whole groups may finish at once and cause bursts of requests: this node
+ * uses at most half of an endpoint's slots for scoring requests, so that plain requests of the same service find a free
+ * slot at once, and the rest of a burst waits at this node until any endpoint has a free slot.
  */
 final class ScoringLoads {
 
-    /** The share of an endpoint's places that this node takes for scoring. Plain requests keep the other half. */
-    private static final double PLACE_SHARE = 0.5;
+    /**
+     * The maximum share of an endpoint's slots that this node uses for scoring. The other half remains for plain
+     * requests.
+     */
+    private static final double MAXIMUM_SLOT_SHARE = 0.5;
 
-    /** Chooses endpoints by the times and loads of scoring requests, which take longer than other plain requests. */
+    /**
+     * Chooses endpoints by the latencies and loads of scoring requests, which take longer than other plain requests.
+     */
     private final EndpointSelection selection;
 
     /**
@@ -38,19 +43,19 @@
      *
      * @param working The endpoints that may get new work.
      * @param busy The endpoints at which attempts of the same request are in progress.
-     * @param now The present.
-     * @return The endpoint, or empty while this node holds its share of the places of all of them.
+     * @param now The current time.
+     * @return The endpoint, or empty while this node uses its share of the slots of all of them.
      */
     Optional<RegisteredEndpoint> choose(List<RegisteredEndpoint> working, Set<EndpointName> busy, MonotonicTime now) {
         List<RegisteredEndpoint> free = working.stream()
                 .filter(endpoint -> !busy.contains(endpoint.name()))
-                .filter(endpoint -> selection.running(endpoint) < share(endpoint))
+                .filter(endpoint -> selection.running(endpoint) < maximumSlots(endpoint))
                 .toList();
         return selection.choose(free, Set.of(), now);
     }
 
     /**
-     * Counts an attempt that begins.
+     * Counts an attempt that starts.
      *
      * @param endpoint The endpoint.
      */
@@ -59,7 +64,7 @@
     }
 
     /**
-     * Counts an attempt that ended without a word on the endpoint.
+     * Counts an attempt that ended.
      *
      * @param endpoint The endpoint.
      */
@@ -68,14 +73,14 @@
     }
 
     /**
-     * Takes what an attempt says of its endpoint.
+     * Records the latency or failure of an ended attempt.
      *
      * @param attempt The attempt, which has ended.
-     * @param outcome What became of it.
-     * @param now The present.
+     * @param outcome The outcome of the attempt.
+     * @param now The current time.
      */
     void measure(ItemScoring.Attempt attempt, ScoringOutcome outcome, MonotonicTime now) {
-        Duration took = now.since(attempt.begunAt());
+        Duration took = now.since(attempt.startedAt());
         if (outcome instanceof ScoringOutcome.Scored || outcome instanceof ScoringOutcome.Failed) {
             selection.succeed(attempt.endpoint(), took, now);
         } else {
@@ -84,42 +89,42 @@
     }
 
     /**
-     * Takes the load that an endpoint told.
+     * Records the load that an endpoint reported.
      *
      * @param endpoint The endpoint.
-     * @param running The number of requests that it runs or that wait there.
-     * @param now The present.
+     * @param running The number of requests that run or wait there.
+     * @param now The current time.
      */
-    void tell(RegisteredEndpoint endpoint, int running, MonotonicTime now) {
+    void recordLoad(RegisteredEndpoint endpoint, int running, MonotonicTime now) {
         selection.tell(endpoint, running, now);
     }
 
     /**
-     * Takes that an attempt has gone on for so long that another one is made beside it.
+     * Records that an attempt is late, so that another one is made concurrently.
      *
      * @param attempt The attempt, which is still in progress.
-     * @param now The present.
+     * @param now The current time.
      */
-    void late(ItemScoring.Attempt attempt, MonotonicTime now) {
-        selection.slow(attempt.endpoint(), now.since(attempt.begunAt()), now);
+    void recordLate(ItemScoring.Attempt attempt, MonotonicTime now) {
+        selection.slow(attempt.endpoint(), now.since(attempt.startedAt()), now);
     }
 
     /**
-     * Forgets endpoints that are gone.
+     * Removes endpoints that are gone.
      *
-     * @param present The endpoints that there are.
+     * @param present The endpoints that still exist.
      */
     void retain(List<RegisteredEndpoint> present) {
         selection.retain(present);
     }
 
     /**
-     * Returns the number of places of an endpoint that this node may hold.
+     * Returns the number of slots of an endpoint that this node may use.
      *
      * @param endpoint The endpoint.
      * @return The number, at least one.
      */
-    private static int share(RegisteredEndpoint endpoint) {
-        return Math.max(1, (int) (endpoint.slots() * PLACE_SHARE));
+    private static int maximumSlots(RegisteredEndpoint endpoint) {
+        return Math.max(1, (int) (endpoint.slots() * MAXIMUM_SLOT_SHARE));
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/ScoringOutcome.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/ScoringOutcome.java
@@ -2,7 +2,7 @@
 
 import io.yuccaswitch.core.quarantine.Loss;
 
-/** What became of one attempt to have an output scored. */
+/** The outcome of one attempt to have an output scored. */
 public sealed interface ScoringOutcome {
 
     /**
@@ -12,7 +12,7 @@
      */
     record Scored(String score) implements ScoringOutcome {}
 
-    /** The endpoint ran the request and failed, which counts as an attempt of the route. */
+    /** The endpoint ran the request and failed, which counts towards the attempts of the route. */
     record Failed() implements ScoringOutcome {}
 
     /**
@@ -23,15 +23,15 @@
     record Refused(String reason) implements ScoringOutcome {}
 
     /**
-     * There is no answer that can be trusted, and the request may have run.
+     * There is no usable answer, and the request may have run.
      *
      * @param reason The reason, for logs.
-     * @param loss What the loss of the answer says of the endpoint.
+     * @param loss What the loss of the answer indicates about the endpoint.
      */
     record Interrupted(String reason, Loss loss) implements ScoringOutcome {
 
         /**
-         * Creates an outcome of an endpoint that lives.
+         * Creates an outcome of an endpoint that is still running.
          *
          * @param reason The reason, for logs.
          */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/ScoringRequest.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/ScoringRequest.java
@@ -18,10 +18,10 @@
     /** The method of the requests. */
     private static final String METHOD = "POST";
 
-    /** What a header can bear. */
+    /** The identifiers and hosts that can be sent in a header. */
     private static final Pattern HEADER_TEXT = Pattern.compile("[!-~]{1,256}");
 
-    /** Checks that the request can be sent. */
+    /** Validates that the request can be sent. */
     public ScoringRequest {
         if (!HEADER_TEXT.matcher(id).matches()) {
             throw new IllegalArgumentException("A scoring request needs an identifier of visible characters");
@@ -35,8 +35,8 @@
     }
 
     /**
-     * Computes the fingerprint by which the request is recognised at other nodes. Requests for the items of a group may
-     * have the same body, so the identifier counts too.
+     * Computes the fingerprint that identifies the request at all nodes. Requests for the items of a group may have the
+     * same body, so the fingerprint includes the identifier.
      *
      * @return The fingerprint.
      */
@@ -54,7 +54,7 @@
     }
 
     /**
-     * Returns the path without its query, by which the route is found.
+     * Returns the path without its query, which selects the route.
      *
      * @return The path.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/ScoringSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/ScoringSystem.java
@@ -19,41 +19,44 @@
 import java.util.stream.Collectors;
 
 /**
- * Has the whole outputs of items scored by plain services. An item's output is listed only with its score, so one late
- * score holds back its whole group: an attempt that stays away is joined by another one at another endpoint, and the
- * first answer counts.
+ * Requests the scores of complete outputs from plain services. An item's output is listed only with its score, so one
+ * late score delays its whole group: a late attempt is hedged by another one at another endpoint, and the first answer
+ * is used.
  */
 final class ScoringSystem implements DecisionSystem {
 
     /**
-     * The share of the route's time for a useful answer after which an attempt is joined by another one. Half of it
-     * leaves the other half for the second one.
+     * The share of the route's latency target after which an attempt is hedged by another one. Half of the target
+     * leaves the other half for the second attempt.
      */
-    private static final double HEDGE_SHARE = 0.5;
+    private static final double HEDGE_DELAY_SHARE = 0.5;
 
     /**
-     * The largest number of attempts of one request in progress. Two endpoints that hang at once, as when a zone is cut
-     * off, still leave one that answers.
+     * The maximum number of concurrent attempts of one request. If two endpoints hang at the same time, such as when an
+     * availability zone is partitioned, one can still answer.
      */
-    private static final int MAXIMUM_IN_PROGRESS = 3;
+    private static final int MAXIMUM_ATTEMPTS_IN_PROGRESS = 3;
 
     /**
-     * How long the route of a scoring request may be missing before its item is given up: the time within which a
-     * configuration is in force at all nodes.
+     * How long the route of a scoring request may be missing before its item is abandoned: the time within which a
+     * configuration becomes active at all nodes.
      */
-    private static final Duration ROUTE_PATIENCE = Duration.ofSeconds(5);
+    private static final Duration MISSING_ROUTE_TIMEOUT = Duration.ofSeconds(5);
 
-    /** The wait before the third attempt in a row, which doubles with each further one. The second is made at once. */
-    private static final Duration FIRST_WAIT = Duration.ofMillis(50);
+    /**
+     * The backoff before the third consecutive attempt, which doubles with each further one. The second attempt is made
+     * immediately.
+     */
+    private static final Duration INITIAL_BACKOFF = Duration.ofMillis(50);
 
     /**
-     * The longest wait between attempts in a row. It answers a service that is gone or full for all: without a wait
-     * each request would be sent again as fast as it is refused, some hundred times a second.
+     * The maximum backoff between consecutive attempts. It limits the load on a service that is unavailable or full:
+     * without a backoff each request would be resent as fast as it is refused, some hundred times a second.
      */
-    private static final Duration LONGEST_WAIT = Duration.ofMillis(400);
+    private static final Duration MAXIMUM_BACKOFF = Duration.ofMillis(400);
 
-    /** The least time that is worth an attempt. */
-    private static final Duration LEAST_TIME = Duration.ofMillis(5);
+    /** The minimum remaining time for which an attempt is made. */
+    private static final Duration MINIMUM_ATTEMPT_TIME = Duration.ofMillis(5);
 
     /** The tables of the batch system. */
     private final BatchState state;
@@ -69,7 +72,7 @@
 
     @Override
     public void run(Tick tick) {
-        tick.events(BatchEvent.ScoringEnded.class).forEach(ended -> take(tick, ended));
+        tick.events(BatchEvent.ScoringEnded.class).forEach(ended -> handle(tick, ended));
         List<Outstanding> outstanding = new ArrayList<>();
         for (RunningJob job : state.running().view()) {
             collect(job, outstanding);
@@ -106,7 +109,7 @@
     }
 
     /**
-     * Makes the next attempt of a request, if it is time for one.
+     * Starts the next attempt of a request if one is due.
      *
      * @param tick The tick.
      * @param entry The item.
@@ -115,20 +118,20 @@
         ItemScoring scoring = entry.scoring();
         Optional<Route> route =
                 state.routes().find(scoring.request().host(), scoring.request().routePath());
-        Optional<MonotonicTime> missing = scoring.noteRoute(route.isPresent(), tick.now());
+        Optional<MonotonicTime> missing = scoring.updateRoute(route.isPresent(), tick.now());
         if (missing.isPresent()) {
-            if (tick.now().since(missing.get()).compareTo(ROUTE_PATIENCE) >= 0) {
-                giveUp(tick, entry, "no route serves its scoring request");
+            if (tick.now().since(missing.get()).compareTo(MISSING_ROUTE_TIMEOUT) >= 0) {
+                abandon(tick, entry, "no route serves the scoring request");
             }
             return;
         }
         if (!isDue(tick, entry, route.get())) {
             return;
         }
-        Duration left = entry.job().giveUpAt().since(tick.now());
+        Duration left = entry.job().deadline().since(tick.now());
         Duration allowed =
                 left.compareTo(route.get().timeout()) < 0 ? left : route.get().timeout();
-        if (allowed.compareTo(LEAST_TIME) < 0) {
+        if (allowed.compareTo(MINIMUM_ATTEMPT_TIME) < 0) {
             return;
         }
         List<RegisteredEndpoint> working = working(tick, route.get());
@@ -142,25 +145,25 @@
     }
 
     /**
-     * Returns whether another attempt is to be made now.
+     * Returns whether another attempt is due.
      *
      * @param tick The tick.
      * @param entry The item.
      * @param route The route of the scoring request.
-     * @return {@code true} if none is in progress, or if those in progress stay away for too long.
+     * @return {@code true} if none is in progress and the backoff has passed, or if those in progress are late.
      */
     private boolean isDue(Tick tick, Outstanding entry, Route route) {
         List<ItemScoring.Attempt> running = entry.scoring().running();
         if (running.isEmpty()) {
             return entry.scoring().mayBegin(tick.now());
         }
-        boolean allowed =
-                running.size() < MAXIMUM_IN_PROGRESS && entry.scoring().runs() < Math.max(1, route.maximumAttempts());
+        boolean allowed = running.size() < MAXIMUM_ATTEMPTS_IN_PROGRESS
+                && entry.scoring().possibleRuns() < Math.max(1, route.maximumAttempts());
         ItemScoring.Attempt newest = running.get(running.size() - 1);
-        Duration patience = Duration.ofNanos((long) (route.latencyTarget().toNanos() * HEDGE_SHARE))
+        Duration hedgeDelay = Duration.ofNanos((long) (route.latencyTarget().toNanos() * HEDGE_DELAY_SHARE))
                 .multipliedBy(running.size());
         return allowed
-                && tick.now().since(newest.begunAt()).compareTo(patience) >= 0
+                && tick.now().since(newest.startedAt()).compareTo(hedgeDelay) >= 0
                 && state.quarantine().allowsRetry(entry.scoring().request()::fingerprint);
     }
 
@@ -182,7 +185,7 @@
      * @param tick The tick.
      * @param scoring The scoring.
      * @param working The endpoints that may get the request.
-     * @return The endpoint, or empty if there is none with a place.
+     * @return The endpoint, or empty if none has a free slot.
      */
     private Optional<RegisteredEndpoint> choose(Tick tick, ItemScoring scoring, List<RegisteredEndpoint> working) {
         Set<EndpointName> busy = scoring.running().stream()
@@ -197,12 +200,12 @@
      * @param tick The tick.
      * @param entry The item.
      * @param endpoint The endpoint.
-     * @param allowed How long the attempt may take.
+     * @param allowed The time allowed for the attempt.
      */
     private void start(Tick tick, Outstanding entry, RegisteredEndpoint endpoint, Duration allowed) {
         ItemScoring scoring = entry.scoring();
         boolean hedges = !scoring.running().isEmpty();
-        scoring.running().forEach(attempt -> state.scoringLoads().late(attempt, tick.now()));
+        scoring.running().forEach(attempt -> state.scoringLoads().recordLate(attempt, tick.now()));
         int attempt = scoring.begin(endpoint, tick.now());
         state.scoringLoads().begin(endpoint);
         BatchItem item = entry.item().item();
@@ -219,16 +222,16 @@
                 item.id(),
                 endpoint.name().value(),
                 "scoring request " + scoring.request().id() + " attempt " + attempt
-                        + (hedges ? " beside a late one" : "") + ", items left of its group " + entry.left()));
+                        + (hedges ? " concurrent with a late one" : "") + ", items left in its group " + entry.left()));
     }
 
     /**
-     * Takes the end of an attempt.
+     * Handles the end of an attempt.
      *
      * @param tick The tick.
      * @param ended The end of the attempt.
      */
-    private void take(Tick tick, BatchEvent.ScoringEnded ended) {
+    private void handle(Tick tick, BatchEvent.ScoringEnded ended) {
         Optional<RunningJob> job = state.running().find(ended.id());
         Optional<RunningItem> item = job.flatMap(found -> found.find(ended.item()));
         Optional<ItemScoring> scoring = item.flatMap(RunningItem::scoring);
@@ -239,35 +242,35 @@
         RegisteredEndpoint endpoint = attempt.get().endpoint();
         state.scoringLoads().end(endpoint);
         state.scoringLoads().measure(attempt.get(), ended.outcome(), tick.now());
-        ended.load().ifPresent(load -> state.scoringLoads().tell(endpoint, load, tick.now()));
+        ended.load().ifPresent(load -> state.scoringLoads().recordLoad(endpoint, load, tick.now()));
         Outstanding entry = new Outstanding(job.get(), item.get(), scoring.get(), 0);
         if (ended.outcome() instanceof ScoringOutcome.Scored scored) {
             complete(tick, entry, attempt.get(), scored.score());
         } else if (ended.outcome() instanceof ScoringOutcome.Failed) {
             fail(tick, entry, attempt.get());
         } else if (ended.outcome() instanceof ScoringOutcome.Refused refused) {
-            again(tick, entry, attempt.get(), refused.reason());
+            retry(tick, entry, attempt.get(), refused.reason());
         } else if (ended.outcome() instanceof ScoringOutcome.Interrupted interrupted) {
-            scoring.get().mayHaveRun();
+            scoring.get().countPossibleRun();
             ScoringRequest request = scoring.get().request();
             state.quarantine()
                     .lose(tick, request::fingerprint, request.describe(), endpoint.name(), interrupted.loss());
-            again(tick, entry, attempt.get(), interrupted.reason());
+            retry(tick, entry, attempt.get(), interrupted.reason());
         }
     }
 
     /**
-     * Takes a score.
+     * Completes an item with its score.
      *
      * @param tick The tick.
      * @param entry The item.
-     * @param attempt The attempt that brought it.
+     * @param attempt The attempt that supplied it.
      * @param score The score.
      */
     private void complete(Tick tick, Outstanding entry, ItemScoring.Attempt attempt, String score) {
         ItemScoring scoring = entry.scoring();
         state.quarantine().serve(tick, scoring.request()::fingerprint, attempt.number() == 1);
-        state.breakOffScoring(tick, entry.job().job().id(), entry.item());
+        state.cancelScoring(tick, entry.job().job().id(), entry.item());
         entry.item().finish(scoring.unscored().withScore(score));
         tick.decide(Decision.of(
                 "batch-score",
@@ -275,12 +278,12 @@
                 "scored",
                 "scoring request " + scoring.request().id() + " attempt " + attempt.number() + " at "
                         + attempt.endpoint().name().value() + ", "
-                        + tick.now().since(scoring.since()).toMillis() + " ms after the output was whole"));
+                        + tick.now().since(scoring.since()).toMillis() + " ms after the output was complete"));
     }
 
     /**
-     * Takes a failure of an endpoint, and gives the item up after as many as the route allows, such that its group does
-     * not wait for it.
+     * Handles a failure of an endpoint, and abandons the item once the failures reach the number of attempts that the
+     * route allows, so that its group does not wait for it.
      *
      * @param tick The tick.
      * @param entry The item.
@@ -288,30 +291,30 @@
      */
     private void fail(Tick tick, Outstanding entry, ItemScoring.Attempt attempt) {
         ScoringRequest request = entry.scoring().request();
-        entry.scoring().mayHaveRun();
-        int failures = entry.scoring().fail();
+        entry.scoring().countPossibleRun();
+        int failures = entry.scoring().countFailure();
         int allowed = state.routes()
                 .find(request.host(), request.routePath())
                 .map(Route::maximumAttempts)
                 .orElse(1);
         if (failures >= Math.max(1, allowed)) {
-            giveUp(tick, entry, "its scoring request " + request.id() + " failed " + failures + " times");
+            abandon(tick, entry, "scoring request " + request.id() + " failed " + failures + " times");
             return;
         }
-        again(tick, entry, attempt, "the endpoint failed");
+        retry(tick, entry, attempt, "the endpoint failed");
     }
 
     /**
-     * Lets a request wait for another attempt.
+     * Schedules the next attempt of a request after a backoff.
      *
      * @param tick The tick.
      * @param entry The item.
      * @param attempt The attempt that ended.
-     * @param reason Why.
+     * @param reason The reason.
      */
-    private static void again(Tick tick, Outstanding entry, ItemScoring.Attempt attempt, String reason) {
-        int misses = entry.scoring().miss();
-        entry.scoring().waitUntil(tick.now().plus(pause(misses, tick.random().nextDouble())));
+    private static void retry(Tick tick, Outstanding entry, ItemScoring.Attempt attempt, String reason) {
+        int misses = entry.scoring().countMiss();
+        entry.scoring().waitUntil(tick.now().plus(backoff(misses, tick.random().nextDouble())));
         tick.decide(Decision.of(
                 "batch-score",
                 entry.item().item().id(),
@@ -321,32 +324,33 @@
     }
 
     /**
-     * Returns how long the next attempt waits.
+     * Returns the backoff before the next attempt.
      *
-     * @param misses The number of attempts in a row that ended without a score.
-     * @param drawn A number from 0 to below 1, by which requests that were refused together come back spread.
+     * @param misses The number of consecutive attempts that ended without a score.
+     * @param random A random number from 0 to below 1, which spreads the retries of requests that were refused at the
+     *     same time.
      * @return The time.
      */
-    private static Duration pause(int misses, double drawn) {
+    private static Duration backoff(int misses, double random) {
         if (misses < 2) {
             return Duration.ZERO;
         }
-        Duration doubled = FIRST_WAIT.multipliedBy(1L << Math.min(misses - 2, 4));
-        Duration longest = doubled.compareTo(LONGEST_WAIT) < 0 ? doubled : LONGEST_WAIT;
-        return Duration.ofNanos((long) (longest.toNanos() * (0.5 + drawn / 2)));
+        Duration doubled = INITIAL_BACKOFF.multipliedBy(1L << Math.min(misses - 2, 4));
+        Duration limited = doubled.compareTo(MAXIMUM_BACKOFF) < 0 ? doubled : MAXIMUM_BACKOFF;
+        return Duration.ofNanos((long) (limited.toNanos() * (0.5 + random / 2)));
     }
 
     /**
-     * Gives an item up.
+     * Abandons an item.
      *
      * @param tick The tick.
      * @param entry The item.
-     * @param reason Why.
+     * @param reason The reason.
      */
-    private void giveUp(Tick tick, Outstanding entry, String reason) {
-        state.breakOffScoring(tick, entry.job().job().id(), entry.item());
+    private void abandon(Tick tick, Outstanding entry, String reason) {
+        state.cancelScoring(tick, entry.job().job().id(), entry.item());
         String item = entry.item().item().id();
-        entry.item().finish(BatchResult.givenUp(item));
+        entry.item().finish(BatchResult.abandoned(item));
         tick.decide(Decision.of("batch-item", item, "given up", reason));
     }
 
@@ -356,7 +360,7 @@
      * @param job The job.
      * @param item The item.
      * @param scoring The scoring.
-     * @param left How many items of its group have no result. Those of groups that are nearly whole go first.
+     * @param left The number of items of its group without a result. Items of nearly complete groups are scored first.
      */
     private record Outstanding(RunningJob job, RunningItem item, ItemScoring scoring, int left) {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/SlowEngineSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/SlowEngineSystem.java
@@ -11,11 +11,14 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Reads how fast engines make events, and lets the items of one that has turned slow or silent go on at others. */
+/**
+ * Measures the event rates of engines, and moves the items of an engine that has become slow or silent to other
+ * engines.
+ */
 final class SlowEngineSystem implements DecisionSystem {
 
-    /** How long a slow engine gets no item, before it is tried again. */
-    private static final Duration SLOW_PAUSE = Duration.ofSeconds(3);
+    /** How long a slow engine is excluded before it is tried again. */
+    private static final Duration SLOW_ENGINE_EXCLUSION = Duration.ofSeconds(3);
 
     /** The tables of the batch system. */
     private final BatchState state;
@@ -24,7 +27,7 @@
     private final EngineChoice choice;
 
     /**
-     * Creates a system that has read nothing.
+     * Creates a system without readings.
      *
      * @param state The tables of the batch system.
      */
@@ -35,16 +38,16 @@
 
     @Override
     public void run(Tick tick) {
-        tick.events(BatchEvent.Progressed.class).forEach(progressed -> takeProgress(tick, progressed));
+        tick.events(BatchEvent.Progressed.class).forEach(progressed -> handleProgress(tick, progressed));
     }
 
     /**
-     * Takes the progress of attempts, and lets the items of an engine that has turned slow go on at others.
+     * Handles the progress of attempts, and moves the items of an engine that has become slow to other engines.
      *
      * @param tick The tick.
      * @param progressed The progress.
      */
-    private void takeProgress(Tick tick, BatchEvent.Progressed progressed) {
+    private void handleProgress(Tick tick, BatchEvent.Progressed progressed) {
         Map<EndpointName, EngineRates.Reading> readings = new HashMap<>();
         for (BatchEvent.Progress progress : progressed.attempts()) {
             current(progress)
@@ -53,21 +56,21 @@
                             item.read(progress.events(), progress.since()),
                             EngineRates.Reading::join));
         }
-        readings.forEach((engine, reading) -> state.rates().read(engine, reading, tick.now()));
-        readings.keySet().forEach(engine -> judge(tick, engine));
+        readings.forEach((engine, reading) -> state.rates().addReading(engine, reading, tick.now()));
+        readings.keySet().forEach(engine -> evaluate(tick, engine));
         if (readings.keySet().stream().anyMatch(engine -> choice.isSlow(tick, engine))) {
             state.running().rows().forEach(job -> leaveSlowEngines(tick, job));
         }
     }
 
     /**
-     * Judges whether an engine is slow, after it was read.
+     * Evaluates whether an engine is slow after a reading.
      *
      * @param tick The tick.
      * @param engine The engine.
      */
-    private void judge(Tick tick, EndpointName engine) {
-        EngineRates.Verdict verdict = state.rates().judge(engine);
+    private void evaluate(Tick tick, EndpointName engine) {
+        EngineRates.Verdict verdict = state.rates().evaluate(engine);
         if (verdict == EngineRates.Verdict.UNCHANGED) {
             return;
         }
@@ -89,8 +92,8 @@
     }
 
     /**
-     * Breaks off attempts of a job at slow engines, as many as find a place at others, where they go on behind their
-     * events.
+     * Cancels attempts of a job at slow engines, at most as many as other engines have free slots, where the items
+     * resume after their events.
      *
      * @param tick The tick.
      * @param job The job.
@@ -105,9 +108,9 @@
                         .filter(engine -> choice.isSlow(tick, engine))
                         .isPresent())
                 .toList();
-        long places = choice.engines(tick, job, route.get()).stream()
+        long availableSlots = choice.engines(tick, job, route.get()).stream()
                 .filter(engine -> !choice.isSlow(tick, engine.name()))
-                .mapToLong(choice::freePlaces)
+                .mapToLong(choice::freeSlots)
                 .sum();
         long moving = state.running().view().stream()
                 .flatMap(other -> other.items().stream())
@@ -115,12 +118,12 @@
                 .count();
         leaving.stream()
                 .filter(item -> !item.isMoving())
-                .limit(Math.max(0, places - moving))
+                .limit(Math.max(0, availableSlots - moving))
                 .forEach(item -> move(tick, job, item));
     }
 
     /**
-     * Breaks an attempt at a slow engine off, such that the item goes on elsewhere.
+     * Cancels an attempt at a slow engine so that the item resumes at another engine.
      *
      * @param tick The tick.
      * @param job The job.
@@ -128,7 +131,7 @@
      */
     private void move(Tick tick, RunningJob job, RunningItem item) {
         EndpointName engine = item.endpoint().orElseThrow();
-        state.loads().pause(engine, job.job().model(), tick.now(), SLOW_PAUSE);
+        state.loads().exclude(engine, job.job().model(), tick.now(), SLOW_ENGINE_EXCLUSION);
         state.move(
                 tick, job, item, engine.value() + " is slow: " + state.rates().describe(engine));
     }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/TextCheckpointSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/TextCheckpointSystem.java
@@ -15,31 +15,32 @@
 import java.util.OptionalLong;
 
 /**
- * Keeps the texts of long items on the platform as they grow, each time only what was added. It answers the death of
- * all nodes at once: the longest items decide when a step ends, and begun anew they cost it up to their whole 7 s.
+ * Stores the texts of long items on the platform as they grow, each time only the added part. This limits the loss when
+ * all nodes fail at once: the longest items determine when a step ends, and restarting them from the beginning would
+ * delay it by up to their full 7 s.
  */
 final class TextCheckpointSystem implements DecisionSystem {
 
-    /** The wait before a job's first checkpoint, by which most items are whole. */
-    private static final Duration FIRST_WAIT = Duration.ofSeconds(1);
+    /** The delay before a job's first checkpoint. Most items complete within it. */
+    private static final Duration INITIAL_DELAY = Duration.ofSeconds(1);
 
     /**
-     * The pause between two checkpoints of a job. Each is a call that has a price (three or four a step, of about a
-     * hundred); what was made since the last one is lost.
+     * The interval between two checkpoints of a job. Each checkpoint is an additional platform call (three or four of
+     * about a hundred per step); events since the last one are lost in a failure.
      */
-    private static final Duration INTERVAL = Duration.ofSeconds(2);
+    private static final Duration CHECKPOINT_INTERVAL = Duration.ofSeconds(2);
 
-    /** The wait after a call that failed. */
-    private static final Duration FAILURE_WAIT = Duration.ofMillis(500);
+    /** The delay after a failed call. */
+    private static final Duration FAILURE_DELAY = Duration.ofMillis(500);
 
-    /** The largest size of the events in one object, in bytes. Encoded, they stay well below a megabyte. */
-    private static final long OBJECT_BYTES = 450_000;
+    /** The maximum size of the events in one object, in bytes. Encoded, they stay well below a megabyte. */
+    private static final long MAXIMUM_OBJECT_BYTES = 450_000;
 
     /** The tables of the batch system. */
     private final BatchState state;
 
-    /** What is to be kept, by job. */
-    private final Map<BatchJobId, Pending> jobs = new HashMap<>();
+    /** The parts that have to be stored, by job. */
+    private final Map<BatchJobId, Pending> pendingByJob = new HashMap<>();
 
     /**
      * Creates a system without texts.
@@ -52,19 +53,19 @@
 
     @Override
     public void run(Tick tick) {
-        tick.events(BatchEvent.TextGrown.class).forEach(grown -> take(tick, grown));
-        tick.events(BatchEvent.AttemptEnded.class).forEach(ended -> takeKept(tick, ended));
-        jobs.keySet().removeIf(id -> !state.running().contains(id));
-        jobs.forEach((id, pending) -> writeIfDue(tick, id, pending));
+        tick.events(BatchEvent.TextGrown.class).forEach(grown -> handle(tick, grown));
+        tick.events(BatchEvent.AttemptEnded.class).forEach(ended -> handleAttemptEnd(tick, ended));
+        pendingByJob.keySet().removeIf(id -> !state.running().contains(id));
+        pendingByJob.forEach((id, pending) -> writeIfDue(tick, id, pending));
     }
 
     /**
-     * Takes what an attempt in progress has added to a text.
+     * Handles the events that an attempt in progress has added to a text.
      *
      * @param tick The tick.
-     * @param grown What was added.
+     * @param grown The added events.
      */
-    private void take(Tick tick, BatchEvent.TextGrown grown) {
+    private void handle(Tick tick, BatchEvent.TextGrown grown) {
         boolean current = state.running()
                 .find(grown.id())
                 .flatMap(job -> job.find(grown.item()))
@@ -76,44 +77,45 @@
     }
 
     /**
-     * Takes the whole text of an item whose attempt broke off, as the next attempt goes on behind all of it, or drops
-     * what is whole.
+     * Handles the end of an attempt: adds the full text of an interrupted item, as the next attempt resumes after all
+     * of it, or drops the part of an item that needs no text any more.
      *
      * @param tick The tick.
-     * @param ended The end of the attempt, which was taken before.
+     * @param ended The end of the attempt, which the item has already processed.
      */
-    private void takeKept(Tick tick, BatchEvent.AttemptEnded ended) {
+    private void handleAttemptEnd(Tick tick, BatchEvent.AttemptEnded ended) {
         Optional<ItemText> text = state.running()
                 .find(ended.id())
                 .flatMap(job -> job.find(ended.item()))
                 .map(RunningItem::text)
-                .filter(kept -> !kept.isEmpty());
+                .filter(stored -> !stored.isEmpty());
         if (text.isPresent()) {
             add(tick, ended.id(), new TextPart(ended.item(), 0, text.get()));
-        } else if (jobs.containsKey(ended.id())) {
-            jobs.get(ended.id()).parts.remove(ended.item());
+        } else if (pendingByJob.containsKey(ended.id())) {
+            pendingByJob.get(ended.id()).parts.remove(ended.item());
         }
     }
 
     /**
-     * Adds a part to what is to be kept.
+     * Adds a part that has to be stored.
      *
      * @param tick The tick.
      * @param id The job.
      * @param part The part.
      */
     private void add(Tick tick, BatchJobId id, TextPart part) {
-        jobs.computeIfAbsent(id, _id -> new Pending(tick.now().plus(FIRST_WAIT)))
+        pendingByJob
+                .computeIfAbsent(id, _id -> new Pending(tick.now().plus(INITIAL_DELAY)))
                 .parts
                 .merge(part.item(), part, TextPart::join);
     }
 
     /**
-     * Writes what is to be kept of a job, if it is time.
+     * Writes the pending parts of a job if a checkpoint is due.
      *
      * @param tick The tick.
      * @param id The job.
-     * @param pending What is to be kept.
+     * @param pending The pending parts.
      */
     private void writeIfDue(Tick tick, BatchJobId id, Pending pending) {
         if (pending.writing || pending.parts.isEmpty() || tick.now().isBefore(pending.dueAt)) {
@@ -131,30 +133,30 @@
     }
 
     /**
-     * Takes the platform's answer. Parts that were not kept, for all that is known, are written again; a reader skips
-     * events that it knows.
+     * Handles the platform's answer. Parts that are not known to be stored are written again; a reader skips events
+     * that it already has.
      *
      * @param tick The tick.
      * @param id The job.
-     * @param pending What is to be kept.
-     * @param parts What was written.
+     * @param pending The pending parts.
+     * @param parts The written parts.
      * @param event The answer.
      */
     private static void receive(Tick tick, BatchJobId id, Pending pending, List<TextPart> parts, PlatformEvent event) {
-        boolean kept = event instanceof PlatformEvent.Accepted;
+        boolean stored = event instanceof PlatformEvent.Accepted;
         pending.writing = false;
-        pending.dueAt = tick.now().plus(kept ? INTERVAL : FAILURE_WAIT);
-        if (!kept) {
-            pending.giveBack(parts);
+        pending.dueAt = tick.now().plus(stored ? CHECKPOINT_INTERVAL : FAILURE_DELAY);
+        if (!stored) {
+            pending.putBack(parts);
         }
         tick.decide(Decision.of(
                 "batch-texts",
                 id.value(),
-                kept ? "kept" : "not kept",
+                stored ? "kept" : "not kept",
                 "parts of " + parts.size() + " texts, " + event.getClass().getSimpleName()));
     }
 
-    /** What is to be kept of one job. */
+    /** The parts of one job that have to be stored. */
     private static final class Pending {
 
         /** The parts, by item. */
@@ -163,7 +165,7 @@
         /** When the next checkpoint is due. */
         private MonotonicTime dueAt;
 
-        /** Whether a checkpoint is on its way. */
+        /** Whether a checkpoint is being written. */
         private boolean writing;
 
         /**
@@ -176,7 +178,7 @@
         }
 
         /**
-         * Takes as many parts as fit one object.
+         * Removes as many parts as fit in one object.
          *
          * @return The parts.
          */
@@ -185,7 +187,7 @@
             long bytes = 0;
             for (TextPart part : List.copyOf(parts.values())) {
                 bytes += part.bytes();
-                if (!taken.isEmpty() && bytes > OBJECT_BYTES) {
+                if (!taken.isEmpty() && bytes > MAXIMUM_OBJECT_BYTES) {
                     break;
                 }
                 taken.add(parts.remove(part.item()));
@@ -194,11 +196,11 @@
         }
 
         /**
-         * Puts parts back in front of what came meanwhile.
+         * Puts parts back before those that were added in the meantime.
          *
          * @param taken The parts.
          */
-        private void giveBack(List<TextPart> taken) {
+        private void putBack(List<TextPart> taken) {
             taken.forEach(part -> parts.merge(part.item(), part, (later, earlier) -> earlier.join(later)));
         }
     }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/package-info.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/package-info.java
@@ -1,2 +1,4 @@
-/** Batch jobs: many items that are submitted at once, run later, and listed in one order that never changes. */
+/**
+ * Batch jobs: sets of items that are submitted together, run asynchronously, and listed in an order that never changes.
+ */
 package io.yuccaswitch.core.batch;
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/BatchJobIdTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/BatchJobIdTest.java
@@ -8,11 +8,11 @@
 import java.util.OptionalInt;
 import org.junit.jupiter.api.Test;
 
-/** What names a batch job. */
+/** Tests the identifiers of batch jobs. */
 final class BatchJobIdTest {
 
     @Test
-    void theSameIdentifierOfTwoAccountsNamesTwoJobs() {
+    void theSameIdentifierOfTwoAccountsIdentifiesTwoJobs() {
         BatchJobId chosen = BatchJobId.chosen("job-1");
         BatchJobId first = chosen.ownedBy(named("first"));
         BatchJobId second = chosen.ownedBy(named("second"));
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void aJobOfNobodyIsNoJobOfAnAccount() {
+    void aJobOfAnAnonymousCallerBelongsToNoAccount() {
         BatchJobId anonymous = BatchJobId.chosen("job-1").ownedBy(new ClientAccount.Anonymous());
         assertThat(anonymous.isChecked()).isTrue();
         assertThat(anonymous.account()).isEmpty();
@@ -29,12 +29,12 @@
     }
 
     @Test
-    void nobodyChoosesAnIdentifierThatNamesAnAccount() {
+    void aChosenIdentifierThatContainsAnAccountIsRejected() {
         assertThatThrownBy(() -> BatchJobId.chosen("job-1~second")).isInstanceOf(IllegalArgumentException.class);
     }
 
     @Test
-    void aSiteWithoutAccountsKeepsWhatTheSubmitterChose() {
+    void aSiteWithoutAccountsKeepsTheChosenIdentifier() {
         BatchJobId id = BatchJobId.chosen("job-1").ownedBy(new ClientAccount.Unchecked());
         assertThat(id.value()).isEqualTo("job-1");
         assertThat(id.isChecked()).isFalse();
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/BatchSite.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/BatchSite.java
@@ -26,7 +26,7 @@
 import java.util.Set;
 import java.util.function.Function;
 
-/** Nodes that run batch jobs at two played engines, and have outputs scored at three played endpoints. */
+/** Simulates a site whose nodes run batch jobs at two engines, and have outputs scored at three endpoints. */
 final class BatchSite {
 
     static final PoolName POOL = new PoolName("sampler");
@@ -35,8 +35,8 @@
     static final String MODEL = "model-a";
     static final int MAXIMUM_SCORING_ATTEMPTS = 4;
 
-    /** How long the calls of callers may take, and calls for results beyond the time for which they wait. */
-    static final Duration CALL_TIME = Duration.ofSeconds(2);
+    /** The deadline of calls, which for calls for results is added to the time for which they wait. */
+    static final Duration CALL_TIMEOUT = Duration.ofSeconds(2);
 
     final TestSite site = new TestSite();
     final Map<String, Integer> runs = new HashMap<>();
@@ -47,7 +47,8 @@
     private final PlainBatchCodec codec = new PlainBatchCodec();
     private final List<TestNode> nodes = new ArrayList<>();
     private final Map<Long, BatchAnswer> answers = new HashMap<>();
-    private Function<BatchEffect.Run, Optional<BatchEvent.AttemptEnded>> engines = run -> Optional.of(whole(run, 1));
+    private Function<BatchEffect.Run, Optional<BatchEvent.AttemptEnded>> engines =
+            run -> Optional.of(completed(run, 1));
     private Function<BatchEffect.Score, Optional<ScoringOutcome>> scorers = score ->
             Optional.of(new ScoringOutcome.Scored("score-" + score.request().id()));
     private boolean singleVersion;
@@ -61,7 +62,7 @@
         registerEngine("engine-2", 1);
         List.of("scorer-1", "scorer-2", "scorer-3").forEach(this::registerScorer);
         site.connect((_from, _to) -> false);
-        site.everyStep(_site -> play());
+        site.everyStep(_site -> simulate());
     }
 
     void demandSingleVersion() {
@@ -72,7 +73,7 @@
         site.platform().put(EndpointRegistrySystem.KIND, name, Long.toString(version));
     }
 
-    /** Registers a start of an engine. Names that begin with "other" belong to a second pool. */
+    /** Registers an incarnation of an engine. Engines whose names begin with "other" belong to a second pool. */
     void registerEngine(String name, long version, long incarnation) {
         site.platform().put(EndpointRegistrySystem.KIND, name, version + " " + incarnation);
     }
@@ -86,23 +87,23 @@
         site.platform().put(EndpointRegistrySystem.KIND, name, "0");
     }
 
-    /** Registers a start of a scorer. */
+    /** Registers an incarnation of a scorer. */
     void registerScorer(String name, long incarnation) {
         registerEngine(name, 0, incarnation);
     }
 
-    /** Takes the route of scoring requests out of the configuration, or back into it. */
+    /** Removes the route of scoring requests from the configuration, or adds it again. */
     void routeScoring(boolean present, int version) {
         scoringRoute = present;
         site.platform().put(RouteConfigurationSystem.KIND, "main", Integer.toString(version));
     }
 
-    /** Plays the scoring endpoints: what becomes of an attempt, or empty if it goes on. */
+    /** Sets the behaviour of the scoring endpoints: the outcome of an attempt, or empty if it stays in progress. */
     void scorers(Function<BatchEffect.Score, Optional<ScoringOutcome>> behaviour) {
         scorers = behaviour;
     }
 
-    /** Plays the engines: what becomes of a run, or empty if the run goes on. */
+    /** Sets the behaviour of the engines: the end of an attempt, or empty if it stays in progress. */
     void engines(Function<BatchEffect.Run, Optional<BatchEvent.AttemptEnded>> behaviour) {
         engines = behaviour;
     }
@@ -143,7 +144,7 @@
         return new BatchJob(new BatchJobId(id), "site.example", "/rollouts/x", MODEL, minimumVersion, 1000, list);
     }
 
-    /** A job whose items need scores, two of them in each group. */
+    /** Creates a job whose items need scores, with two items in each group. */
     static BatchJob scoredJob(String id, int items) {
         BatchJob plain = job(id, items);
         List<BatchItem> list = plain.items().stream()
@@ -162,7 +163,7 @@
     }
 
     long submit(TestNode node, BatchJob job) {
-        node.accept(new BatchEvent.Submitted(++tickets, job, site.now().plus(CALL_TIME)));
+        node.accept(new BatchEvent.Submitted(++tickets, job, site.now().plus(CALL_TIMEOUT)));
         return tickets;
     }
 
@@ -172,19 +173,19 @@
                 new BatchJobId(id),
                 position,
                 site.now().plus(wait),
-                site.now().plus(wait).plus(CALL_TIME)));
+                site.now().plus(wait).plus(CALL_TIMEOUT)));
         return tickets;
     }
 
     long end(TestNode node, String id) {
         node.accept(new BatchEvent.EndRequested(
-                ++tickets, new BatchJobId(id), site.now().plus(CALL_TIME)));
+                ++tickets, new BatchJobId(id), site.now().plus(CALL_TIMEOUT)));
         return tickets;
     }
 
     long body(TestNode node, String id, String item) {
         node.accept(new BatchEvent.BodyRequested(
-                ++tickets, new BatchJobId(id), item, site.now().plus(CALL_TIME)));
+                ++tickets, new BatchJobId(id), item, site.now().plus(CALL_TIMEOUT)));
         return tickets;
     }
 
@@ -214,7 +215,7 @@
                 .toList();
     }
 
-    static BatchEvent.AttemptEnded whole(BatchEffect.Run run, long version) {
+    static BatchEvent.AttemptEnded completed(BatchEffect.Run run, long version) {
         return ended(run, new AttemptOutcome.Completed(), text(run, 3, version));
     }
 
@@ -222,7 +223,7 @@
         return new BatchEvent.AttemptEnded(run.id(), run.item().id(), run.attempt(), outcome, text);
     }
 
-    /** The events behind the last one that a run goes on from, up to a last one. */
+    /** Creates the events after the one that a run resumes from, up to the given last event. */
     static ItemText text(BatchEffect.Run run, long last, long version) {
         List<Bytes> events = new ArrayList<>();
         for (long event = run.lastEventId() + 1; event <= last; event++) {
@@ -231,7 +232,7 @@
         return new ItemText(Math.max(run.lastEventId(), last), events, events.isEmpty() ? List.of() : List.of(version));
     }
 
-    private void play() {
+    private void simulate() {
         for (TestNode node : List.copyOf(nodes)) {
             for (BatchEffect.Reply reply : node.take(BatchEffect.Reply.class)) {
                 answers.put(reply.ticket(), reply.answer());
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/BatchSystemTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/BatchSystemTest.java
@@ -19,13 +19,13 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** Batch jobs across nodes, with the platform and engines played. */
+/** Tests batch jobs across nodes with a simulated platform and simulated engines. */
 final class BatchSystemTest {
 
     private final BatchSite site = new BatchSite();
 
     @Test
-    void aJobIsAcceptedOnceItsEntryIsKeptAndAllItsItemsAreListed() {
+    void aJobIsAcceptedOnceItsEntryIsStoredAndAllItsItemsAreListed() {
         TestNode node = site.node("node-1");
         site.run(100);
         long ticket = site.submit(node, BatchSite.job("job", 10));
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void aJobThatThePlatformDidNotTakeIsRefusedAndNeverRuns() {
+    void aJobThatThePlatformDidNotStoreIsRejectedAndNeverRuns() {
         TestNode node = site.node("node-1");
         site.run(100);
         site.site.platform().failWhere((_node, call) -> call instanceof PlatformEffect.Write);
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aSubmissionWhoseEntryMayBeAppliedLateIsNeverRefusedAsNotRun() {
+    void aSubmissionWhoseEntryMayBeAppliedLateIsNeverRejectedAsNotRun() {
         TestNode node = site.node("node-1");
         site.run(100);
         site.site.platform().applyLateWhere((_node, call) -> writesTo(call, BatchObjects.INDEX));
@@ -59,7 +59,7 @@
         site.site.platform().applyLate();
         site.run(5000);
         assertThat(site.listed("job"))
-                .as("an entry that came late is a promise as well")
+                .as("an entry that was applied late accepts the job as well")
                 .hasSize(4);
     }
 
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void anEntryIsReadBackUntilAShortOutageIsOver() {
+    void anEntryIsReadBackUntilAShortOutageEnds() {
         TestNode node = site.node("node-1");
         site.run(100);
         site.site.platform().loseAnswersWhere((_node, call) -> writesTo(call, BatchObjects.INDEX));
@@ -87,9 +87,12 @@
         assertThat(site.answer(ticket)).contains(new BatchAnswer.Accepted());
     }
 
-    /** Guards against submissions that are still open when their caller gives up: no step may outlast the deadline. */
+    /**
+     * Guards against submissions that are still unanswered when their caller times out: no step may exceed the
+     * deadline.
+     */
     @Test
-    void aSubmissionIsAnsweredTrulyByItsDeadlineWheneverThePlatformFallsSilent() {
+    void aSubmissionIsAnsweredCorrectlyByItsDeadlineWheneverThePlatformStopsAnswering() {
         Set<Class<?>> seen = new HashSet<>();
         for (int moment = 0; moment <= 80; moment += 10) {
             BatchSite fresh = new BatchSite();
@@ -98,7 +101,7 @@
             long ticket = fresh.submit(node, BatchSite.job("job", 4));
             fresh.run(moment);
             fresh.site.platform().silenceWhere(_node -> true);
-            fresh.run((int) BatchSite.CALL_TIME.toMillis());
+            fresh.run((int) BatchSite.CALL_TIMEOUT.toMillis());
             BatchAnswer answer = fresh.answer(ticket).orElseThrow();
             seen.add(answer.getClass());
             fresh.site.platform().silenceWhere(_node -> false);
@@ -136,9 +139,9 @@
                 .isPresent());
     }
 
-    /** Guards against ends that are refused as not run, though the write whose answer was lost has ended the job. */
+    /** Guards against ends that are rejected as not run although the write whose answer was lost has ended the job. */
     @Test
-    void anEndIsRefusedOnlyIfItSurelyDidNotTakeEffect() {
+    void anEndIsRejectedOnlyIfItDefinitelyHadNoEffect() {
         TestNode node = site.node("node-1");
         site.run(100);
         site.engines(_run -> Optional.empty());
@@ -156,7 +159,7 @@
     }
 
     @Test
-    void aSubmissionOfAJobThatMayBeAcceptedAlreadyIsNotRefusedAsNotRun() {
+    void aSubmissionOfAJobThatMayAlreadyBeAcceptedIsNotRejectedAsNotRun() {
         TestNode first = site.node("node-1");
         TestNode second = site.node("node-2");
         site.run(100);
@@ -169,7 +172,7 @@
     }
 
     @Test
-    void aSecondSubmissionAtAnotherNodeIsAcceptedAndRunsNothingAgain() {
+    void aSecondSubmissionAtAnotherNodeIsAcceptedAndRunsNoItemTwice() {
         TestNode first = site.node("node-1");
         TestNode second = site.node("node-2");
         site.run(100);
@@ -182,7 +185,7 @@
     }
 
     @Test
-    void anIdentifierThatBelongsToOtherWorkIsRefused() {
+    void anIdentifierOfADifferentJobIsRejected() {
         TestNode first = site.node("node-1");
         TestNode second = site.node("node-2");
         site.run(100);
@@ -194,14 +197,14 @@
     }
 
     @Test
-    void anAttemptAtAnEngineThatStartedAgainGoesOnElsewhereAtOnce() {
+    void anAttemptAtARestartedEngineResumesAtAnotherEngineAtOnce() {
         site.registerEngine("engine-1", 1, 3);
         site.registerEngine("engine-2", 1, 3);
         TestNode node = site.node("node-1");
         site.run(100);
         EndpointName silent = new EndpointName(BatchSite.POOL, "engine-1", 3);
-        site.engines(
-                run -> run.endpoint().name().equals(silent) ? Optional.empty() : Optional.of(BatchSite.whole(run, 1)));
+        site.engines(run ->
+                run.endpoint().name().equals(silent) ? Optional.empty() : Optional.of(BatchSite.completed(run, 1)));
         site.submit(node, BatchSite.job("job", 4));
         site.run(500);
         assertThat(site.listed("job")).hasSize(2);
@@ -222,7 +225,7 @@
     }
 
     @Test
-    void anAttemptEndsOnceThoughTheRegistryChangesAgain() {
+    void anAttemptIsCancelledOnceAlthoughTheRegistryChangesAgain() {
         site.registerEngine("engine-1", 1, 3);
         site.registerEngine("engine-2", 1, 3);
         TestNode node = site.node("node-1");
@@ -255,7 +258,7 @@
     }
 
     @Test
-    void aLaterJobLeavesThePlacesThatAnEarlierOneAtAnotherNodeWaitsFor() {
+    void aLaterJobLeavesTheSlotsThatAnEarlierOneAtAnotherNodeWaitsFor() {
         TestNode first = site.node("node-1");
         TestNode second = site.node("node-2");
         site.run(100);
@@ -269,16 +272,16 @@
         site.submit(second, submittedAt(BatchSite.job("job-b", 4), 2000));
         site.run(1000);
         List<BatchEffect.Run> ending = List.copyOf(held.subList(0, 4));
-        ending.forEach(run -> first.accept(BatchSite.whole(run, 1)));
+        ending.forEach(run -> first.accept(BatchSite.completed(run, 1)));
         site.run(600);
         assertThat(held).hasSize(12).allMatch(run -> run.id().value().equals("job-a"));
-        List.copyOf(held.subList(4, 8)).forEach(run -> first.accept(BatchSite.whole(run, 1)));
+        List.copyOf(held.subList(4, 8)).forEach(run -> first.accept(BatchSite.completed(run, 1)));
         site.run(600);
         assertThat(held).hasSize(16);
     }
 
     @Test
-    void placesThatAnEarlierJobCantUseAreLeftToItForAMomentOnly() {
+    void slotsThatAnEarlierJobCantUseAreLeftToItForALimitedTime() {
         TestNode node = site.node("node-1");
         site.run(100);
         site.engines(_run -> Optional.empty());
@@ -300,7 +303,7 @@
     }
 
     @Test
-    void whatAnotherNodeHasAtTheEnginesIsForgottenOnceItFallsSilent() {
+    void theEngineLoadsOfAnotherNodeExpireOnceItStopsReporting() {
         TestNode first = site.node("node-1");
         TestNode second = site.node("node-2");
         site.run(100);
@@ -334,7 +337,7 @@
     }
 
     @Test
-    void theItemsOfASplitRouteGoToTheOtherPoolWhereOneIsFull() {
+    void theItemsOfASplitRouteGoToTheOtherPoolIfOneIsFull() {
         site.registerEngine("other-1", 1, 0);
         site.splitRoute(1, 1);
         TestNode node = site.node("node-1");
@@ -346,24 +349,25 @@
     }
 
     @Test
-    void aGroupThatBecomesWholeIsListedWithoutTheLongPauseAfterTheLastResults() {
+    void aCompletedGroupIsListedWithoutTheLongDelayAfterTheLastResults() {
         TestNode node = site.node("node-1");
         site.run(100);
-        site.engines(run -> run.item().group().equals("g0") ? Optional.empty() : Optional.of(BatchSite.whole(run, 1)));
+        site.engines(
+                run -> run.item().group().equals("g0") ? Optional.empty() : Optional.of(BatchSite.completed(run, 1)));
         site.submit(node, BatchSite.job("job", 4));
         site.run(160);
         int before = writes("job");
         assertThat(site.listed("job")).containsExactlyInAnyOrder("job-2", "job-3");
         site.started.stream()
                 .filter(run -> run.item().group().equals("g0"))
-                .forEach(run -> node.accept(BatchSite.whole(run, 1)));
+                .forEach(run -> node.accept(BatchSite.completed(run, 1)));
         site.run(120);
         assertThat(writes("job")).isGreaterThan(before);
         assertThat(site.listed("job")).hasSize(4);
     }
 
     @Test
-    void noResultIsShownBeforeThePlatformKeepsIt() {
+    void noResultIsReturnedBeforeThePlatformStoresIt() {
         TestNode node = site.node("node-1");
         site.run(100);
         site.submit(node, BatchSite.job("job", 4));
@@ -376,7 +380,7 @@
     }
 
     @Test
-    void allNodesShowTheSameResultsAtTheSamePositions() {
+    void allNodesReturnTheSameResultsAtTheSamePositions() {
         TestNode first = site.node("node-1");
         TestNode second = site.node("node-2");
         site.run(100);
@@ -401,14 +405,14 @@
         long read = site.read(second, "job", 0, Duration.ofSeconds(1));
         site.run(300);
         assertThat(site.answer(read)).isEmpty();
-        first.accept(BatchSite.whole(site.started.get(0), 1));
+        first.accept(BatchSite.completed(site.started.get(0), 1));
         site.run(300);
         assertThat(((BatchAnswer.Results) site.answer(read).orElseThrow()).results())
                 .hasSize(1);
     }
 
     @Test
-    void aJobThatNobodyAcceptedIsUnknownAndNothingIsSureWhileThePlatformIsAway() {
+    void aJobThatWasNeverAcceptedIsUnknownAndReadsAreUnsureWhileThePlatformIsUnreachable() {
         TestNode node = site.node("node-1");
         site.run(100);
         long unknown = site.read(node, "none", 0, Duration.ZERO);
@@ -438,13 +442,13 @@
     }
 
     @Test
-    void aRestartedNodeTakesItsJobsBack() {
+    void aRestartedNodeResumesItsJobs() {
         TestNode node = site.node("node-1");
         site.run(100);
         site.engines(_run -> Optional.empty());
         site.submit(node, BatchSite.job("job", 4));
         site.run(100);
-        site.engines(run -> Optional.of(BatchSite.whole(run, 1)));
+        site.engines(run -> Optional.of(BatchSite.completed(run, 1)));
         site.kill(node);
         site.node("node-1");
         site.run(1000);
@@ -452,7 +456,7 @@
     }
 
     @Test
-    void aRestartedNodeThatCantReadItsJobTriesNowAndThen() {
+    void aRestartedNodeThatCantReadItsJobRetriesAtIntervals() {
         TestNode first = site.node("node-1");
         site.node("node-2");
         site.run(100);
@@ -467,13 +471,13 @@
                 .filteredOn(decision -> decision.toString().contains("not loaded"))
                 .hasSizeBetween(3, 6);
         site.site.platform().failWhere(BatchSystemTest::never);
-        site.engines(run -> Optional.of(BatchSite.whole(run, 1)));
+        site.engines(run -> Optional.of(BatchSite.completed(run, 1)));
         site.run(2500);
         assertThat(site.listed("job")).hasSize(4).doesNotHaveDuplicates();
     }
 
     @Test
-    void theJobsOfANodeThatIsGoneAreTakenOverByOneOther() {
+    void theJobsOfAFailedNodeAreTakenOverByOneOtherNode() {
         TestNode first = site.node("node-1");
         site.node("node-2");
         site.node("node-3");
@@ -481,12 +485,12 @@
         site.engines(_run -> Optional.empty());
         site.submit(first, BatchSite.job("job", 4));
         site.run(100);
-        site.engines(run -> Optional.of(BatchSite.whole(run, 1)));
+        site.engines(run -> Optional.of(BatchSite.completed(run, 1)));
         site.kill(first);
         site.run(5000);
         assertThat(site.listed("job")).hasSize(4).doesNotHaveDuplicates();
         assertThat(site.runs.values())
-                .as("run once by the lost node, once by its successor")
+                .as("run once by the failed node, once by its successor")
                 .containsOnly(2);
     }
 
@@ -500,16 +504,17 @@
         site.run(100);
         first.freeze(true);
         site.site.believeGone("node-1");
-        site.engines(run -> run.item().id().endsWith("3") ? Optional.empty() : Optional.of(BatchSite.whole(run, 1)));
+        site.engines(
+                run -> run.item().id().endsWith("3") ? Optional.empty() : Optional.of(BatchSite.completed(run, 1)));
         site.run(4000);
         List<BatchEffect.Run> ofFirst = site.started.subList(0, 8);
         first.freeze(false);
-        ofFirst.forEach(run -> first.accept(BatchSite.whole(run, 1)));
+        ofFirst.forEach(run -> first.accept(BatchSite.completed(run, 1)));
         site.run(3000);
         site.started.stream()
                 .skip(8)
                 .filter(run -> run.item().id().endsWith("3"))
-                .forEach(run -> second.accept(BatchSite.whole(run, 1)));
+                .forEach(run -> second.accept(BatchSite.completed(run, 1)));
         site.run(1000);
         assertThat(site.listed("job")).hasSize(8).doesNotHaveDuplicates();
     }
@@ -536,7 +541,7 @@
     }
 
     @Test
-    void aRunnerThatWasNotToldFindsTheEndInTheIndex() {
+    void aRunnerThatMissesTheNotificationFindsTheEndInTheIndex() {
         TestNode first = site.node("node-1");
         TestNode second = site.node("node-2");
         site.run(100);
@@ -550,13 +555,13 @@
     }
 
     @Test
-    void anInterruptedItemGoesOnBehindItsLastEvent() {
+    void anInterruptedItemResumesAfterItsLastEvent() {
         TestNode node = site.node("node-1");
         site.run(100);
         site.engines(run -> Optional.of(
                 run.attempt() == 1
                         ? BatchSite.ended(run, new AttemptOutcome.Interrupted("cut", false), BatchSite.text(run, 2, 1))
-                        : BatchSite.whole(run, 1)));
+                        : BatchSite.completed(run, 1)));
         site.submit(node, BatchSite.job("job", 1));
         site.run(2000);
         assertThat(site.started.get(1).lastEventId()).isEqualTo(2);
@@ -569,7 +574,7 @@
         site.registerEngine("engine-1", 2);
         site.registerEngine("engine-2", 2);
         site.run(100);
-        site.engines(run -> Optional.of(BatchSite.whole(run, run.attempt() == 1 ? 1 : 2)));
+        site.engines(run -> Optional.of(BatchSite.completed(run, run.attempt() == 1 ? 1 : 2)));
         site.submit(node, BatchSite.job("job", 1, 2));
         site.run(3000);
         assertThat(site.results("job").get(0).versions()).containsExactly(2L);
@@ -588,7 +593,7 @@
     }
 
     @Test
-    void aResultOfTwoVersionsIsNotListedWhereOneIsDemanded() {
+    void aResultOfTwoVersionsIsNotListedIfASingleVersionIsRequired() {
         site.demandSingleVersion();
         TestNode node = site.node("node-1");
         site.run(100);
@@ -596,14 +601,14 @@
         site.engines(run -> Optional.of(
                 run.attempt() == 1
                         ? BatchSite.ended(run, new AttemptOutcome.Completed(), mixed)
-                        : BatchSite.whole(run, 1)));
+                        : BatchSite.completed(run, 1)));
         site.submit(node, BatchSite.job("job", 1));
         site.run(3000);
         assertThat(site.results("job").get(0).versions()).containsExactly(1L);
     }
 
     @Test
-    void anItemIsGivenUpAfterAsManyFailuresAsTheRouteAllows() {
+    void anItemIsAbandonedAfterAsManyFailuresAsTheRouteAllows() {
         TestNode node = site.node("node-1");
         site.run(100);
         site.engines(run -> Optional.of(BatchSite.ended(run, new AttemptOutcome.Failed(), ItemText.EMPTY)));
@@ -614,7 +619,7 @@
     }
 
     @Test
-    void anItemThatCanNeverBeDoneIsGivenUpAtOnce() {
+    void anItemThatCanNeverCompleteIsAbandonedAtOnce() {
         TestNode node = site.node("node-1");
         site.run(100);
         site.engines(run -> Optional.of(BatchSite.ended(run, new AttemptOutcome.Impossible(), ItemText.EMPTY)));
@@ -625,7 +630,7 @@
     }
 
     @Test
-    void resultsWhoseAnswersWereLostAreListedOnce() {
+    void resultsWhoseWriteAnswersWereLostAreListedOnce() {
         TestNode node = site.node("node-1");
         site.run(100);
         site.site
@@ -643,7 +648,7 @@
     }
 
     @Test
-    void aFormerRunnerThatDoesNotKnowOfItsSuccessorShowsWhatTheSuccessorListed() {
+    void aFormerRunnerThatMissedTheTakeoverReturnsTheResultsOfItsSuccessor() {
         TestNode first = site.node("node-1");
         site.node("node-2");
         site.run(100);
@@ -652,7 +657,7 @@
         site.run(100);
         site.site.platform().failWhere((node, call) -> node.equals("node-1") && readsIndex(call));
         site.site.connect((_from, _to) -> true);
-        site.engines(run -> Optional.of(BatchSite.whole(run, 1)));
+        site.engines(run -> Optional.of(BatchSite.completed(run, 1)));
         site.site.believeGone("node-1");
         site.run(4000);
         assertThat(site.listed("job")).hasSize(4);
@@ -660,7 +665,7 @@
         site.run(300);
         assertThat(((BatchAnswer.Results) site.answer(read).orElseThrow()).results())
                 .hasSize(1);
-        site.started.subList(0, 4).forEach(run -> first.accept(BatchSite.whole(run, 1)));
+        site.started.subList(0, 4).forEach(run -> first.accept(BatchSite.completed(run, 1)));
         site.run(1000);
         assertThat(site.listed("job")).hasSize(4).doesNotHaveDuplicates();
     }
@@ -676,14 +681,14 @@
         site.site.believeLeaving("node-1");
         site.run(4000);
         assertThat(site.runs.values()).containsOnly(1);
-        site.engines(run -> Optional.of(BatchSite.whole(run, 1)));
+        site.engines(run -> Optional.of(BatchSite.completed(run, 1)));
         site.kill(first);
         site.run(4000);
         assertThat(site.listed("job")).hasSize(4).doesNotHaveDuplicates();
     }
 
     @Test
-    void anEngineThatRefusesIsTriedWithOneItemAtATimeUntilItRunsOne() {
+    void anEngineThatRefusesItemsIsTriedWithOneAtATimeUntilItRunsOne() {
         TestNode node = site.node("node-1");
         site.site.platform().remove(io.yuccaswitch.core.registry.EndpointRegistrySystem.KIND, "engine-2");
         site.run(300);
@@ -691,15 +696,15 @@
         site.submit(node, BatchSite.job("job", 8));
         site.run(1000);
         assertThat(site.started)
-                .as("four at first, then single ones with growing pauses")
+                .as("four at first, then single items with growing delays")
                 .hasSizeLessThan(10);
-        site.engines(run -> Optional.of(BatchSite.whole(run, 1)));
+        site.engines(run -> Optional.of(BatchSite.completed(run, 1)));
         site.run(2000);
         assertThat(site.listed("job")).hasSize(8);
     }
 
     @Test
-    void anItemAtAnEngineThatHasTurnedSlowGoesOnAtAnother() {
+    void anItemAtAnEngineThatHasBecomeSlowResumesAtAnother() {
         TestNode node = site.node("node-1");
         site.run(100);
         site.engines(_run -> Optional.empty());
@@ -713,7 +718,7 @@
         node.accept(new BatchEvent.Progressed(List.of(progress(fast, 40), progress(slow, 9))));
         site.run(50);
         assertThat(site.cancelled)
-                .as("all items of the engine leave it, as many as find a place at the other one")
+                .as("all items leave the engine, as many as the other one has free slots for")
                 .containsExactly(
                         new BatchEffect.Cancel(slow.id(), slow.item().id(), slow.attempt()),
                         new BatchEffect.Cancel(slow.id(), "job-0", 1));
@@ -727,7 +732,7 @@
     }
 
     @Test
-    void anItemThatRanLongAtFullSpeedLeavesAnEngineThatTurnsSlowWithinHalfASecond() {
+    void aLongItemLeavesAnEngineThatBecomesSlowWithinHalfASecond() {
         TestNode node = site.node("node-1");
         site.run(100);
         site.engines(_run -> Optional.empty());
@@ -739,7 +744,7 @@
         site.run(20);
         node.accept(new BatchEvent.Progressed(List.of(progress(fast, 206, 8250), progress(slow, 202, 8250))));
         site.run(20);
-        assertThat(site.cancelled).as("one reading is no evidence").isEmpty();
+        assertThat(site.cancelled).as("one reading is insufficient evidence").isEmpty();
         node.accept(new BatchEvent.Progressed(List.of(progress(fast, 212, 8500), progress(slow, 204, 8500))));
         site.run(20);
         assertThat(site.cancelled)
@@ -749,7 +754,7 @@
     }
 
     @Test
-    void anEngineThatIsLittleSlowerKeepsItsItems() {
+    void anEngineThatIsSlightlySlowerKeepsItsItems() {
         TestNode node = site.node("node-1");
         site.run(100);
         site.engines(_run -> Optional.empty());
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/EngineRatesTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/EngineRatesTest.java
@@ -10,10 +10,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How slow engines are told from the others by readings each quarter of a second. */
+/** Tests the detection of slow engines by readings every quarter of a second. */
 final class EngineRatesTest {
 
-    private static final Duration INTERVAL = Duration.ofMillis(250);
+    private static final Duration READING_INTERVAL = Duration.ofMillis(250);
 
     private final EngineRates rates = new EngineRates();
     private final List<EndpointName> engines =
@@ -21,7 +21,7 @@
     private MonotonicTime now = new MonotonicTime(0);
 
     @Test
-    void anEngineThatTurnsSlowAfterSecondsIsToldWithinThreeReadings() {
+    void anEngineThatBecomesSlowAfterSecondsIsDetectedWithinThreeReadings() {
         for (int i = 0; i < 40; i++) {
             assertThat(readAll(6)).isEqualTo(Verdict.UNCHANGED);
         }
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void anEngineThatStopsIsToldLikeASlowOne() {
+    void anEngineThatStopsIsDetectedAsSlow() {
         readAll(6);
         readAll(0);
         readAll(0);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void oneBadReadingIsNotBelieved() {
+    void oneSlowReadingDoesNotMakeAnEngineSlow() {
         readAll(6);
         assertThat(readAll(1)).isEqualTo(Verdict.UNCHANGED);
         assertThat(readAll(6)).isEqualTo(Verdict.UNCHANGED);
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void anEngineThatRecoversIsTakenBackAfterTwoReadings() {
+    void anEngineRecoversAfterTwoNormalReadings() {
         readAll(6);
         readAll(1);
         readAll(1);
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void anEngineWithoutReadingsIsNotTakenToBeSlowForLong() {
+    void anEngineWithoutReadingsIsConsideredSlowForALimitedTime() {
         readAll(6);
         readAll(1);
         readAll(1);
@@ -76,31 +76,31 @@
         assertThat(rates.isSlow(engines.get(0), now)).isFalse();
         readAll(6);
         assertThat(rates.isSlow(engines.get(0), now))
-                .as("nor by what is long past")
+                .as("nor because of expired readings")
                 .isFalse();
     }
 
     @Test
-    void aReadingOfLongDurationIsEvidenceEnough() {
-        rates.read(engines.get(1), Reading.of(40, Duration.ofMillis(1500)), now);
-        rates.read(engines.get(0), Reading.of(9, Duration.ofMillis(1500)), now);
-        assertThat(rates.judge(engines.get(0))).isEqualTo(Verdict.TURNED_SLOW);
+    void aReadingOfLongDurationIsSufficientEvidence() {
+        rates.addReading(engines.get(1), Reading.of(40, Duration.ofMillis(1500)), now);
+        rates.addReading(engines.get(0), Reading.of(9, Duration.ofMillis(1500)), now);
+        assertThat(rates.evaluate(engines.get(0))).isEqualTo(Verdict.TURNED_SLOW);
     }
 
     @Test
     void anEngineWithoutOthersIsNeverSlow() {
-        rates.read(engines.get(0), Reading.of(0, Duration.ofSeconds(5)), now);
-        assertThat(rates.judge(engines.get(0))).isEqualTo(Verdict.UNCHANGED);
+        rates.addReading(engines.get(0), Reading.of(0, Duration.ofSeconds(5)), now);
+        assertThat(rates.evaluate(engines.get(0))).isEqualTo(Verdict.UNCHANGED);
     }
 
-    /** Reads all engines: the first makes as many events as given, the others six. */
+    /** Adds a reading of each engine: the first generates the given number of events, the others six. */
     private Verdict readAll(double first) {
-        now = now.plus(INTERVAL);
+        now = now.plus(READING_INTERVAL);
         for (EndpointName engine : engines) {
             double events = engine.equals(engines.get(0)) ? first : 6;
-            rates.read(engine, new Reading(events, INTERVAL.toNanos() / 1e9, INTERVAL), now);
+            rates.addReading(engine, new Reading(events, READING_INTERVAL.toNanos() / 1e9, READING_INTERVAL), now);
         }
-        return rates.judge(engines.get(0));
+        return rates.evaluate(engines.get(0));
     }
 
     private static EndpointName name(String engine) {
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/HarmfulItemTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/HarmfulItemTest.java
@@ -8,9 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * An item of a batch job that ends each engine that runs it was begun again at the next engine for as long as its job
- * was open: 52 engines in 10 s where each start takes a fifth of a second. A request that scores an output did the
- * same.
+ * Guards against an item, or a scoring request, that ends each engine that runs it and is restarted at the next engine
+ * for as long as its job is open: 52 engines ended in 10 s when each start takes a fifth of a second.
  */
 final class HarmfulItemTest {
 
@@ -21,7 +20,7 @@
     private long incarnations = 10;
 
     @Test
-    void anItemUnderWhichEnginesEndSoonReachesNoMoreOfThemAndTheOthersAreServed() {
+    void anItemThatEndsEnginesIsWithheldFromFurtherEnginesAndOtherItemsComplete() {
         site.engines(this::run);
         TestNode node = site.node("node-1");
         site.run(100);
@@ -31,7 +30,7 @@
         assertThat(site.listed("job")).hasSize(3);
         site.run(35_000);
         assertThat(site.runs.get(HARMFUL))
-                .as("one more after it was held for a while")
+                .as("one more attempt after it was withheld for a while")
                 .isEqualTo(4);
         assertThat(site.results("job"))
                 .filteredOn(result -> result.item().equals(HARMFUL))
@@ -40,7 +39,7 @@
     }
 
     @Test
-    void theNodeThatTakesAJobOverKnowsWhatItsItemsDid() {
+    void aNodeThatTakesOverAJobHasTheEvidenceAgainstItsItems() {
         site.engines(this::run);
         TestNode first = site.node("node-1");
         site.node("node-2");
@@ -54,10 +53,10 @@
     }
 
     @Test
-    void anItemThatWasAtEnginesThatEndedForAnotherReasonIsServed() {
+    void anItemAtEnginesThatEndedForAnotherReasonCompletes() {
         site.engines(run -> run.item().id().equals(HARMFUL) && run.attempt() < 3
-                ? ended(run)
-                : Optional.of(BatchSite.whole(run, 1)));
+                ? restartEngine(run)
+                : Optional.of(BatchSite.completed(run, 1)));
         TestNode node = site.node("node-1");
         site.run(100);
         site.submit(node, BatchSite.job("job", 4));
@@ -66,7 +65,7 @@
     }
 
     @Test
-    void aScoringRequestUnderWhichEndpointsEndSoonReachesNoMoreOfThem() {
+    void aScoringRequestThatEndsEndpointsIsWithheldFromFurtherEndpoints() {
         String harmful = "s-" + HARMFUL;
         site.scorers(score -> {
             if (!score.request().id().equals(harmful)) {
@@ -86,11 +85,11 @@
     }
 
     private Optional<BatchEvent.AttemptEnded> run(BatchEffect.Run run) {
-        return run.item().id().equals(HARMFUL) ? ended(run) : Optional.of(BatchSite.whole(run, 1));
+        return run.item().id().equals(HARMFUL) ? restartEngine(run) : Optional.of(BatchSite.completed(run, 1));
     }
 
-    /** Ends the engine of a run, which is there again under its name at once. */
-    private Optional<BatchEvent.AttemptEnded> ended(BatchEffect.Run run) {
+    /** Ends the engine of a run, which restarts under the same name at once. */
+    private Optional<BatchEvent.AttemptEnded> restartEngine(BatchEffect.Run run) {
         site.registerEngine(run.endpoint().name().value(), 1, ++incarnations);
         return Optional.of(BatchSite.ended(run, new AttemptOutcome.Interrupted("ended", false, ENDED), ItemText.EMPTY));
     }
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/JobHandOverTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/JobHandOverTest.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** Which node runs a job, where VMs differ. */
+/** Tests which node runs a job if the VMs have different capacities. */
 final class JobHandOverTest {
 
     private final BatchSite site = new BatchSite();
@@ -16,7 +16,7 @@
     private final TestNode other = start("weak-2", 36);
 
     @Test
-    void aJobRunsAtTheStrongNodeWhicheverAcceptsIt() {
+    void aJobRunsAtTheStrongNodeWhicheverNodeAcceptsIt() {
         long ticket = site.submit(weak, BatchSite.job("job", 4));
         site.run(200);
         assertThat(site.answer(ticket)).contains(new BatchAnswer.Accepted());
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aJobWhoseHandOverGetsLostRunsThereOnceTheIndexSaysSo() {
+    void aJobWhoseHandOverIsLostRunsOnceItsRunnerReadsTheIndex() {
         site.site.connect((from, _to) -> from.equals("weak-1"));
         site.submit(weak, BatchSite.job("job", 4));
         site.run(3000);
@@ -37,19 +37,19 @@
     }
 
     @Test
-    void aRunnerThatDiesIsSucceeded() {
+    void theJobOfAFailedRunnerIsTakenOver() {
         site.engines(_run -> Optional.empty());
         site.submit(weak, BatchSite.job("job", 4));
         site.run(300);
         site.kill(strong);
-        site.engines(run -> Optional.of(BatchSite.whole(run, 1)));
+        site.engines(run -> Optional.of(BatchSite.completed(run, 1)));
         site.run(5000);
         assertThat(runs(weak, "job") || runs(other, "job")).isTrue();
         assertThat(site.listed("job")).hasSize(4);
     }
 
     @Test
-    void aNodeThatIsAboutToStopIsHandedNothing() {
+    void aLeavingNodeIsNotChosenAsRunner() {
         strong.accept(new MembershipEvent.LeaveRequested());
         strong.accept(new BatchEvent.Leaving());
         site.site.believeLeaving("strong");
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void whereAllAreAlikeAJobRunsWhereItArrives() {
+    void aJobRunsAtTheAcceptingNodeIfAllNodesHaveTheSameCapacity() {
         site.kill(strong);
         site.run(100);
         site.submit(other, BatchSite.job("job", 4));
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/PlainBatchCodec.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/PlainBatchCodec.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Keeps what was written under a number, which is all that the core needs of a codec. */
+/** Stores the written objects under numbers, which is all that the core needs of a codec. */
 final class PlainBatchCodec implements BatchCodec {
 
     private final Map<String, Object> written = new HashMap<>();
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/ResultRelayTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/ResultRelayTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Results of a node that the platform turns away while it serves the others. */
+/** Tests the results of a node whose calls the platform rejects while it serves the other nodes. */
 final class ResultRelayTest {
 
     private final BatchSite site = new BatchSite();
@@ -29,9 +29,9 @@
     }
 
     @Test
-    void anotherNodeListsTheResultsOfARunnerThatThePlatformTurnsAway() {
+    void anotherNodeListsTheResultsOfARunnerThatThePlatformRejects() {
         site.site.platform().failWhere((node, _call) -> node.equals("node-1"));
-        site.started.forEach(run -> runner.accept(BatchSite.whole(run, 1)));
+        site.started.forEach(run -> runner.accept(BatchSite.completed(run, 1)));
         site.run(800);
         assertThat(site.listed("job")).hasSize(4).doesNotHaveDuplicates();
         long read = site.read(other, "job", 0, Duration.ofMillis(300));
@@ -41,12 +41,12 @@
     }
 
     @Test
-    void aResultIsListedOnceThoughTheRunnersOwnCallIsAppliedLate() {
+    void aResultIsListedOnceAlthoughTheRunnersOwnWriteIsAppliedLate() {
         site.site.platform().applyLateWhere((node, call) -> node.equals("node-1") && writesResults(call));
-        runner.accept(BatchSite.whole(site.started.get(0), 1));
+        runner.accept(BatchSite.completed(site.started.get(0), 1));
         site.run(200);
         site.site.platform().applyLate();
-        site.started.stream().skip(1).forEach(run -> runner.accept(BatchSite.whole(run, 1)));
+        site.started.stream().skip(1).forEach(run -> runner.accept(BatchSite.completed(run, 1)));
         site.run(2000);
         site.site.platform().applyLateWhere((_node, _call) -> false);
         site.site.platform().applyLate();
@@ -59,10 +59,10 @@
     }
 
     @Test
-    void anAnswerAboutAnotherObjectIsNotTaken() {
+    void anAnswerAboutAnotherObjectIsIgnored() {
         site.site.connect((_from, _to) -> true);
         site.site.platform().failWhere((node, _call) -> node.equals("node-1"));
-        runner.accept(BatchSite.whole(site.started.get(0), 1));
+        runner.accept(BatchSite.completed(site.started.get(0), 1));
         site.run(50);
         BatchMessage.StoreResults asked = runner.take(PeerEffect.Send.class).stream()
                 .map(PeerEffect.Send::message)
@@ -79,9 +79,9 @@
     }
 
     @Test
-    void resultsWaitWhileThePlatformAnswersNobody() {
+    void resultsAreListedOnceThePlatformIsReachableAgain() {
         site.site.platform().failWhere((_node, _call) -> true);
-        site.started.forEach(run -> runner.accept(BatchSite.whole(run, 1)));
+        site.started.forEach(run -> runner.accept(BatchSite.completed(run, 1)));
         site.run(3000);
         assertThat(site.listed("job")).isEmpty();
         site.site.platform().failWhere((_node, _call) -> false);
@@ -90,10 +90,10 @@
     }
 
     @Test
-    void aRunnerWhoseHelperIsSilentGoesOnByItself() {
+    void aRunnerWhoseRelayDoesNotAnswerRetriesItself() {
         site.site.connect((_from, _to) -> true);
         site.site.platform().failWhere((node, _call) -> node.equals("node-1"));
-        site.started.forEach(run -> runner.accept(BatchSite.whole(run, 1)));
+        site.started.forEach(run -> runner.accept(BatchSite.completed(run, 1)));
         site.run(500);
         site.site.platform().failWhere((_node, _call) -> false);
         site.run(2500);
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/RunnerChoiceTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/RunnerChoiceTest.java
@@ -19,14 +19,14 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which nodes run the jobs of several models. */
+/** Tests which nodes run the jobs of several models. */
 final class RunnerChoiceTest {
 
     private final TestSite site = new TestSite();
     private final List<RunnerChoice> choices = new ArrayList<>();
 
     @Test
-    void eachModelHasAStrongNodeOfItsOwnAndAllNodesAgree() {
+    void eachModelHasItsOwnStrongNodeAndAllNodesAgree() {
         site.platform().put(RouteConfigurationSystem.KIND, "main", "1");
         for (int i = 0; i < 5; i++) {
             start("strong-" + i, 150);
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/RunnerReadTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/RunnerReadTest.java
@@ -12,7 +12,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Reads at a node that does not run the job, of which the runner can spare the platform most calls. */
+/**
+ * Tests reads at a node that does not run the job. The runner answers most of them, which saves calls to the platform.
+ */
 final class RunnerReadTest {
 
     private final BatchSite site = new BatchSite();
@@ -30,11 +32,11 @@
     }
 
     @Test
-    void aReadThatTheRunnerAnswersMakesNoCallToThePlatform() {
+    void aReadAnsweredByTheRunnerMakesNoCallToThePlatform() {
         long read = site.read(reader, "job", 0, Duration.ofSeconds(1));
         site.run(50);
         int before = callsForResults();
-        runner.accept(BatchSite.whole(site.started.get(0), 1));
+        runner.accept(BatchSite.completed(site.started.get(0), 1));
         site.run(400);
         assertThat(((BatchAnswer.Results) site.answer(read).orElseThrow()).results())
                 .hasSize(1);
@@ -42,7 +44,7 @@
     }
 
     @Test
-    void thatThereIsNothingIsSaidOnlyAfterThePlatformWasAsked() {
+    void anEmptyAnswerIsGivenOnlyAfterThePlatformWasQueried() {
         site.site.platform().failWhere((node, _call) -> node.equals("node-2"));
         long unsure = site.read(reader, "job", 0, Duration.ofMillis(300));
         site.run(600);
@@ -54,18 +56,18 @@
     }
 
     @Test
-    void aReadGoesOnAtThePlatformWhenTheRunnerIsCutOff() {
+    void aReadUsesThePlatformIfTheRunnerIsPartitioned() {
         site.site.connect((_from, _to) -> true);
         long read = site.read(reader, "job", 0, Duration.ofMillis(800));
-        runner.accept(BatchSite.whole(site.started.get(0), 1));
+        runner.accept(BatchSite.completed(site.started.get(0), 1));
         site.run(1200);
         assertThat(((BatchAnswer.Results) site.answer(read).orElseThrow()).results())
                 .hasSize(1);
     }
 
     @Test
-    void aRunnerThatHasRestartedDeclinesAndThePlatformIsAsked() {
-        runner.accept(BatchSite.whole(site.started.get(0), 1));
+    void aRestartedRunnerDeclinesAndThePlatformIsQueried() {
+        runner.accept(BatchSite.completed(site.started.get(0), 1));
         site.run(400);
         site.site.platform().failWhere((node, call) -> node.equals("node-1") && call instanceof PlatformEffect.Read);
         site.kill(runner);
@@ -78,7 +80,7 @@
     }
 
     @Test
-    void aReadOfAJobThatWasJustAcceptedElsewhereWaitsForTheIndex() {
+    void aReadOfAJobJustAcceptedByAnotherNodeWaitsForTheIndex() {
         site.submit(runner, BatchSite.job("fresh", 2));
         site.run(50);
         int before = site.site.platform().log().size();
@@ -90,14 +92,14 @@
                         .subList(before, site.site.platform().log().size()))
                 .noneMatch(call -> call instanceof PlatformEffect.Read
                         || kindOf(call).equals(BatchObjects.results(new BatchJobId("fresh"))));
-        runner.accept(BatchSite.whole(site.started.get(site.started.size() - 1), 1));
+        runner.accept(BatchSite.completed(site.started.get(site.started.size() - 1), 1));
         site.run(400);
         assertThat(((BatchAnswer.Results) site.answer(read).orElseThrow()).results())
                 .hasSize(1);
     }
 
     @Test
-    void aJobThatTheIndexNeverNamesIsAskedForAtThePlatform() {
+    void aJobThatTheIndexNeverShowsIsReadFromThePlatform() {
         site.site.connect((_from, _to) -> true);
         long read = site.read(reader, "none", 0, Duration.ofSeconds(1));
         site.run(900);
@@ -105,7 +107,7 @@
     }
 
     @Test
-    void anAnswerToARequestOfAnEarlierLifeIsNotTaken() {
+    void anAnswerToARequestOfAnEarlierIncarnationIsIgnored() {
         long read = site.read(reader, "job", 0, Duration.ofSeconds(1));
         site.run(50);
         BatchResult strange = new BatchResult("other-0", true, Bytes.ofUtf8("strange"), List.of(1L), Optional.empty());
@@ -131,7 +133,7 @@
     }
 
     @Test
-    void theBodyOfAnItemComesFromThePlatformWhenTheRunnerIsCutOff() {
+    void theBodyOfAnItemComesFromThePlatformIfTheRunnerIsPartitioned() {
         site.site.connect((_from, _to) -> true);
         long body = site.body(reader, "job", "job-2");
         site.run(500);
@@ -141,7 +143,7 @@
     }
 
     @Test
-    void anEndAtANodeThatKnowsTheEntryIsOneCall() {
+    void anEndAtANodeWithACopyOfTheEntryNeedsOneCall() {
         int before = site.site.platform().log().size();
         site.end(reader, "job");
         site.run(40);
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/ScoringSystemTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/ScoringSystemTest.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.junit.jupiter.api.Test;
 
-/** Outputs that are scored, with the platform, engines and scoring endpoints played. */
+/** Tests the scoring of outputs with a simulated platform, engines and scoring endpoints. */
 final class ScoringSystemTest {
 
     private final BatchSite site = new BatchSite();
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void noScoreIsAskedForBeforeTheOutputIsWhole() {
+    void noScoreIsRequestedBeforeTheOutputIsComplete() {
         TestNode node = site.node("node-1");
         site.run(100);
         site.engines(_run -> Optional.empty());
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void aRequestThatWasNotRunOrWhoseAnswerIsLostIsSentAgain() {
+    void aRequestThatWasRefusedOrWhoseAnswerWasLostIsRetried() {
         TestNode node = site.node("node-1");
         site.run(100);
         site.scorers(score -> Optional.of(
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void aSilentEndpointIsJoinedByAnotherOneWithinHalfOfTheUsefulTime() {
+    void anAttemptAtASilentEndpointIsHedgedAfterHalfOfTheLatencyTarget() {
         TestNode node = site.node("node-1");
         site.run(100);
         site.scorers(
@@ -75,13 +75,13 @@
         assertThat(site.scored.get(0).endpoint().name())
                 .isNotEqualTo(site.scored.get(1).endpoint().name());
         assertThat(site.cancelledScorings)
-                .as("the attempt that was not needed is broken off")
+                .as("the attempt that is no longer needed is cancelled")
                 .extracting(BatchEffect.CancelScoring::attempt)
                 .containsExactly(1);
     }
 
     @Test
-    void anItemWhoseScoringFailsAsOftenAsTheRouteAllowsIsGivenUpAtOnce() {
+    void anItemIsAbandonedOnceItsScoringFailsAsOftenAsTheRouteAllows() {
         TestNode node = site.node("node-1");
         site.run(100);
         site.scorers(score -> Optional.of(
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void aRefusalThatWasNotRunDoesNotCountAsAFailure() {
+    void aRefusalDoesNotCountAsAFailure() {
         TestNode node = site.node("node-1");
         site.run(100);
         site.scorers(score -> Optional.of(
@@ -112,17 +112,17 @@
     }
 
     @Test
-    void aServiceThatRefusesAllIsNotAskedFasterAndFaster() {
+    void requestsToAServiceThatRefusesAllOfThemBackOff() {
         TestNode node = site.node("node-1");
         site.run(100);
         site.scorers(_score -> Optional.of(new ScoringOutcome.Refused("full")));
         site.submit(node, BatchSite.scoredJob("job", 1));
         site.run(4000);
-        assertThat(site.scored).as("about three a second after the first few").hasSizeBetween(10, 25);
+        assertThat(site.scored).as("about three per second after the first few").hasSizeBetween(10, 25);
     }
 
     @Test
-    void theEndOfAJobBreaksItsScoringOffAndStartsNoMore() {
+    void theEndOfAJobCancelsItsScoringAndStartsNoFurtherAttempts() {
         TestNode node = site.node("node-1");
         site.run(100);
         site.scorers(_score -> Optional.empty());
@@ -137,7 +137,7 @@
     }
 
     @Test
-    void aJobThatIsTakenOverIsScoredAnewAndListedOnce() {
+    void aJobThatIsTakenOverIsScoredAgainAndListedOnce() {
         TestNode first = site.node("node-1");
         TestNode second = site.node("node-2");
         site.run(100);
@@ -155,7 +155,7 @@
     }
 
     @Test
-    void aBurstLeavesHalfOfThePlacesToPlainRequests() {
+    void aBurstLeavesHalfOfTheSlotsToPlainRequests() {
         TestNode node = site.node("node-1");
         site.run(100);
         site.scorers(_score -> Optional.empty());
@@ -164,11 +164,11 @@
         Map<String, Integer> held = new HashMap<>();
         site.scored.forEach(score -> held.merge(score.endpoint().name().value(), 1, Integer::sum));
         assertThat(held).hasSize(3);
-        assertThat(held.values()).as("four places each").containsOnly(2);
+        assertThat(held.values()).as("four slots each").containsOnly(2);
     }
 
     @Test
-    void theItemsOfAGroupThatIsNearlyWholeAreScoredFirst() {
+    void theItemsOfANearlyCompleteGroupAreScoredFirst() {
         TestNode node = site.node("node-1");
         site.run(100);
         site.scorers(score ->
@@ -176,20 +176,20 @@
         AtomicBoolean open = new AtomicBoolean();
         site.engines(run -> Optional.of(
                 open.get() || run.item().id().equals("job-1")
-                        ? BatchSite.whole(run, 1)
+                        ? BatchSite.completed(run, 1)
                         : BatchSite.ended(run, new AttemptOutcome.Interrupted("reset", false), ItemText.EMPTY)));
         site.submit(node, BatchSite.scoredJob("job", 8));
         site.run(300);
         open.set(true);
         site.run(700);
         assertThat(site.scored.stream().map(BatchEffect.Score::item).limit(2))
-                .as("the rest of the first group goes before six items of groups without a score")
+                .as("the rest of the first group is scored before six items of groups without a score")
                 .containsExactly("job-1", "job-0");
         assertThat(site.scored).hasSizeGreaterThan(6);
     }
 
     @Test
-    void anItemWaitsForItsScoringRouteForAWhileAndIsThenGivenUp() {
+    void anItemWithoutAScoringRouteIsAbandonedAfterATimeout() {
         TestNode node = site.node("node-1");
         site.routeScoring(false, 2);
         site.run(1000);
@@ -202,7 +202,7 @@
     }
 
     @Test
-    void aScoringRouteThatComesBackIsUsed() {
+    void aScoringRouteThatIsAddedAgainIsUsed() {
         TestNode node = site.node("node-1");
         site.routeScoring(false, 2);
         site.run(1000);
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/SimultaneousJobsTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/SimultaneousJobsTest.java
@@ -28,34 +28,37 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Jobs of several models that are submitted at the same moment at different nodes, to engines that serve all models.
+ * Tests jobs of several models that are submitted at the same time at different nodes, with engines that serve all
+ * models.
  */
 final class SimultaneousJobsTest {
 
     private static final PoolName POOL = new PoolName("sampler");
     private static final List<String> MODELS = List.of("a", "b", "c", "d");
-    private static final int PLACES = 8;
+    private static final int SLOTS = 8;
 
     private final TestSite site = new TestSite();
     private final PlainBatchCodec codec = new PlainBatchCodec();
-    private final Map<EndpointName, Integer> begun = new HashMap<>();
+    private final Map<EndpointName, Integer> itemsByEngine = new HashMap<>();
     private final List<TestNode> nodes = new ArrayList<>();
 
     @Test
-    void noEngineGetsMoreThanItHasPlacesForWhileOthersHaveNone() {
-        play(List.of(8, 8, 8, 8), 16);
-        assertThat(begun.values()).allMatch(items -> items <= PLACES);
-        assertThat(begun.values().stream().mapToInt(Integer::intValue).sum()).isEqualTo(4 * 16);
+    void noEngineGetsMoreItemsThanItHasSlots() {
+        runJobs(List.of(8, 8, 8, 8), 16);
+        assertThat(itemsByEngine.values()).allMatch(items -> items <= SLOTS);
+        assertThat(itemsByEngine.values().stream().mapToInt(Integer::intValue).sum())
+                .isEqualTo(4 * 16);
     }
 
     @Test
     void groupsOfSixteenAndOfEightShareOnePool() {
-        play(List.of(8, 16, 16, 8), 32);
-        assertThat(begun.values()).allMatch(items -> items <= PLACES);
-        assertThat(begun.values().stream().mapToInt(Integer::intValue).sum()).isEqualTo(4 * 32);
+        runJobs(List.of(8, 16, 16, 8), 32);
+        assertThat(itemsByEngine.values()).allMatch(items -> items <= SLOTS);
+        assertThat(itemsByEngine.values().stream().mapToInt(Integer::intValue).sum())
+                .isEqualTo(4 * 32);
     }
 
-    private void play(List<Integer> groupSizes, int items) {
+    private void runJobs(List<Integer> groupSizes, int items) {
         site.connect((_from, _to) -> false);
         site.platform().put(RouteConfigurationSystem.KIND, "main", "1");
         for (int engine = 0; engine < 16; engine++) {
@@ -66,10 +69,10 @@
         }
         site.run(Duration.ofMillis(500));
         site.everyStep(_site -> nodes.forEach(node -> node.take(BatchEffect.Run.class)
-                .forEach(run -> begun.merge(run.endpoint().name(), 1, Integer::sum))));
+                .forEach(run -> itemsByEngine.merge(run.endpoint().name(), 1, Integer::sum))));
         for (int i = 0; i < MODELS.size(); i++) {
             BatchJob job = job(MODELS.get(i), items, groupSizes.get(i));
-            nodes.get(i).accept(new BatchEvent.Submitted(1, job, site.now().plus(BatchSite.CALL_TIME)));
+            nodes.get(i).accept(new BatchEvent.Submitted(1, job, site.now().plus(BatchSite.CALL_TIMEOUT)));
         }
         site.run(Duration.ofMillis(40));
     }
@@ -106,7 +109,7 @@
                 new EndpointName(POOL, object.key().name(), 1),
                 object.key().name() + ":80",
                 new AvailabilityZone("zone-a"),
-                PLACES,
+                SLOTS,
                 false,
                 versions));
     }
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/OldRegistryTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/StaleRegistryTest.java
@@ -10,12 +10,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A node that stood still went on with what it had known before: it gave items, and outputs to be scored, to endpoints
- * that had left meanwhile, until the platform told it so.
+ * Guards against a resumed node that uses its stale registry: after a suspension it sent items and scoring requests to
+ * endpoints that had left in the meantime, until the platform reported the change.
  */
-final class OldRegistryTest {
+final class StaleRegistryTest {
 
-    private static final Duration ANSWER_TIME = Duration.ofMillis(200);
+    private static final Duration PLATFORM_LATENCY = Duration.ofMillis(200);
 
     private final BatchSite site = new BatchSite();
     private TestNode node;
@@ -24,15 +24,15 @@
     void startNode() {
         node = site.node("node-1");
         site.run(2000);
-        site.site.platform().delayAnswers(_name -> ANSWER_TIME);
+        site.site.platform().delayAnswers(_name -> PLATFORM_LATENCY);
         site.engines(_run -> Optional.empty());
         site.submit(node, BatchSite.job("first", 2));
         site.run(1500);
     }
 
     @Test
-    void aNodeThatStoodStillGivesNoItemToAnEngineThatLeftMeanwhile() {
-        standStillWhile("engine-1");
+    void aResumedNodeSendsNoItemToAnEngineThatLeftDuringTheSuspension() {
+        suspendWhileEndpointLeaves("engine-1");
         assertThat(site.started)
                 .extracting(run -> run.endpoint().name().value())
                 .doesNotContain("engine-1");
@@ -40,11 +40,11 @@
     }
 
     @Test
-    void aNodeThatStoodStillGoesOnByWhatItKnewOnceThePlatformIsKnownToBeAway() {
+    void aResumedNodeUsesItsStaleRegistryOnceThePlatformIsKnownToBeUnreachable() {
         node.freeze(true);
         site.site.platform().silenceWhere(_name -> true);
         site.run(4000);
-        site.engines(run -> Optional.of(BatchSite.whole(run, 1)));
+        site.engines(run -> Optional.of(BatchSite.completed(run, 1)));
         site.started.clear();
         node.freeze(false);
         site.run(300);
@@ -55,8 +55,8 @@
         assertThat(site.started).isNotEmpty();
     }
 
-    /** Has the node stand still while an endpoint leaves, and an item come back to it right after. */
-    private void standStillWhile(String leaving) {
+    /** Suspends the node while an endpoint leaves, and has its items withheld right after it resumes. */
+    private void suspendWhileEndpointLeaves(String leaving) {
         node.freeze(true);
         site.site.platform().silenceWhere(_name -> true);
         site.run(4000);
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/TextCheckpointSystemTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/TextCheckpointSystemTest.java
@@ -9,13 +9,13 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** Texts in progress that outlive the node that runs them, as they are kept on the platform. */
+/** Tests that texts in progress survive the failure of the node that runs them, as they are stored on the platform. */
 final class TextCheckpointSystemTest {
 
     private final BatchSite site = new BatchSite();
 
     @Test
-    void theNodeThatTakesAJobOverGoesOnBehindTheKeptEvents() {
+    void aNodeThatTakesOverAJobResumesAfterTheStoredEvents() {
         TestNode first = site.node("node-1");
         site.node("node-2");
         site.run(100);
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void theResultOfAResumedItemHoldsAllEventsOnceWithAllTheirVersions() {
+    void theResultOfAResumedItemContainsAllEventsOnceAndAllTheirVersions() {
         TestNode first = site.node("node-1");
         TestNode second = site.node("node-2");
         site.run(100);
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void aRestartedRunnerGoesOnBehindTheTextsOfItsEarlierLife() {
+    void aRestartedRunnerResumesAfterTheTextsOfItsEarlierIncarnation() {
         TestNode first = site.node("node-1");
         site.node("node-2");
         site.run(100);
@@ -87,7 +87,7 @@
     }
 
     @Test
-    void afterTheDeathOfAllNodesLongItemsGoOnBehindWhatIsKeptOnThePlatform() {
+    void longItemsResumeAfterTheirStoredTextsWhenAllNodesHaveFailed() {
         TestNode only = site.node("node-1");
         site.run(100);
         site.engines(_run -> Optional.empty());
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void whatThePlatformDidNotTakeIsKeptWithTheNextPart() {
+    void aPartThatThePlatformDidNotStoreIsStoredWithTheNextOne() {
         TestNode only = site.node("node-1");
         site.run(100);
         site.engines(_run -> Optional.empty());
@@ -123,31 +123,31 @@
     }
 
     @Test
-    void aPartThatOverlapsIsJoinedBehindWhatIsKnown() {
-        KeptTexts texts = new KeptTexts();
-        texts.take(new TextPart("item", 0, text(0, 5)));
-        texts.take(new TextPart("item", 3, text(3, 4)));
-        texts.take(new TextPart("item", 1, text(1, 2)));
+    void anOverlappingPartIsJoinedWithoutDuplicateEvents() {
+        StoredTexts texts = new StoredTexts();
+        texts.add(new TextPart("item", 0, text(0, 5)));
+        texts.add(new TextPart("item", 3, text(3, 4)));
+        texts.add(new TextPart("item", 1, text(1, 2)));
         assertThat(texts.all().get("item")).isEqualTo(text(0, 7));
     }
 
     @Test
-    void aPartBehindAGapIsNotJoined() {
-        KeptTexts texts = new KeptTexts();
-        texts.take(new TextPart("item", 0, text(0, 5)));
-        texts.take(new TextPart("item", 7, text(7, 5)));
+    void aPartAfterAGapIsNotJoined() {
+        StoredTexts texts = new StoredTexts();
+        texts.add(new TextPart("item", 0, text(0, 5)));
+        texts.add(new TextPart("item", 7, text(7, 5)));
         assertThat(texts.all().get("item").lastEventId()).isEqualTo(5);
-        texts.take(new TextPart("item", 5, text(5, 2)));
+        texts.add(new TextPart("item", 5, text(5, 2)));
         assertThat(texts.all().get("item").events()).hasSize(7);
-        texts.take(new TextPart("other", 3, text(3, 2)));
+        texts.add(new TextPart("other", 3, text(3, 2)));
         assertThat(texts.all()).doesNotContainKey("other");
     }
 
     @Test
-    void aTextFromItsBeginningTakesThePlaceOfWhatIsKnown() {
-        KeptTexts texts = new KeptTexts();
-        texts.take(new TextPart("item", 0, text(0, 5)));
-        texts.take(new TextPart("item", 0, text(0, 2)));
+    void aTextFromItsBeginningReplacesTheEarlierText() {
+        StoredTexts texts = new StoredTexts();
+        texts.add(new TextPart("item", 0, text(0, 5)));
+        texts.add(new TextPart("item", 0, text(0, 2)));
         assertThat(texts.all().get("item")).isEqualTo(text(0, 2));
     }
 
