--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/EndpointStandings.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/EndpointStandings.java
@@ -2,30 +2,30 @@
 
 import io.yuccaswitch.core.identity.EndpointName;
 
-/** What is known of endpoints from a source other than requests. */
+/** Supplies the status of endpoints from a source other than requests. */
 public interface EndpointStandings {
 
     /**
-     * Returns how an endpoint stands.
+     * Returns the status of an endpoint.
      *
-     * @param endpoint The start of the endpoint.
-     * @return How it stands.
+     * @param endpoint The endpoint, including its incarnation.
+     * @return Its status.
      */
     Standing of(EndpointName endpoint);
 
-    /** How an endpoint stands. */
+    /** The status of an endpoint. */
     enum Standing {
-        /** It is there and takes requests. */
+        /** It is running and accepts requests. */
         WORKING,
-        /** It is about to stop as planned. */
+        /** It is draining before a planned stop. */
         LEAVING,
-        /** It is gone, or has started again. */
+        /** It has terminated, or was restarted as another incarnation. */
         GONE,
-        /** Nothing is known. */
+        /** Its status is unknown. */
         UNTOLD
     }
 
-    /** Nothing is known of any endpoint. */
+    /** A source that reports the status of every endpoint as unknown. */
     enum Untold implements EndpointStandings {
         /** The only instance. */
         INSTANCE;
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/EvidenceSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/EvidenceSystem.java
@@ -12,214 +12,216 @@
 import java.util.List;
 
 /**
- * Finds out under which requests endpoints ended, from attempts without an answer and from what becomes of endpoints.
+ * Detects which requests endpoints were processing when they terminated, from unanswered attempts and from the later
+ * status of the endpoints.
  */
 final class EvidenceSystem implements DecisionSystem {
 
     /**
-     * How long an attempt without an answer is remembered while its endpoint may be found to have ended. The registry
-     * drops a silent endpoint after three of its heartbeats, and within a second more this node knows.
+     * How long an unanswered attempt is retained while its endpoint may still turn out to have terminated. The registry
+     * drops a silent endpoint after three of its heartbeats, and this node receives that within one more second.
      */
-    private static final Duration OPEN_TIME = Duration.ofSeconds(6);
+    private static final Duration UNANSWERED_RETENTION = Duration.ofSeconds(6);
 
-    /** The largest number of such attempts, far above those of a node whose endpoints all hang. */
-    private static final int MAXIMUM_OPEN = 1024;
+    /** The maximum number of retained unanswered attempts, far above that of a node whose endpoints all hang. */
+    private static final int MAXIMUM_UNANSWERED = 1024;
 
     /**
-     * How long an endpoint that was found to have ended may still be named by the registry. One that is named after
-     * that lives, and was only out of this node's reach.
+     * The delay after which evidence is dropped if the registry still lists the endpoint. An endpoint that is listed
+     * for longer than this is running, and was only unreachable from this node.
      */
-    private static final Duration REFUTED_AFTER = Duration.ofSeconds(8);
+    private static final Duration REFUTATION_DELAY = Duration.ofSeconds(8);
 
-    /** The interval at which requests are forgotten and ends refuted. */
-    private static final Duration TIDYING_INTERVAL = Duration.ofSeconds(1);
+    /** The interval at which expired requests and refuted evidence are removed. */
+    private static final Duration CLEANUP_INTERVAL = Duration.ofSeconds(1);
 
-    /** What the systems share. */
+    /** The state that the systems of the quarantine share. */
     private final QuarantineState state;
 
-    /** What the registry knows of endpoints. */
-    private final EndpointStandings standings;
+    /** The status of endpoints according to the registry. */
+    private final EndpointStandings endpointStatuses;
 
-    /** The attempts without an answer whose endpoints may have ended, the oldest first. */
-    private final Deque<Open> open = new ArrayDeque<>();
+    /** The unanswered attempts whose endpoints may have terminated, the oldest first. */
+    private final Deque<UnansweredAttempt> unanswered = new ArrayDeque<>();
 
-    /** When requests are next forgotten. */
-    private MonotonicTime tidyAt = new MonotonicTime(Long.MIN_VALUE);
+    /** The time of the next clean-up. */
+    private MonotonicTime cleanupAt = new MonotonicTime(Long.MIN_VALUE);
 
     /**
      * Creates a system.
      *
-     * @param state What the systems share.
-     * @param standings What the registry knows of endpoints.
+     * @param state The state that the systems of the quarantine share.
+     * @param endpointStatuses The status of endpoints according to the registry.
      */
-    EvidenceSystem(QuarantineState state, EndpointStandings standings) {
+    EvidenceSystem(QuarantineState state, EndpointStandings endpointStatuses) {
         this.state = state;
-        this.standings = standings;
+        this.endpointStatuses = endpointStatuses;
     }
 
     @Override
     public void run(Tick tick) {
         for (QuarantineEvent event : tick.events(QuarantineEvent.class)) {
-            take(tick, event);
+            apply(tick, event);
         }
-        settle(tick);
-        if (!tick.now().isBefore(tidyAt)) {
-            tidyAt = tick.now().plus(TIDYING_INTERVAL);
-            tidy();
-            state.forgetEnded(tick.now());
+        resolveUnanswered(tick);
+        if (!tick.now().isBefore(cleanupAt)) {
+            cleanupAt = tick.now().plus(CLEANUP_INTERVAL);
+            cleanUp();
+            state.evictEnded(tick.now());
         }
     }
 
     /**
-     * Takes what happened.
+     * Applies an event.
      *
      * @param tick The tick.
-     * @param event What happened.
+     * @param event The event.
      */
-    void take(Tick tick, QuarantineEvent event) {
+    void apply(Tick tick, QuarantineEvent event) {
         if (event instanceof QuarantineEvent.AnswerLost lost) {
-            lose(tick, lost);
+            recordLoss(tick, lost);
         } else if (event instanceof QuarantineEvent.EndpointEnded ended) {
-            state.noteEnded(ended.endpoint(), tick.now());
+            state.recordEnded(ended.endpoint(), tick.now());
         } else if (event instanceof QuarantineEvent.Served served) {
-            open.removeIf(attempt -> attempt.event().fingerprint().equals(served.fingerprint()));
+            unanswered.removeIf(attempt -> attempt.event().fingerprint().equals(served.fingerprint()));
             state.clear(tick, served.fingerprint(), "an endpoint answered it");
         } else if (event instanceof QuarantineEvent.Released released) {
-            state.clear(tick, released.fingerprint(), "let go by an operator");
+            state.clear(tick, released.fingerprint(), "released by an operator");
         } else if (event instanceof QuarantineEvent.TrialBegun trial) {
             beginTrial(tick, trial.fingerprint());
         }
     }
 
     /**
-     * Takes an attempt without an answer.
+     * Records an unanswered attempt.
      *
      * @param tick The tick.
-     * @param lost The attempt.
+     * @param lost The unanswered attempt.
      */
-    private void lose(Tick tick, QuarantineEvent.AnswerLost lost) {
+    private void recordLoss(Tick tick, QuarantineEvent.AnswerLost lost) {
         if (lost.loss().cause() == Loss.Cause.ENDPOINT_ENDED) {
-            if (state.noteEnded(lost.endpoint(), tick.now())) {
-                state.untoldEnds().add(lost.endpoint());
+            if (state.recordEnded(lost.endpoint(), tick.now())) {
+                state.unannouncedEnds().add(lost.endpoint());
             }
-            strike(tick, lost, state.epochMillis());
+            recordEvidence(tick, lost, state.epochMillis());
             return;
         }
         if (lost.loss().cause() == Loss.Cause.UNUSABLE) {
             return;
         }
-        if (open.size() >= MAXIMUM_OPEN) {
-            open.removeFirst();
+        if (unanswered.size() >= MAXIMUM_UNANSWERED) {
+            unanswered.removeFirst();
         }
-        open.addLast(new Open(lost, tick.now(), state.epochMillis()));
+        unanswered.addLast(new UnansweredAttempt(lost, tick.now(), state.epochMillis()));
     }
 
     /**
-     * Settles attempts whose endpoints are known to have ended, and drops those that are too old.
+     * Records evidence for unanswered attempts whose endpoints have terminated, and drops attempts whose retention has
+     * elapsed.
      *
      * @param tick The tick.
      */
-    private void settle(Tick tick) {
-        List<Open> settled = new ArrayList<>();
-        for (Open attempt : open) {
+    private void resolveUnanswered(Tick tick) {
+        List<UnansweredAttempt> resolved = new ArrayList<>();
+        for (UnansweredAttempt attempt : unanswered) {
             EndpointName endpoint = attempt.event().endpoint();
-            if (state.isEnded(endpoint) || standings.of(endpoint) == EndpointStandings.Standing.GONE) {
-                settled.add(attempt);
-                strike(tick, attempt.event(), attempt.lostAt());
-            } else if (tick.now().since(attempt.since()).compareTo(OPEN_TIME) > 0) {
-                settled.add(attempt);
+            if (state.isEnded(endpoint) || endpointStatuses.of(endpoint) == EndpointStandings.Standing.GONE) {
+                resolved.add(attempt);
+                recordEvidence(tick, attempt.event(), attempt.lostAt());
+            } else if (tick.now().since(attempt.since()).compareTo(UNANSWERED_RETENTION) > 0) {
+                resolved.add(attempt);
             }
         }
-        open.removeAll(settled);
+        unanswered.removeAll(resolved);
     }
 
     /**
-     * Takes that an endpoint ended under a request, unless it was about to stop anyway.
+     * Records that an endpoint terminated while it processed a request, unless it was draining before a planned stop.
      *
      * @param tick The tick.
-     * @param lost The attempt without an answer.
-     * @param lostAt When its answer was lost, in milliseconds since the epoch. What has cleared the request since then
-     *     counts for this end too, however late it became known.
+     * @param lost The unanswered attempt.
+     * @param lostAt When its answer was lost, in milliseconds since the epoch. A clearance of the request after this
+     *     time also covers this termination, however late it is detected.
      */
-    private void strike(Tick tick, QuarantineEvent.AnswerLost lost, long lostAt) {
-        if (standings.of(lost.endpoint()) == EndpointStandings.Standing.LEAVING) {
+    private void recordEvidence(Tick tick, QuarantineEvent.AnswerLost lost, long lostAt) {
+        if (endpointStatuses.of(lost.endpoint()) == EndpointStandings.Standing.LEAVING) {
             return;
         }
-        Strike strike = new Strike(lost.endpoint(), lostAt, lost.loss().lived());
-        Suspect known = state.suspects()
+        Strike evidence = new Strike(lost.endpoint(), lostAt, lost.loss().lived());
+        Suspect recorded = state.suspects()
                 .find(lost.fingerprint())
                 .orElseGet(() -> new Suspect(lost.fingerprint(), lost.description()));
-        Suspect struck = known.withStrike(strike);
-        state.learn(struck);
+        Suspect updated = recorded.withEvidence(evidence);
+        state.recordLocal(updated);
         tick.decide(Decision.of(
                 "quarantine",
                 lost.fingerprint().toString(),
-                strike.certain() ? "endpoint ended" : "endpoint may have ended",
-                lost.description() + " at " + lost.endpoint() + ", " + struck.count() + " so far"));
+                evidence.certain() ? "endpoint ended" : "endpoint may have ended",
+                lost.description() + " at " + lost.endpoint() + ", " + updated.count() + " terminations so far"));
     }
 
     /**
-     * Takes that a request that was held is let through.
+     * Records that a held request is let through for a trial.
      *
      * @param tick The tick.
      * @param fingerprint The request.
      */
     private void beginTrial(Tick tick, RequestFingerprint fingerprint) {
         state.suspects().find(fingerprint).ifPresent(suspect -> {
-            state.learn(suspect.withTrial(state.epochMillis()));
-            tick.decide(Decision.of("quarantine", fingerprint.toString(), "tried", "its time is up"));
+            state.recordLocal(suspect.withTrial(state.epochMillis()));
+            tick.decide(Decision.of("quarantine", fingerprint.toString(), "tried", "its hold time has elapsed"));
         });
     }
 
-    /** Forgets requests that have been quiet for long, and strikes of endpoints that turned out to live. */
-    private void tidy() {
+    /** Removes requests whose retention has elapsed, and evidence against endpoints that are still running. */
+    private void cleanUp() {
         long now = state.epochMillis();
         for (Suspect suspect : state.suspects().rows()) {
             List<Strike> refuted = suspect.strikes().stream()
-                    .filter(strike -> isRefuted(strike, now))
+                    .filter(evidence -> isRefuted(evidence, now))
                     .toList();
             if (!refuted.isEmpty()) {
                 refute(suspect, refuted);
-            } else if (QuarantinePolicy.isForgotten(suspect, now)) {
-                state.forget(suspect.fingerprint());
+            } else if (QuarantinePolicy.isExpired(suspect, now)) {
+                state.remove(suspect.fingerprint());
             }
         }
     }
 
     /**
-     * Returns whether an endpoint that was found to have ended lives.
+     * Returns whether an endpoint that was considered terminated is still running.
      *
-     * @param strike The endpoint.
-     * @param now The present in milliseconds since the epoch.
-     * @return {@code true} if the registry still names it.
+     * @param evidence The evidence against the endpoint.
+     * @param now The current time in milliseconds since the epoch.
+     * @return {@code true} if the registry still lists it.
      */
-    private boolean isRefuted(Strike strike, long now) {
-        return now - strike.at() >= REFUTED_AFTER.toMillis()
-                && standings.of(strike.endpoint()) == EndpointStandings.Standing.WORKING;
+    private boolean isRefuted(Strike evidence, long now) {
+        return now - evidence.at() >= REFUTATION_DELAY.toMillis()
+                && endpointStatuses.of(evidence.endpoint()) == EndpointStandings.Standing.WORKING;
     }
 
     /**
-     * Drops strikes of endpoints that live. All nodes do so by themselves, so nothing is told.
+     * Drops evidence against endpoints that are still running. Every node does so on its own, so this is not announced.
      *
      * @param suspect The request.
-     * @param refuted The strikes.
+     * @param refuted The refuted evidence.
      */
     private void refute(Suspect suspect, List<Strike> refuted) {
         List<Strike> left = new ArrayList<>(suspect.strikes());
         left.removeAll(refuted);
         if (left.isEmpty()) {
-            state.forget(suspect.fingerprint());
+            state.remove(suspect.fingerprint());
         } else {
-            state.put(suspect.withStrikes(left));
+            state.put(suspect.withEvidenceOnly(left));
         }
     }
 
     /**
-     * An attempt without an answer whose endpoint may have ended.
+     * An unanswered attempt whose endpoint may have terminated.
      *
      * @param event The attempt.
-     * @param since When its answer was lost.
+     * @param since When its answer was lost, on the monotonic clock.
      * @param lostAt When its answer was lost, in milliseconds since the epoch.
      */
-    private record Open(QuarantineEvent.AnswerLost event, MonotonicTime since, long lostAt) {}
+    private record UnansweredAttempt(QuarantineEvent.AnswerLost event, MonotonicTime since, long lostAt) {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/ExchangeSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/ExchangeSystem.java
@@ -17,52 +17,55 @@
 import java.util.Optional;
 
 /**
- * Tells the other nodes of requests under which endpoints ended, as their callers repeat them at any node. News goes to
- * all at once. What a node missed while it was out of reach or not running yet, it gets by comparing a digest with one
- * other node at a time. While nothing is known of any request, nothing is sent.
+ * Exchanges suspect requests with the other nodes, as callers repeat a request at any node. Changes are announced to
+ * all nodes at once. A node that missed an announcement, because it was unreachable or not running yet, catches up by
+ * comparing digests with one other node at a time. While no request is suspect, nothing is sent.
  */
 final class ExchangeSystem implements DecisionSystem {
 
     /**
-     * How long news is gathered after other news was told. The first is told at once, as copies of a request may come
-     * to several nodes within a tenth of a second.
+     * How long changes are batched after an announcement. The first change is announced at once, as copies of a request
+     * may arrive at several nodes within a tenth of a second.
      */
-    private static final Duration GATHERING = Duration.ofMillis(50);
+    private static final Duration BATCHING_DELAY = Duration.ofMillis(50);
 
     /**
-     * What each member adds to that time. At 350 nodes, one tells news three times a second at most, so a series of
-     * ends costs each node some kilobytes a second.
+     * The time that each member adds to the batching delay. At 350 nodes, a node announces changes at most three times
+     * a second, so a series of terminations causes some kilobytes a second of traffic per node.
      */
-    private static final Duration GATHERING_PER_MEMBER = Duration.ofMillis(1);
+    private static final Duration BATCHING_DELAY_PER_MEMBER = Duration.ofMillis(1);
 
-    /** The interval at which a digest is compared with another node. */
-    private static final Duration COMPARING_INTERVAL = Duration.ofSeconds(2);
+    /** The interval at which this node sends its digest to another node. */
+    private static final Duration DIGEST_INTERVAL = Duration.ofSeconds(2);
 
-    /** How long a node that has started compares although it knows nothing. */
-    private static final Duration JOINING_TIME = Duration.ofSeconds(10);
+    /** How long a node that has started sends digests although it has recorded no request. */
+    private static final Duration JOINING_PERIOD = Duration.ofSeconds(10);
 
-    /** The largest number of requests in one message. */
+    /** The maximum number of requests in one message. */
     private static final int REQUESTS_PER_MESSAGE = 64;
 
-    /** What the systems share. */
+    /** The state that the systems of the quarantine share. */
     private final QuarantineState state;
 
     /** The nodes of the site. */
     private final MembershipView membership;
 
-    /** When news may be told next. */
-    private MonotonicTime tellAt = new MonotonicTime(Long.MIN_VALUE);
+    /** The earliest time of the next announcement. */
+    private MonotonicTime announcementAt = new MonotonicTime(Long.MIN_VALUE);
 
-    /** When a digest is next compared. */
-    private MonotonicTime compareAt = new MonotonicTime(Long.MIN_VALUE);
+    /** The time at which the next digest is sent. */
+    private MonotonicTime digestAt = new MonotonicTime(Long.MIN_VALUE);
 
-    /** Until when this node compares although it knows nothing, from its first tick on. */
+    /**
+     * The end of the period in which this node sends digests although it has recorded no request, which starts with its
+     * first tick.
+     */
     private Optional<MonotonicTime> joiningUntil = Optional.empty();
 
     /**
      * Creates a system.
      *
-     * @param state What the systems share.
+     * @param state The state that the systems of the quarantine share.
      * @param membership The nodes of the site.
      */
     ExchangeSystem(QuarantineState state, MembershipView membership) {
@@ -73,19 +76,19 @@
     @Override
     public void run(Tick tick) {
         if (joiningUntil.isEmpty()) {
-            joiningUntil = Optional.of(tick.now().plus(JOINING_TIME));
+            joiningUntil = Optional.of(tick.now().plus(JOINING_PERIOD));
         }
         for (PeerEvent.Received received : tick.events(PeerEvent.Received.class)) {
             if (received.message() instanceof QuarantineMessage message) {
                 receive(tick, received.sender().name(), message);
             }
         }
-        tellNews(tick);
-        compare(tick);
+        announceChanges(tick);
+        sendDigest(tick);
     }
 
     /**
-     * Takes a message.
+     * Handles a message from another node.
      *
      * @param tick The tick.
      * @param sender The node that sent it.
@@ -93,54 +96,54 @@
      */
     private void receive(Tick tick, NodeName sender, QuarantineMessage message) {
         if (message instanceof QuarantineMessage.Told told) {
-            told.suspects().forEach(state::hear);
-            told.ended().forEach(endpoint -> state.noteEnded(endpoint, tick.now()));
+            told.suspects().forEach(state::mergeRemote);
+            told.ended().forEach(endpoint -> state.recordEnded(endpoint, tick.now()));
         } else if (message instanceof QuarantineMessage.Compare compare && compare.digest() != digest()) {
-            tellAll(tick, sender);
-            if (compare.asksBack()) {
+            sendAll(tick, sender);
+            if (compare.requestsReply()) {
                 tick.emit(new PeerEffect.Send(sender, new QuarantineMessage.Compare(digest(), false)));
             }
         }
     }
 
     /**
-     * Tells all nodes what this one found out, once it was gathered.
+     * Announces local changes to all other nodes, once the batching delay has elapsed.
      *
      * @param tick The tick.
      */
-    private void tellNews(Tick tick) {
-        if (!state.hasNews() || tick.now().isBefore(tellAt)) {
+    private void announceChanges(Tick tick) {
+        if (!state.hasUnannouncedChanges() || tick.now().isBefore(announcementAt)) {
             return;
         }
         int members = membership.working().size();
-        tellAt = tick.now().plus(GATHERING.plus(GATHERING_PER_MEMBER.multipliedBy(members)));
+        announcementAt = tick.now().plus(BATCHING_DELAY.plus(BATCHING_DELAY_PER_MEMBER.multipliedBy(members)));
         List<Suspect> suspects = new ArrayList<>();
-        state.untold().stream()
+        state.unannounced().stream()
                 .limit(REQUESTS_PER_MESSAGE)
                 .forEach(fingerprint -> state.suspects().find(fingerprint).ifPresent(suspects::add));
-        List<EndpointName> ended = List.copyOf(state.untoldEnds());
+        List<EndpointName> ended = List.copyOf(state.unannouncedEnds());
         for (Member member : others()) {
             send(tick, member.identity().name(), suspects, ended);
         }
         suspects.forEach(suspect -> {
-            state.untold().remove(suspect.fingerprint());
-            state.noteTold(suspect.fingerprint());
+            state.unannounced().remove(suspect.fingerprint());
+            state.markAnnounced(suspect.fingerprint());
         });
-        state.untold().retainAll(fingerprints());
-        state.untoldEnds().clear();
+        state.unannounced().retainAll(fingerprints());
+        state.unannouncedEnds().clear();
     }
 
     /**
-     * Compares what is known with one other node, from time to time.
+     * Sends a digest to one other node, chosen at random, at a fixed interval.
      *
      * @param tick The tick.
      */
-    private void compare(Tick tick) {
-        boolean joins = tick.now().isBefore(joiningUntil.orElseThrow());
-        if (tick.now().isBefore(compareAt) || (state.suspects().size() == 0 && !joins)) {
+    private void sendDigest(Tick tick) {
+        boolean isJoining = tick.now().isBefore(joiningUntil.orElseThrow());
+        if (tick.now().isBefore(digestAt) || (state.suspects().size() == 0 && !isJoining)) {
             return;
         }
-        compareAt = tick.now().plus(COMPARING_INTERVAL);
+        digestAt = tick.now().plus(DIGEST_INTERVAL);
         List<Member> others = others();
         if (!others.isEmpty()) {
             Member partner = others.get(tick.random().nextInt(others.size()));
@@ -149,26 +152,26 @@
     }
 
     /**
-     * Tells a node all that is known.
+     * Sends all recorded requests to a node.
      *
      * @param tick The tick.
      * @param node The node.
      */
-    private void tellAll(Tick tick, NodeName node) {
+    private void sendAll(Tick tick, NodeName node) {
         List<Suspect> all = state.suspects().rows();
         for (int from = 0; from < all.size(); from += REQUESTS_PER_MESSAGE) {
             send(tick, node, all.subList(from, Math.min(all.size(), from + REQUESTS_PER_MESSAGE)), List.of());
         }
-        state.suspects().view().forEach(suspect -> state.noteTold(suspect.fingerprint()));
+        state.suspects().view().forEach(suspect -> state.markAnnounced(suspect.fingerprint()));
     }
 
     /**
-     * Sends what is known of some requests.
+     * Sends the state of some requests to a node.
      *
      * @param tick The tick.
      * @param node The node to send to.
      * @param suspects The requests.
-     * @param ended The endpoints that have ended.
+     * @param ended The endpoints that have terminated.
      */
     private static void send(Tick tick, NodeName node, List<Suspect> suspects, List<EndpointName> ended) {
         tick.emit(new PeerEffect.Send(node, new QuarantineMessage.Told(suspects, ended)));
@@ -177,7 +180,7 @@
     /**
      * Returns the other nodes.
      *
-     * @return The working members but this one.
+     * @return The working members except this one.
      */
     private List<Member> others() {
         Member self = membership.self();
@@ -187,18 +190,18 @@
     }
 
     /**
-     * Returns the requests that are known.
+     * Returns the fingerprints of the recorded requests.
      *
-     * @return Their fingerprints.
+     * @return The fingerprints.
      */
     private List<RequestFingerprint> fingerprints() {
         return state.suspects().view().stream().map(Suspect::fingerprint).toList();
     }
 
     /**
-     * Computes a digest of all that is known, whatever its order.
+     * Computes a digest of all recorded requests that is independent of their order.
      *
-     * @return The digest, which is zero if nothing is known.
+     * @return The digest, which is zero if no request is recorded.
      */
     private long digest() {
         return state.suspects().view().stream()
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/LastEndpoint.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/LastEndpoint.java
@@ -5,24 +5,27 @@
 import java.util.Collection;
 import java.util.Set;
 
-/** Keeps a request under which endpoints ended from the last one of a pool, which all other callers need. */
+/**
+ * Protects the last endpoint of a pool, which all other callers need, from a request that endpoints were processing
+ * when they terminated.
+ */
 public final class LastEndpoint {
 
-    /** How long an ended endpoint is usually away: it starts again within seconds. */
-    static final Duration RETURN_TIME = Duration.ofSeconds(5);
+    /** The time in which a terminated endpoint usually restarts, which is within seconds. */
+    static final Duration RESTART_DURATION = Duration.ofSeconds(5);
 
-    /** When a caller is told to come back meanwhile. */
+    /** The delay after which a caller may retry in the meantime. */
     public static final Duration COME_BACK = Duration.ofSeconds(1);
 
     /** This class has no instances. */
     private LastEndpoint() {}
 
     /**
-     * Returns whether at most one endpoint is left.
+     * Returns whether at most one endpoint of a pool is left.
      *
-     * @param working The endpoints that the registry names.
-     * @param ended Those that have ended.
-     * @return {@code true} if there is one or none.
+     * @param working The endpoints that the registry lists.
+     * @param ended The endpoints that have terminated.
+     * @return {@code true} if one endpoint or none is left.
      */
     public static boolean isLast(Collection<EndpointName> working, Set<EndpointName> ended) {
         return working.stream().filter(endpoint -> !ended.contains(endpoint)).count() <= 1;
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/Loss.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/Loss.java
@@ -1,26 +1,26 @@
 package io.yuccaswitch.core.quarantine;
 
 /**
- * Why an attempt that may have run brought no usable answer, as far as that tells something of its endpoint.
+ * Why an attempt that may have run returned no usable answer, and what this indicates about its endpoint.
  *
  * @param cause The cause.
- * @param lived Whether the endpoint surely lived when it got the request. A connection that was kept from an earlier
- *     request and ended at once does not tell.
+ * @param lived Whether the endpoint is known to have been running when it received the request. A reused connection
+ *     that closed at once is inconclusive.
  */
 public record Loss(Cause cause, boolean lived) {
 
-    /** The endpoint lives, and its answer could not be used. */
+    /** The endpoint is running, but its answer was unusable. */
     public static final Loss UNUSABLE = new Loss(Cause.UNUSABLE, true);
 
-    /** A cause. */
+    /** The cause of a loss. */
     public enum Cause {
-        /** The connection ended, and nothing listens at the endpoint's address any more. */
+        /** The connection was closed, and nothing listens at the endpoint's address any more. */
         ENDPOINT_ENDED,
-        /** The connection ended, and whether the endpoint lives is not known. */
+        /** The connection was closed, and whether the endpoint is running is unknown. */
         CONNECTION_LOST,
-        /** This node broke the attempt off, because it took too long or because the caller went. */
+        /** This node aborted the attempt, because it took too long or because the caller disconnected. */
         BROKEN_OFF,
-        /** The endpoint lives: it answered, but not in a usable form, or it takes connections still. */
+        /** The endpoint is running: its answer was unusable, or it still accepts connections. */
         UNUSABLE
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/Quarantine.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/Quarantine.java
@@ -2,32 +2,35 @@
 
 import io.yuccaswitch.core.decision.Tick;
 
-/** What systems that send requests to endpoints ask and tell of requests under which endpoints ended. */
+/**
+ * The quarantine as seen by systems that send requests to endpoints: they query the state of requests and report what
+ * became of them.
+ */
 public interface Quarantine {
 
     /**
-     * Returns what is known.
+     * Returns the current state of suspect requests.
      *
      * @return The view.
      */
     QuarantineView view();
 
     /**
-     * Returns the time of day by which verdicts are asked for.
+     * Returns the time of day to query verdicts with.
      *
      * @return The time in milliseconds since the epoch.
      */
     long epochMillis();
 
     /**
-     * Takes what happened to a request, such that the next verdict counts it.
+     * Records what happened to a request, so that the next verdict takes it into account.
      *
      * @param tick The tick.
-     * @param event What happened.
+     * @param event The event.
      */
     void report(Tick tick, QuarantineEvent event);
 
-    /** Knows nothing and learns nothing. */
+    /** A quarantine that records nothing and treats no request as suspect. */
     enum NoOp implements Quarantine {
         /** The only instance. */
         INSTANCE;
@@ -44,7 +47,7 @@
 
         @Override
         public void report(Tick _tick, QuarantineEvent _event) {
-            // Nothing is learnt.
+            // No state is kept.
         }
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantineCheck.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantineCheck.java
@@ -11,35 +11,35 @@
 import java.util.function.Supplier;
 
 /**
- * Asks on behalf of a system of the core whether a request may go to an endpoint, and tells what became of it.
- * Fingerprints are computed only once something is known of any request.
+ * Checks for a system of the core whether a request may be sent to an endpoint, and reports what became of it.
+ * Fingerprints are computed only while any request is suspect.
  */
 public final class QuarantineCheck {
 
-    /** What is known of requests. */
+    /** The quarantine, which holds the state of suspect requests. */
     private final Quarantine quarantine;
 
-    /** The requests that were refused, such that this is logged once for each, however often it is asked. */
+    /** The refused requests, so that each refusal is logged only once however often it is checked. */
     private final Set<RequestFingerprint> refused = new HashSet<>();
 
     /**
      * Creates a check.
      *
-     * @param quarantine What is known of requests.
+     * @param quarantine The quarantine, which holds the state of suspect requests.
      */
     public QuarantineCheck(Quarantine quarantine) {
         this.quarantine = quarantine;
     }
 
     /**
-     * Returns why a request may not go to an endpoint now, if it may not. One that was held until now is let through
-     * once.
+     * Returns the retry delay of a request that may not be sent to an endpoint now. A request whose hold time has
+     * elapsed is let through once.
      *
      * @param tick The tick.
      * @param subject The request's identifier, for logs.
-     * @param fingerprint Computes what recognises the request.
-     * @param working The endpoints that may get it.
-     * @return The time after which it may go on, or empty if it may do so now.
+     * @param fingerprint Computes the fingerprint of the request.
+     * @param working The endpoints that are eligible for the request.
+     * @return The delay after which it may be retried, or empty if it may be sent now.
      */
     public Optional<Duration> refusal(
             Tick tick, String subject, Supplier<RequestFingerprint> fingerprint, Collection<EndpointName> working) {
@@ -48,26 +48,26 @@
             refused.clear();
             return Optional.empty();
         }
-        RequestFingerprint known = fingerprint.get();
-        Verdict verdict = view.verdict(known, quarantine.epochMillis());
+        RequestFingerprint computed = fingerprint.get();
+        Verdict verdict = view.verdict(computed, quarantine.epochMillis());
         if (verdict instanceof Verdict.Try) {
-            quarantine.report(tick, new QuarantineEvent.TrialBegun(known));
+            quarantine.report(tick, new QuarantineEvent.TrialBegun(computed));
             return Optional.empty();
         }
-        Optional<Duration> comeBack = comeBack(view, known, verdict, working);
-        if (comeBack.isEmpty()) {
-            refused.remove(known);
-        } else if (refused.add(known)) {
-            tick.decide(Decision.of("quarantine", subject, "refused", "endpoints ended under it: " + known));
+        Optional<Duration> retryDelay = retryDelay(view, computed, verdict, working);
+        if (retryDelay.isEmpty()) {
+            refused.remove(computed);
+        } else if (refused.add(computed)) {
+            tick.decide(Decision.of("quarantine", subject, "refused", "endpoints ended under it: " + computed));
         }
-        return comeBack;
+        return retryDelay;
     }
 
     /**
-     * Returns whether a request may go on to another endpoint, after or beside an attempt.
+     * Returns whether a request may be sent to another endpoint, after an attempt or as a hedge.
      *
-     * @param fingerprint Computes what recognises the request.
-     * @return {@code false} if it gets one attempt at most.
+     * @param fingerprint Computes the fingerprint of the request.
+     * @return {@code false} if it is limited to one attempt.
      */
     public boolean allowsRetry(Supplier<RequestFingerprint> fingerprint) {
         QuarantineView view = quarantine.view();
@@ -76,10 +76,10 @@
     }
 
     /**
-     * Returns whether an endpoint may have ended under a request.
+     * Returns whether an endpoint may have terminated while it processed a request.
      *
-     * @param fingerprint Computes what recognises the request.
-     * @return {@code true} if something is known of it.
+     * @param fingerprint Computes the fingerprint of the request.
+     * @return {@code true} if the request is recorded as suspect.
      */
     public boolean isInDoubt(Supplier<RequestFingerprint> fingerprint) {
         QuarantineView view = quarantine.view();
@@ -87,13 +87,13 @@
     }
 
     /**
-     * Takes an attempt that brought no answer.
+     * Reports an attempt that returned no answer.
      *
      * @param tick The tick.
-     * @param fingerprint Computes what recognises the request.
-     * @param description Describes it for operators.
+     * @param fingerprint Computes the fingerprint of the request.
+     * @param description Describes the request for operators.
      * @param endpoint The endpoint.
-     * @param loss What the loss says of the endpoint.
+     * @param loss Why no answer was returned.
      */
     public void lose(
             Tick tick, Supplier<RequestFingerprint> fingerprint, String description, EndpointName endpoint, Loss loss) {
@@ -103,11 +103,12 @@
     }
 
     /**
-     * Takes that a request was answered with success.
+     * Reports that a request was answered with success.
      *
      * @param tick The tick.
-     * @param fingerprint Computes what recognises the request.
-     * @param first Whether this was its first attempt, of which nothing is known unless it is of the request.
+     * @param fingerprint Computes the fingerprint of the request.
+     * @param first Whether this was its first attempt. Success at the first attempt is reported only while any request
+     *     is suspect.
      */
     public void serve(Tick tick, Supplier<RequestFingerprint> fingerprint, boolean first) {
         if (!first || !quarantine.view().isEmpty()) {
@@ -116,21 +117,21 @@
     }
 
     /**
-     * Returns when a request may come back.
+     * Returns the delay after which a request may be retried.
      *
-     * @param view What is known.
-     * @param known The request.
+     * @param view The state of suspect requests.
+     * @param computed The fingerprint of the request.
      * @param verdict The verdict on it.
-     * @param working The endpoints that may get it.
-     * @return The time, or empty if it need not go.
+     * @param working The endpoints that are eligible for the request.
+     * @return The delay, or empty if the request may be sent now.
      */
-    private Optional<Duration> comeBack(
-            QuarantineView view, RequestFingerprint known, Verdict verdict, Collection<EndpointName> working) {
+    private Optional<Duration> retryDelay(
+            QuarantineView view, RequestFingerprint computed, Verdict verdict, Collection<EndpointName> working) {
         if (verdict instanceof Verdict.Refuse refuse) {
             return Optional.of(refuse.comeBack());
         }
-        boolean spares =
-                verdict instanceof Verdict.Restrain && view.sparesLast(known, working, quarantine.epochMillis());
-        return spares ? Optional.of(LastEndpoint.COME_BACK) : Optional.empty();
+        boolean protectsLast =
+                verdict instanceof Verdict.Restrain && view.sparesLast(computed, working, quarantine.epochMillis());
+        return protectsLast ? Optional.of(LastEndpoint.COME_BACK) : Optional.empty();
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantineEffect.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantineEffect.java
@@ -2,13 +2,13 @@
 
 import io.yuccaswitch.core.decision.Effect;
 
-/** What the quarantine tells the shell. */
+/** The effects of the quarantine on the shell. */
 public sealed interface QuarantineEffect extends Effect {
 
     /**
-     * What is known has changed.
+     * The state of suspect requests has changed.
      *
-     * @param view What is known now.
+     * @param view The current state.
      */
     record Changed(QuarantineView view) implements QuarantineEffect {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantineEvent.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantineEvent.java
@@ -3,44 +3,44 @@
 import io.yuccaswitch.core.decision.Event;
 import io.yuccaswitch.core.identity.EndpointName;
 
-/** What happened to a request or an endpoint as far as it tells whether the request does harm. */
+/** The events of requests and endpoints that show whether a request makes endpoints terminate. */
 public sealed interface QuarantineEvent extends Event {
 
     /**
-     * An attempt that may have run brought no usable answer.
+     * An attempt that may have run returned no usable answer.
      *
      * @param fingerprint The request.
      * @param description The method, host and path, for operators.
      * @param endpoint The endpoint.
-     * @param loss What that says of the endpoint.
+     * @param loss Why no usable answer was returned.
      */
     record AnswerLost(RequestFingerprint fingerprint, String description, EndpointName endpoint, Loss loss)
             implements QuarantineEvent {}
 
     /**
-     * Nothing listens at an endpoint's address, as far as this node can tell: the path there may refuse it instead, so
-     * other nodes are not told.
+     * Nothing listens at an endpoint's address, as observed by this node. This is not announced to other nodes, as only
+     * the network path from this node may be refusing connections.
      *
      * @param endpoint The endpoint.
      */
     record EndpointEnded(EndpointName endpoint) implements QuarantineEvent {}
 
     /**
-     * An endpoint answered a request whole and with success.
+     * An endpoint returned a complete, successful answer to a request.
      *
      * @param fingerprint The request.
      */
     record Served(RequestFingerprint fingerprint) implements QuarantineEvent {}
 
     /**
-     * A request that was held is let through.
+     * A held request is let through for a trial.
      *
      * @param fingerprint The request.
      */
     record TrialBegun(RequestFingerprint fingerprint) implements QuarantineEvent {}
 
     /**
-     * An operator lets a request go.
+     * An operator releases a request from quarantine.
      *
      * @param fingerprint The request.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantineMessage.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantineMessage.java
@@ -4,14 +4,14 @@
 import io.yuccaswitch.core.peer.PeerMessage;
 import java.util.List;
 
-/** What nodes tell each other of requests under which endpoints ended. */
+/** The messages by which nodes exchange the state of suspect requests. */
 public sealed interface QuarantineMessage extends PeerMessage {
 
     /**
-     * Tells what the sender knows of some requests. The receiver merges it with what it knows itself.
+     * Carries the sender's state of some requests. The receiver merges it with its own state.
      *
      * @param suspects The requests.
-     * @param ended The endpoints that have ended lately.
+     * @param ended The endpoints that have terminated recently.
      */
     record Told(List<Suspect> suspects, List<EndpointName> ended) implements QuarantineMessage {
 
@@ -19,7 +19,7 @@
          * Copies the lists.
          *
          * @param suspects The requests.
-         * @param ended The endpoints that have ended lately.
+         * @param ended The endpoints that have terminated recently.
          */
         public Told {
             suspects = List.copyOf(suspects);
@@ -28,10 +28,11 @@
     }
 
     /**
-     * Asks whether the receiver knows the same. If not, it tells all that it knows and asks back.
+     * Carries a digest of the sender's state. A receiver whose digest differs sends all of its requests, and its own
+     * digest if a reply is requested.
      *
-     * @param digest A digest of all that the sender knows.
-     * @param asksBack Whether the receiver should ask back.
+     * @param digest A digest of all requests recorded at the sender.
+     * @param requestsReply Whether the receiver sends its own digest in return.
      */
-    record Compare(long digest, boolean asksBack) implements QuarantineMessage {}
+    record Compare(long digest, boolean requestsReply) implements QuarantineMessage {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantinePolicy.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantinePolicy.java
@@ -4,94 +4,101 @@
 import java.util.List;
 
 /**
- * Judges requests by the endpoints that ended under them. An endpoint may end for any reason while it runs a request,
- * so one is no reason for anything. Two in a row are rare for a request that does no harm, and three that nothing else
- * explains rarer than any loss that a wrong judgement costs.
+ * Judges requests by the endpoints that terminated while processing them. An endpoint may terminate for any reason, so
+ * a single termination has no consequences. Two consecutive terminations are rare for a harmless request. Three without
+ * another explanation are so rare that the loss from a wrong verdict is negligible.
  */
 final class QuarantinePolicy {
 
-    /** The number of ended endpoints from which a request gets one attempt at a time. */
-    static final int RESTRAINED_FROM = 2;
+    /** The number of terminated endpoints from which a request is limited to one attempt at a time. */
+    static final int RESTRAIN_THRESHOLD = 2;
 
-    /** The number of ended endpoints from which a request is held, unless others were at all of them too. */
-    static final int HELD_FROM = 3;
+    /**
+     * The number of terminated endpoints from which a request is held, unless other suspect requests were in flight at
+     * all of them.
+     */
+    static final int HOLD_THRESHOLD = 3;
 
-    /** The number of ended endpoints from which a request is held in any case. */
-    private static final int HELD_ANYWAY_FROM = 4;
+    /** The number of terminated endpoints from which a request is held unconditionally. */
+    private static final int UNCONDITIONAL_HOLD_THRESHOLD = 4;
 
     /**
-     * For how long a request is held after as many endpoints as hold it, after one more, and so on. The first time is
-     * short, such that a request that met a run of unrelated failures is served again while its caller still wants it.
-     * Each further one costs an endpoint some seconds of work, which at six hours is nothing beside ordinary failures.
+     * How long a request is held: the first entry applies at the number of terminations from which it is held, each
+     * further entry at one more. The first hold is short, so that a request that coincided with a series of unrelated
+     * failures is served again while its caller still needs it. Each trial may take an endpoint out of service for some
+     * seconds, which at an interval of six hours is negligible beside ordinary failures.
      */
-    private static final List<Duration> HOLDING_TIMES =
+    private static final List<Duration> HOLD_DURATIONS =
             List.of(Duration.ofSeconds(30), Duration.ofMinutes(10), Duration.ofHours(1), Duration.ofHours(6));
 
-    /** How long a request that is not held is remembered: callers that repeat one do so within seconds or minutes. */
-    static final Duration MEMORY = Duration.ofMinutes(10);
+    /**
+     * How long a request that is not held is retained. Callers that repeat a request do so within seconds or minutes.
+     */
+    static final Duration SUSPECT_RETENTION = Duration.ofMinutes(10);
 
-    /** How long a held request is remembered, counted from the last endpoint that ended. */
-    static final Duration HELD_MEMORY = Duration.ofHours(24);
+    /** How long a held request is retained after the last termination. */
+    static final Duration HELD_RETENTION = Duration.ofHours(24);
 
-    /** How long it is remembered that a request was cleared, such that no node brings its past back. */
-    static final Duration CLEARED_MEMORY = Duration.ofMinutes(2);
+    /** How long the clearance of a request is retained, so that no node reintroduces earlier evidence. */
+    static final Duration CLEARANCE_RETENTION = Duration.ofMinutes(2);
 
     /** This class has no instances. */
     private QuarantinePolicy() {}
 
     /**
-     * Returns what is done with a request now.
+     * Returns the verdict on a request.
      *
-     * @param suspect What is known of the request.
-     * @param alone Whether it was the only request in flight at one of the endpoints, but for those that were answered.
-     * @param now The present in milliseconds since the epoch.
+     * @param suspect The state of the request.
+     * @param soleRequest Whether it was the only unanswered request in flight at one of the endpoints.
+     * @param now The current time in milliseconds since the epoch.
      * @return The verdict.
      */
-    static Verdict judge(Suspect suspect, boolean alone, long now) {
+    static Verdict judge(Suspect suspect, boolean soleRequest, long now) {
         if (suspect.strikes().isEmpty()) {
             return new Verdict.Serve();
         }
-        if (!isHeld(suspect, alone)) {
-            return suspect.count() < RESTRAINED_FROM ? new Verdict.Observe() : new Verdict.Restrain();
+        if (!isHeld(suspect, soleRequest)) {
+            return suspect.count() < RESTRAIN_THRESHOLD ? new Verdict.Observe() : new Verdict.Restrain();
         }
         long left = heldUntil(suspect) - now;
         return left > 0 ? new Verdict.Refuse(Duration.ofMillis(left)) : new Verdict.Try();
     }
 
     /**
-     * Returns whether a request is held, or was and is now tried.
+     * Returns whether a request is held, or is on trial after its hold time elapsed.
      *
-     * @param suspect What is known of the request.
-     * @param alone Whether it was the only request in flight at one of the endpoints, but for those that were answered.
+     * @param suspect The state of the request.
+     * @param soleRequest Whether it was the only unanswered request in flight at one of the endpoints.
      * @return {@code true} if it is.
      */
-    static boolean isHeld(Suspect suspect, boolean alone) {
-        return suspect.count() >= (alone ? HELD_FROM : HELD_ANYWAY_FROM);
+    static boolean isHeld(Suspect suspect, boolean soleRequest) {
+        return suspect.count() >= (soleRequest ? HOLD_THRESHOLD : UNCONDITIONAL_HOLD_THRESHOLD);
     }
 
     /**
-     * Returns until when a request is held.
+     * Returns the end of the hold time of a request.
      *
-     * @param suspect What is known of the request.
+     * @param suspect The state of the request.
      * @return The time in milliseconds since the epoch.
      */
     static long heldUntil(Suspect suspect) {
-        int step = Math.min(Math.max(0, suspect.count() - HELD_FROM), HOLDING_TIMES.size() - 1);
-        int tried = suspect.trialAt() > suspect.lastStrikeAt() ? 1 : 0;
-        Duration time = HOLDING_TIMES.get(Math.min(step + tried, HOLDING_TIMES.size() - 1));
-        return Math.max(suspect.lastStrikeAt(), suspect.trialAt()) + time.toMillis();
+        int step = Math.min(Math.max(0, suspect.count() - HOLD_THRESHOLD), HOLD_DURATIONS.size() - 1);
+        int tried = suspect.trialAt() > suspect.lastCrashAt() ? 1 : 0;
+        Duration time = HOLD_DURATIONS.get(Math.min(step + tried, HOLD_DURATIONS.size() - 1));
+        return Math.max(suspect.lastCrashAt(), suspect.trialAt()) + time.toMillis();
     }
 
     /**
-     * Returns whether a request may be forgotten.
+     * Returns whether the retention of a request has elapsed.
      *
-     * @param suspect What is known of the request.
-     * @param now The present in milliseconds since the epoch.
-     * @return {@code true} if it is remembered for long enough.
+     * @param suspect The state of the request.
+     * @param now The current time in milliseconds since the epoch.
+     * @return {@code true} if it may be removed.
      */
-    static boolean isForgotten(Suspect suspect, long now) {
-        Duration memory =
-                suspect.strikes().isEmpty() ? CLEARED_MEMORY : suspect.count() < HELD_FROM ? MEMORY : HELD_MEMORY;
-        return now - suspect.changedAt() > memory.toMillis();
+    static boolean isExpired(Suspect suspect, long now) {
+        Duration retention = suspect.strikes().isEmpty()
+                ? CLEARANCE_RETENTION
+                : suspect.count() < HOLD_THRESHOLD ? SUSPECT_RETENTION : HELD_RETENTION;
+        return now - suspect.changedAt() > retention.toMillis();
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantineState.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantineState.java
@@ -16,62 +16,65 @@
 import java.util.Set;
 import java.util.function.LongSupplier;
 
-/** What the systems of the quarantine share. */
+/** The state that the systems of the quarantine share. */
 final class QuarantineState {
 
     /**
-     * The largest number of requests that are remembered. A caller adds one only by ending endpoints, and those that
-     * ended most endpoints stay.
+     * The maximum number of recorded requests. A caller adds a request only by making endpoints terminate. When the
+     * table is full, the requests with the most terminations are kept.
      */
     static final int MAXIMUM_SUSPECTS = 512;
 
-    /** The largest number of ended endpoints that are remembered. */
+    /** The maximum number of recorded terminated endpoints. */
     private static final int MAXIMUM_ENDED = 1024;
 
-    /** How long an ended endpoint is avoided: until the registry drops it, which takes three of its heartbeats. */
-    private static final Duration ENDED_TIME = Duration.ofSeconds(4);
+    /**
+     * How long a terminated endpoint is avoided. By then the registry has dropped it, which takes three of its
+     * heartbeats.
+     */
+    private static final Duration ENDED_RETENTION = Duration.ofSeconds(4);
 
-    /** Tells the time of day in milliseconds since the epoch. */
+    /** Supplies the time of day in milliseconds since the epoch. */
     private final LongSupplier timeOfDay;
 
-    /** The requests. */
+    /** The suspect requests. */
     private final EntityTable<RequestFingerprint, Suspect> suspects = new EntityTable<>();
 
-    /** The endpoints that have ended lately, with when that became known. */
+    /** The endpoints that have terminated recently, each with the time when this node recorded it. */
     private final Map<EndpointName, MonotonicTime> ended = new LinkedHashMap<>();
 
-    /** The requests whose news the other nodes have not heard. */
-    private final Set<RequestFingerprint> untold = new LinkedHashSet<>();
+    /** The requests whose changes have not been announced to the other nodes. */
+    private final Set<RequestFingerprint> unannounced = new LinkedHashSet<>();
 
-    /** The endpoints whose end the other nodes have not heard of. */
-    private final Set<EndpointName> untoldEnds = new LinkedHashSet<>();
+    /** The endpoints whose termination has not been announced to the other nodes. */
+    private final Set<EndpointName> unannouncedEnds = new LinkedHashSet<>();
 
-    /** The requests of which others may have heard, such that their clearance has to be told too. */
-    private final Set<RequestFingerprint> told = new HashSet<>();
+    /** The requests that other nodes may have recorded, so that their clearance is announced, too. */
+    private final Set<RequestFingerprint> announced = new HashSet<>();
 
-    /** The requests of which this node found something out itself, which it brings to the platform. */
-    private final Set<RequestFingerprint> own = new HashSet<>();
+    /** The requests with evidence observed at this node, which this node stores on the platform. */
+    private final Set<RequestFingerprint> locallyObserved = new HashSet<>();
 
-    /** The requests whose news the platform does not hold. */
+    /** The requests whose changes are not stored on the platform yet. */
     private final Set<RequestFingerprint> unstored = new LinkedHashSet<>();
 
-    /** Whether anything changed since the view was made. */
+    /** Whether the state has changed since the view was built. */
     private boolean changed;
 
-    /** What is known, as the shell sees it. */
+    /** The state as published to the shell. */
     private QuarantineView view = QuarantineView.EMPTY;
 
     /**
-     * Creates a state without requests.
+     * Creates an empty state.
      *
-     * @param timeOfDay Tells the time of day in milliseconds since the epoch.
+     * @param timeOfDay Supplies the time of day in milliseconds since the epoch.
      */
     QuarantineState(LongSupplier timeOfDay) {
         this.timeOfDay = timeOfDay;
     }
 
     /**
-     * Returns the time of day, which all nodes share but for a small difference.
+     * Returns the time of day, on which all nodes agree except for a small difference.
      *
      * @return The time in milliseconds since the epoch.
      */
@@ -80,7 +83,7 @@
     }
 
     /**
-     * Returns the requests.
+     * Returns the suspect requests.
      *
      * @return The table.
      */
@@ -89,118 +92,118 @@
     }
 
     /**
-     * Returns the requests whose news the other nodes have not heard.
+     * Returns the requests whose changes have not been announced to the other nodes.
      *
-     * @return The requests, in a set that may be changed.
+     * @return The requests, as a modifiable set.
      */
-    Set<RequestFingerprint> untold() {
-        return untold;
+    Set<RequestFingerprint> unannounced() {
+        return unannounced;
     }
 
     /**
-     * Returns the endpoints whose end the other nodes have not heard of.
+     * Returns the endpoints whose termination has not been announced to the other nodes.
      *
-     * @return The endpoints, in a set that may be changed.
+     * @return The endpoints, as a modifiable set.
      */
-    Set<EndpointName> untoldEnds() {
-        return untoldEnds;
+    Set<EndpointName> unannouncedEnds() {
+        return unannouncedEnds;
     }
 
     /**
-     * Returns whether there is something that the other nodes have not heard.
+     * Returns whether any change has not been announced to the other nodes.
      *
-     * @return {@code true} if there is.
+     * @return {@code true} if there are unannounced changes.
      */
-    boolean hasNews() {
-        return !untold.isEmpty() || !untoldEnds.isEmpty();
+    boolean hasUnannouncedChanges() {
+        return !unannounced.isEmpty() || !unannouncedEnds.isEmpty();
     }
 
     /**
-     * Returns the requests whose news the platform does not hold.
+     * Returns the requests whose changes are not stored on the platform yet.
      *
-     * @return The requests, in a set that may be changed.
+     * @return The requests, as a modifiable set.
      */
     Set<RequestFingerprint> unstored() {
         return unstored;
     }
 
     /**
-     * Notes that others may have heard of a request.
+     * Marks a request as possibly recorded at other nodes.
      *
      * @param fingerprint The request.
      */
-    void noteTold(RequestFingerprint fingerprint) {
-        told.add(fingerprint);
+    void markAnnounced(RequestFingerprint fingerprint) {
+        announced.add(fingerprint);
     }
 
     /**
-     * Takes what this node found out about a request.
+     * Records a change of a request that this node observed itself.
      *
      * @param suspect The request.
      */
-    void learn(Suspect suspect) {
+    void recordLocal(Suspect suspect) {
         put(suspect);
-        untold.add(suspect.fingerprint());
-        own.add(suspect.fingerprint());
+        unannounced.add(suspect.fingerprint());
+        locallyObserved.add(suspect.fingerprint());
         unstored.add(suspect.fingerprint());
     }
 
     /**
-     * Takes what another node, or the platform, knows of a request.
+     * Merges the state of a request that was received from another node or read from the platform.
      *
      * @param suspect The request.
      */
-    void hear(Suspect suspect) {
-        told.add(suspect.fingerprint());
+    void mergeRemote(Suspect suspect) {
+        announced.add(suspect.fingerprint());
         Suspect merged = suspects.find(suspect.fingerprint())
-                .map(known -> known.merge(suspect))
+                .map(recorded -> recorded.merge(suspect))
                 .orElse(suspect);
-        boolean isNews =
+        boolean isChange =
                 suspects.find(suspect.fingerprint()).filter(merged::equals).isEmpty();
-        if (isNews && !QuarantinePolicy.isForgotten(merged, epochMillis())) {
+        if (isChange && !QuarantinePolicy.isExpired(merged, epochMillis())) {
             put(merged);
-            if (own.contains(merged.fingerprint())) {
+            if (locallyObserved.contains(merged.fingerprint())) {
                 unstored.add(merged.fingerprint());
             }
         }
     }
 
     /**
-     * Clears a request, as an endpoint answered it or an operator lets it go.
+     * Clears a request, because an endpoint answered it or an operator released it.
      *
      * @param tick The tick.
      * @param fingerprint The request.
-     * @param reason Why, for logs.
+     * @param reason The reason, for logs.
      */
     void clear(Tick tick, RequestFingerprint fingerprint, String reason) {
-        Optional<Suspect> known = suspects.find(fingerprint);
-        if (known.isEmpty() || known.get().strikes().isEmpty()) {
+        Optional<Suspect> recorded = suspects.find(fingerprint);
+        if (recorded.isEmpty() || recorded.get().strikes().isEmpty()) {
             return;
         }
         tick.decide(Decision.of("quarantine", fingerprint.toString(), "cleared", reason));
-        if (told.contains(fingerprint)) {
-            learn(known.get().withClearance(epochMillis()));
+        if (announced.contains(fingerprint)) {
+            recordLocal(recorded.get().withClearance(epochMillis()));
         } else {
-            forget(fingerprint);
+            remove(fingerprint);
         }
     }
 
     /**
-     * Forgets a request.
+     * Removes a request.
      *
      * @param fingerprint The request.
      */
-    void forget(RequestFingerprint fingerprint) {
+    void remove(RequestFingerprint fingerprint) {
         suspects.remove(fingerprint);
-        told.remove(fingerprint);
-        untold.remove(fingerprint);
-        own.remove(fingerprint);
+        announced.remove(fingerprint);
+        unannounced.remove(fingerprint);
+        locallyObserved.remove(fingerprint);
         unstored.remove(fingerprint);
         changed = true;
     }
 
     /**
-     * Replaces what is known of a request.
+     * Replaces the state of a request, and removes the least relevant request if the table is full.
      *
      * @param suspect The request.
      */
@@ -210,18 +213,18 @@
         if (suspects.size() > MAXIMUM_SUSPECTS) {
             suspects.rows().stream()
                     .min(Comparator.comparingInt(Suspect::count).thenComparingLong(Suspect::changedAt))
-                    .ifPresent(least -> forget(least.fingerprint()));
+                    .ifPresent(least -> remove(least.fingerprint()));
         }
     }
 
     /**
-     * Takes that an endpoint has ended.
+     * Records that an endpoint has terminated.
      *
      * @param endpoint The endpoint.
-     * @param now The present.
-     * @return Whether that was not known.
+     * @param now The current time.
+     * @return Whether this was not recorded before.
      */
-    boolean noteEnded(EndpointName endpoint, MonotonicTime now) {
+    boolean recordEnded(EndpointName endpoint, MonotonicTime now) {
         if (ended.containsKey(endpoint) || ended.size() >= MAXIMUM_ENDED) {
             return false;
         }
@@ -231,7 +234,7 @@
     }
 
     /**
-     * Returns whether an endpoint has ended lately.
+     * Returns whether an endpoint has terminated recently.
      *
      * @param endpoint The endpoint.
      * @return {@code true} if it has.
@@ -241,16 +244,16 @@
     }
 
     /**
-     * Forgets endpoints that ended some time ago.
+     * Evicts endpoints whose termination is older than the retention period.
      *
-     * @param now The present.
+     * @param now The current time.
      */
-    void forgetEnded(MonotonicTime now) {
-        changed |= ended.values().removeIf(at -> now.since(at).compareTo(ENDED_TIME) > 0);
+    void evictEnded(MonotonicTime now) {
+        changed |= ended.values().removeIf(at -> now.since(at).compareTo(ENDED_RETENTION) > 0);
     }
 
     /**
-     * Returns what is known.
+     * Returns the published state.
      *
      * @return The view as of the last tick.
      */
@@ -259,7 +262,7 @@
     }
 
     /**
-     * Makes a new view and hands it to the shell, if anything has changed.
+     * Publishes a new view to the shell if the state has changed.
      *
      * @param tick The tick.
      */
@@ -272,18 +275,19 @@
         view = new QuarantineView(entries(), ended.keySet());
         tick.emit(new QuarantineEffect.Changed(view));
         for (QuarantineView.Entry entry : view.held()) {
-            boolean known = before.find(entry.suspect().fingerprint())
+            boolean recorded = before.find(entry.suspect().fingerprint())
                     .filter(earlier -> earlier.isHeld()
                             && earlier.suspect().count() == entry.suspect().count())
                     .isPresent();
-            if (!known) {
-                explain(tick, entry);
+            if (!recorded) {
+                recordDecision(tick, entry);
             }
         }
     }
 
     /**
-     * Returns the requests with the judgement of how much the endpoints that ended tell of each.
+     * Builds the entries of the view, and determines for each request whether it was the only suspect one at an
+     * endpoint.
      *
      * @return The entries.
      */
@@ -292,26 +296,26 @@
         for (Suspect suspect : suspects.view()) {
             suspect.strikes().stream()
                     .filter(Strike::certain)
-                    .forEach(strike -> requests.merge(strike.endpoint(), 1, Integer::sum));
+                    .forEach(evidence -> requests.merge(evidence.endpoint(), 1, Integer::sum));
         }
         Map<RequestFingerprint, QuarantineView.Entry> entries = new HashMap<>();
         for (Suspect suspect : suspects.view()) {
             if (!suspect.strikes().isEmpty()) {
-                boolean alone = suspect.strikes().stream()
-                        .anyMatch(strike -> strike.certain() && requests.get(strike.endpoint()) == 1);
-                entries.put(suspect.fingerprint(), new QuarantineView.Entry(suspect, alone));
+                boolean soleRequest = suspect.strikes().stream()
+                        .anyMatch(evidence -> evidence.certain() && requests.get(evidence.endpoint()) == 1);
+                entries.put(suspect.fingerprint(), new QuarantineView.Entry(suspect, soleRequest));
             }
         }
         return entries;
     }
 
     /**
-     * Explains that a request is held.
+     * Logs that a request is held.
      *
      * @param tick The tick.
      * @param entry The request.
      */
-    private static void explain(Tick tick, QuarantineView.Entry entry) {
+    private static void recordDecision(Tick tick, QuarantineView.Entry entry) {
         Suspect suspect = entry.suspect();
         tick.decide(Decision.of(
                 "quarantine",
@@ -319,6 +323,6 @@
                 "held",
                 suspect.description() + ", endpoints ended " + suspect.count() + ", since "
                         + suspect.strikes().get(0).at() + ", until " + entry.heldUntil()
-                        + (entry.alone() ? "" : ", others were at all of them")));
+                        + (entry.soleRequest() ? "" : ", other suspect requests were in flight at all of them")));
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantineSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantineSystem.java
@@ -8,33 +8,36 @@
 import java.util.function.LongSupplier;
 
 /**
- * Keeps requests under which endpoints end away from further endpoints. Without it, one request that came again every
- * few seconds ended all three endpoints of a service 9 times in 70 s, and most requests of other callers in the 3 s
+ * Protects endpoints from requests that make them terminate. Without this, one request that was repeated every few
+ * seconds terminated all three endpoints of a service 9 times in 70 s, and most requests of other callers in the 3 s
  * after each time were lost.
  */
 public final class QuarantineSystem implements DecisionSystem, Quarantine {
 
-    /** What the parts share. */
+    /** The state that the parts share. */
     private final QuarantineState state;
 
-    /** Finds out under which requests endpoints ended. */
+    /** Detects which requests endpoints were processing when they terminated. */
     private final EvidenceSystem evidence;
 
     /** The parts, in the order in which they run. */
     private final List<DecisionSystem> parts;
 
     /**
-     * Creates a system that knows of no request.
+     * Creates a system without suspect requests.
      *
      * @param membership The nodes of the site.
-     * @param tokens Hands out the tokens of calls.
-     * @param standings What is known of endpoints from another source.
-     * @param timeOfDay Tells the time of day in milliseconds since the epoch.
+     * @param tokens Allocates the tokens of platform calls.
+     * @param endpointStatuses Supplies the status of endpoints from another source.
+     * @param timeOfDay Supplies the time of day in milliseconds since the epoch.
      */
     public QuarantineSystem(
-            MembershipView membership, PlatformTokens tokens, EndpointStandings standings, LongSupplier timeOfDay) {
+            MembershipView membership,
+            PlatformTokens tokens,
+            EndpointStandings endpointStatuses,
+            LongSupplier timeOfDay) {
         state = new QuarantineState(timeOfDay);
-        evidence = new EvidenceSystem(state, standings);
+        evidence = new EvidenceSystem(state, endpointStatuses);
         parts = List.of(evidence, new ExchangeSystem(state, membership), new StoreSystem(state, tokens));
     }
 
@@ -45,12 +48,12 @@
     }
 
     /**
-     * Returns whether something is to be told to other nodes soon.
+     * Returns whether changes wait to be announced to other nodes.
      *
      * @return {@code true} if the system should run more often than an idle one.
      */
     public boolean isBusy() {
-        return state.hasNews();
+        return state.hasUnannouncedChanges();
     }
 
     @Override
@@ -65,7 +68,7 @@
 
     @Override
     public void report(Tick tick, QuarantineEvent event) {
-        evidence.take(tick, event);
+        evidence.apply(tick, event);
         state.publish(tick);
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantineView.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantineView.java
@@ -9,15 +9,14 @@
 import java.util.stream.Collectors;
 
 /**
- * What a node knows of requests under which endpoints ended, at one moment. It never changes, so any thread may read
- * it.
+ * An immutable snapshot of a node's suspect requests and terminated endpoints, which any thread may read.
  *
- * @param entries The requests.
- * @param ended The endpoints that have ended lately and that the registry may still name.
+ * @param entries The suspect requests.
+ * @param ended The endpoints that have terminated recently and that the registry may still list.
  */
 public record QuarantineView(Map<RequestFingerprint, Entry> entries, Set<EndpointName> ended) {
 
-    /** Nothing is known. */
+    /** A view without suspect requests and terminated endpoints. */
     public static final QuarantineView EMPTY = new QuarantineView(Map.of(), Set.of());
 
     /** Copies the collections. */
@@ -27,8 +26,7 @@
     }
 
     /**
-     * Returns whether nothing is known of any request, as on almost all days. No request's fingerprint needs to be
-     * computed then.
+     * Returns whether no request is suspect, which is the normal case. Fingerprints need not be computed then.
      *
      * @return {@code true} if there are no entries.
      */
@@ -37,10 +35,10 @@
     }
 
     /**
-     * Returns what is done with a request.
+     * Returns the verdict on a request.
      *
      * @param fingerprint The request.
-     * @param now The present in milliseconds since the epoch.
+     * @param now The current time in milliseconds since the epoch.
      * @return The verdict.
      */
     public Verdict verdict(RequestFingerprint fingerprint, long now) {
@@ -49,7 +47,7 @@
     }
 
     /**
-     * Returns the endpoints that surely ended under a request.
+     * Returns the endpoints that are known to have terminated while they processed a request.
      *
      * @param fingerprint The request.
      * @return The endpoints.
@@ -65,17 +63,17 @@
     }
 
     /**
-     * Returns whether an attempt at an endpoint could leave its pool without any, while endpoints that the request
-     * ended are not back yet.
+     * Returns whether an attempt could leave a pool without endpoints, while endpoints that terminated when they
+     * processed the request have not restarted yet.
      *
      * @param fingerprint The request.
-     * @param working The endpoints of the pool that the registry names.
-     * @param now The present in milliseconds since the epoch.
-     * @return {@code true} if one endpoint at most is left.
+     * @param working The endpoints of the pool that the registry lists.
+     * @param now The current time in milliseconds since the epoch.
+     * @return {@code true} if at most one endpoint is left.
      */
     public boolean sparesLast(RequestFingerprint fingerprint, Collection<EndpointName> working, long now) {
         Entry entry = entries.get(fingerprint);
-        if (entry == null || now - entry.suspect().lastStrikeAt() > LastEndpoint.RETURN_TIME.toMillis()) {
+        if (entry == null || now - entry.suspect().lastCrashAt() > LastEndpoint.RESTART_DURATION.toMillis()) {
             return false;
         }
         return LastEndpoint.isLast(working, ended);
@@ -84,7 +82,7 @@
     /**
      * Returns the requests that are held.
      *
-     * @return The entries, in no order.
+     * @return The entries, in no particular order.
      */
     public List<Entry> held() {
         return entries.values().stream().filter(Entry::isHeld).toList();
@@ -94,41 +92,41 @@
      * Finds a request.
      *
      * @param fingerprint The request.
-     * @return What is known of it.
+     * @return Its entry, or empty if it is not suspect.
      */
     public Optional<Entry> find(RequestFingerprint fingerprint) {
         return Optional.ofNullable(entries.get(fingerprint));
     }
 
     /**
-     * A request under which endpoints ended.
+     * A request that endpoints were processing when they terminated.
      *
-     * @param suspect What is known of it.
-     * @param alone Whether it was the only request in flight at one of the endpoints, but for those that were answered.
+     * @param suspect The state of the request.
+     * @param soleRequest Whether it was the only unanswered request in flight at one of the endpoints.
      */
-    public record Entry(Suspect suspect, boolean alone) {
+    public record Entry(Suspect suspect, boolean soleRequest) {
 
         /**
-         * Returns what is done with the request.
+         * Returns the verdict on the request.
          *
-         * @param now The present in milliseconds since the epoch.
+         * @param now The current time in milliseconds since the epoch.
          * @return The verdict.
          */
         public Verdict verdict(long now) {
-            return QuarantinePolicy.judge(suspect, alone, now);
+            return QuarantinePolicy.judge(suspect, soleRequest, now);
         }
 
         /**
-         * Returns whether the request is held, or was and is now tried.
+         * Returns whether the request is held, or is on trial after its hold time elapsed.
          *
          * @return {@code true} if it is.
          */
         public boolean isHeld() {
-            return QuarantinePolicy.isHeld(suspect, alone);
+            return QuarantinePolicy.isHeld(suspect, soleRequest);
         }
 
         /**
-         * Returns until when the request is held.
+         * Returns the end of the hold time.
          *
          * @return The time in milliseconds since the epoch.
          */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/RequestFingerprint.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/RequestFingerprint.java
@@ -9,22 +9,22 @@
 import java.util.Optional;
 
 /**
- * Tells whether two requests ask for the same: the same caller, host, method, path and body. Identifiers and times,
- * which are new with each attempt of a caller, don't count. It is a cryptographic digest, such that nobody can make a
- * request that is taken for another caller's, and no body has to be kept.
+ * Identifies equal requests: those with the same caller, host, method, path and body. Identifiers and timestamps, which
+ * differ between the attempts of a caller, are excluded. The fingerprint is a truncated cryptographic digest, so that a
+ * caller cannot forge a request that is mistaken for another caller's, and so that no body has to be retained.
  *
  * @param high The first eight bytes of the digest.
  * @param low The next eight bytes.
  */
 public record RequestFingerprint(long high, long low) {
 
-    /** The number of bytes of the digest that are kept. */
+    /** The number of digest bytes that are kept. */
     private static final int BYTES = 2 * Long.BYTES;
 
     /**
      * Computes the fingerprint of a request.
      *
-     * @param caller The caller's account or credentials, or an empty text where callers don't tell.
+     * @param caller The caller's account or credentials, or an empty text if callers are not identified.
      * @param host The host.
      * @param method The method.
      * @param target The path with the query.
@@ -43,10 +43,10 @@
     }
 
     /**
-     * Reads a fingerprint.
+     * Parses a fingerprint.
      *
-     * @param text The text, as {@link #toString} writes it.
-     * @return The fingerprint, or empty if the text is none.
+     * @param text The text, as returned by {@link #toString}.
+     * @return The fingerprint, or empty if the text is invalid.
      */
     public static Optional<RequestFingerprint> parse(String text) {
         if (text.length() != 2 * BYTES) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/StoreSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/StoreSystem.java
@@ -20,55 +20,58 @@
 import java.util.Set;
 
 /**
- * Keeps requests under which several endpoints ended on the platform, in one object, such that they stay known when all
- * nodes end at once. The object is read once at a node's start and written by the node that found something out.
+ * Stores requests with several terminated endpoints on the platform, in one object, so that they outlast a simultaneous
+ * termination of all nodes. The object is read once when a node starts, and written by the node that observed a change.
  */
 final class StoreSystem implements DecisionSystem {
 
     /** The key of the object. */
     static final ObjectKey KEY = new ObjectKey("quarantine", "requests");
 
-    /** The number of ended endpoints from which a request is kept. Of one alone, as good as all are served again. */
-    private static final int KEPT_FROM = 2;
+    /**
+     * The number of terminated endpoints from which a request is stored. Almost all requests with only one are served
+     * again.
+     */
+    private static final int STORE_THRESHOLD = 2;
 
-    /** The largest number of requests that are kept, far below the size of an object. */
-    private static final int MAXIMUM_KEPT = 128;
+    /** The maximum number of stored requests, which stays far below the maximum size of an object. */
+    private static final int MAXIMUM_STORED = 128;
 
-    /** The first wait after a failed call. */
-    private static final Duration FIRST_BACK_OFF = Duration.ofMillis(200);
+    /** The initial delay after a failed call. */
+    private static final Duration INITIAL_BACKOFF = Duration.ofMillis(200);
 
-    /** The longest wait after failed calls. */
-    private static final Duration LONGEST_BACK_OFF = Duration.ofSeconds(2);
+    /** The maximum delay after failed calls. */
+    private static final Duration MAXIMUM_BACKOFF = Duration.ofSeconds(2);
 
-    /** The least time between two writes, which gathers what several attempts bring. */
+    /** The minimum time between two writes, which batches the results of several attempts. */
     private static final Duration WRITE_INTERVAL = Duration.ofMillis(200);
 
-    /** What the systems share. */
+    /** The state that the systems of the quarantine share. */
     private final QuarantineState state;
 
-    /** The calls that wait for their answers. */
+    /** The calls whose answers are pending. */
     private final PlatformCalls calls;
 
-    /** When the next call may be made. */
-    private final CallBackOff backOff = new CallBackOff(FIRST_BACK_OFF, LONGEST_BACK_OFF);
+    /** The backoff that determines when the next call may be made. */
+    private final CallBackOff backoff = new CallBackOff(INITIAL_BACKOFF, MAXIMUM_BACKOFF);
 
-    /** Whether the object was read. */
+    /** Whether the object has been read. */
     private boolean read;
 
-    /** Whether a call waits for its answer. */
-    private boolean calling;
+    /** Whether the answer to a call is pending. */
+    private boolean callPending;
 
     /** The version of the object, or empty if there is none. */
     private OptionalLong version = OptionalLong.empty();
 
-    /** What the object holds, as far as this node knows. */
+    /** The requests in the object, as of its last read or write by this node. */
     private Map<RequestFingerprint, Suspect> stored = Map.of();
 
     /**
      * Creates a system that has not read the object.
      *
-     * @param state What the systems share.
-     * @param tokens Hands out the tokens of calls.
+     * @param state The state that the systems of the quarantine share.
+     * @param tokens Allocates the tokens of platform calls.
      */
     StoreSystem(QuarantineState state, PlatformTokens tokens) {
         this.state = state;
@@ -78,7 +81,7 @@
     @Override
     public void run(Tick tick) {
         calls.answer(tick);
-        if (calling || !backOff.allows(tick.now())) {
+        if (callPending || !backoff.allows(tick.now())) {
             return;
         }
         if (!read) {
@@ -94,120 +97,121 @@
      * @param tick The tick.
      */
     private void read(Tick tick) {
-        calling = true;
-        calls.call(tick, token -> new PlatformEffect.Read(token, PlatformPurpose.QUARANTINE, KEY), (later, event) -> {
-            calling = false;
-            if (event instanceof PlatformEvent.ObjectRead answer) {
-                read = true;
-                backOff.succeeded(later.now(), Duration.ZERO);
-                take(answer.object());
-            } else {
-                backOff.failed(later);
-            }
-        });
+        callPending = true;
+        calls.call(
+                tick, token -> new PlatformEffect.Read(token, PlatformPurpose.QUARANTINE, KEY), (answerTick, event) -> {
+                    callPending = false;
+                    if (event instanceof PlatformEvent.ObjectRead answer) {
+                        read = true;
+                        backoff.succeeded(answerTick.now(), Duration.ZERO);
+                        apply(answer.object());
+                    } else {
+                        backoff.failed(answerTick);
+                    }
+                });
     }
 
     /**
-     * Writes what this node found out, if the object lacks it.
+     * Writes the changes that this node observed, if the object lacks them.
      *
      * @param tick The tick.
      */
     private void write(Tick tick) {
         Set<RequestFingerprint> written = Set.copyOf(state.unstored());
-        Map<RequestFingerprint, Suspect> wanted = wanted(written);
-        if (wanted.equals(stored)) {
+        Map<RequestFingerprint, Suspect> desired = desired(written);
+        if (desired.equals(stored)) {
             state.unstored().removeAll(written);
             return;
         }
-        calling = true;
+        callPending = true;
         calls.call(
                 tick,
                 token -> new PlatformEffect.Write(
-                        token, PlatformPurpose.QUARANTINE, KEY, version, SuspectCodec.encode(wanted.values())),
-                (later, event) -> {
-                    calling = false;
+                        token, PlatformPurpose.QUARANTINE, KEY, version, SuspectCodec.encode(desired.values())),
+                (answerTick, event) -> {
+                    callPending = false;
                     if (event instanceof PlatformEvent.Accepted accepted) {
                         version = OptionalLong.of(accepted.version());
-                        stored = wanted;
+                        stored = desired;
                         state.unstored()
                                 .removeIf(fingerprint -> written.contains(fingerprint) && isStored(fingerprint));
-                        backOff.succeeded(later.now(), WRITE_INTERVAL);
-                        explain(later, wanted.size());
+                        backoff.succeeded(answerTick.now(), WRITE_INTERVAL);
+                        recordDecision(answerTick, desired.size());
                     } else if (event instanceof PlatformEvent.Conflict conflict) {
-                        backOff.failed(later);
-                        take(conflict.current());
+                        backoff.failed(answerTick);
+                        apply(conflict.current());
                     } else {
-                        backOff.failed(later);
+                        backoff.failed(answerTick);
                     }
                 });
     }
 
     /**
-     * Returns whether the object holds what is known of a request now, or need not.
+     * Returns whether the object contains the current state of a request, or need not contain it.
      *
      * @param fingerprint The request.
-     * @return {@code true} unless more was found out since.
+     * @return {@code true} unless the request has changed since the write.
      */
     private boolean isStored(RequestFingerprint fingerprint) {
-        Optional<Suspect> known = state.suspects().find(fingerprint);
-        return known.isEmpty() || known.get().equals(stored.get(fingerprint)) || !isKept(known.get());
+        Optional<Suspect> recorded = state.suspects().find(fingerprint);
+        return recorded.isEmpty() || recorded.get().equals(stored.get(fingerprint)) || !shouldStore(recorded.get());
     }
 
     /**
-     * Returns what the object should hold.
+     * Returns the requests that the object should contain.
      *
-     * @param changed The requests that this node found something out about.
-     * @return What it holds, merged with those.
+     * @param changed The requests with changes observed at this node.
+     * @return The current content of the object, merged with those requests.
      */
-    private Map<RequestFingerprint, Suspect> wanted(Set<RequestFingerprint> changed) {
-        Map<RequestFingerprint, Suspect> wanted = new LinkedHashMap<>(stored);
+    private Map<RequestFingerprint, Suspect> desired(Set<RequestFingerprint> changed) {
+        Map<RequestFingerprint, Suspect> desired = new LinkedHashMap<>(stored);
         for (RequestFingerprint fingerprint : changed) {
-            Optional<Suspect> known = state.suspects().find(fingerprint);
-            if (known.isPresent() && (isKept(known.get()) || wanted.containsKey(fingerprint))) {
-                wanted.merge(fingerprint, known.get(), Suspect::merge);
+            Optional<Suspect> recorded = state.suspects().find(fingerprint);
+            if (recorded.isPresent() && (shouldStore(recorded.get()) || desired.containsKey(fingerprint))) {
+                desired.merge(fingerprint, recorded.get(), Suspect::merge);
             }
         }
         long now = state.epochMillis();
-        wanted.values().removeIf(suspect -> QuarantinePolicy.isForgotten(suspect, now));
-        while (wanted.size() > MAXIMUM_KEPT) {
-            wanted.remove(wanted.keySet().iterator().next());
+        desired.values().removeIf(suspect -> QuarantinePolicy.isExpired(suspect, now));
+        while (desired.size() > MAXIMUM_STORED) {
+            desired.remove(desired.keySet().iterator().next());
         }
-        return wanted;
+        return desired;
     }
 
     /**
-     * Returns whether a request is kept on the platform.
+     * Returns whether a request is to be stored on the platform.
      *
      * @param suspect The request.
-     * @return {@code true} if enough endpoints ended under it.
+     * @return {@code true} if enough endpoints terminated while they processed it.
      */
-    private static boolean isKept(Suspect suspect) {
-        return suspect.count() >= KEPT_FROM;
+    private static boolean shouldStore(Suspect suspect) {
+        return suspect.count() >= STORE_THRESHOLD;
     }
 
     /**
-     * Takes what the object holds.
+     * Applies the content of the object.
      *
      * @param object The object, or empty if there is none.
      */
-    private void take(Optional<StoredObject> object) {
+    private void apply(Optional<StoredObject> object) {
         version = object.map(found -> OptionalLong.of(found.version())).orElseGet(OptionalLong::empty);
         List<Suspect> suspects =
                 object.map(found -> SuspectCodec.decode(found.value())).orElseGet(List::of);
-        Map<RequestFingerprint, Suspect> held = new LinkedHashMap<>();
-        suspects.forEach(suspect -> held.put(suspect.fingerprint(), suspect));
-        stored = held;
-        suspects.forEach(state::hear);
+        Map<RequestFingerprint, Suspect> decoded = new LinkedHashMap<>();
+        suspects.forEach(suspect -> decoded.put(suspect.fingerprint(), suspect));
+        stored = decoded;
+        suspects.forEach(state::mergeRemote);
     }
 
     /**
-     * Explains that the object was written.
+     * Logs that the object was written.
      *
      * @param tick The tick.
-     * @param kept How many requests it holds.
+     * @param storedRequests The number of requests in the object.
      */
-    private void explain(Tick tick, int kept) {
-        tick.decide(
-                Decision.of("quarantine", KEY.toString(), "stored", kept + " requests, version " + version.orElse(0)));
+    private void recordDecision(Tick tick, int storedRequests) {
+        tick.decide(Decision.of(
+                "quarantine", KEY.toString(), "stored", storedRequests + " requests, version " + version.orElse(0)));
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/Strike.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/Strike.java
@@ -3,36 +3,37 @@
 import io.yuccaswitch.core.identity.EndpointName;
 
 /**
- * One start of an endpoint that ended under a request.
+ * Evidence against a request: one incarnation of an endpoint that terminated while it processed the request.
  *
- * @param endpoint The start of the endpoint.
- * @param at When it was found to have ended, in milliseconds since the epoch.
- * @param certain Whether the endpoint surely lived when it got the request. Otherwise it may have ended before.
+ * @param endpoint The endpoint, including its incarnation.
+ * @param at When its termination was detected, in milliseconds since the epoch.
+ * @param certain Whether the endpoint is known to have been running when it received the request. Otherwise it may have
+ *     terminated before.
  */
 public record Strike(EndpointName endpoint, long at, boolean certain) {
 
     /**
-     * Two ends of an endpoint that does not tell its starts apart are different ones if this time lies between them, in
-     * milliseconds. No endpoint starts as fast, and nodes learn of one end well within it.
+     * The minimum time between two distinct terminations of an endpoint without incarnation numbers, in milliseconds.
+     * No endpoint restarts this fast, and all nodes detect one termination well within this time.
      */
-    private static final long SAME_END_MILLIS = 2000;
+    private static final long SAME_TERMINATION_MILLIS = 2000;
 
     /**
-     * Returns whether another strike tells of the same end.
+     * Returns whether other evidence refers to the same termination.
      *
-     * @param other The other strike.
-     * @return {@code true} if it does.
+     * @param other The other evidence.
+     * @return {@code true} if it refers to the same termination.
      */
-    boolean isSameEnd(Strike other) {
+    boolean isSameTermination(Strike other) {
         return endpoint.equals(other.endpoint)
-                && (endpoint.incarnation() != EndpointName.UNTOLD || Math.abs(at - other.at) < SAME_END_MILLIS);
+                && (endpoint.incarnation() != EndpointName.UNTOLD || Math.abs(at - other.at) < SAME_TERMINATION_MILLIS);
     }
 
     /**
-     * Returns what two strikes of the same end tell together.
+     * Merges two pieces of evidence of the same termination.
      *
-     * @param other The other strike.
-     * @return The strike at the earlier time, certain if one of them is.
+     * @param other The other evidence.
+     * @return The evidence with the earlier time, which is certain if either one is.
      */
     Strike merge(Strike other) {
         return new Strike(endpoint, Math.min(at, other.at), certain || other.certain);
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/Suspect.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/Suspect.java
@@ -5,25 +5,29 @@
 import java.util.List;
 
 /**
- * A request under which endpoints ended. Nodes merge what they know of it in any order and as often as they like.
+ * A request that endpoints were processing when they terminated. The merge of two nodes' states is commutative,
+ * associative and idempotent.
  *
- * @param fingerprint What recognises the request.
+ * @param fingerprint The fingerprint of the request.
  * @param description The method, host and path, for operators.
- * @param strikes The endpoints that ended under it since it was last cleared, the oldest first.
- * @param trialAt When it was last let through after it had been held, in milliseconds since the epoch, or zero.
- * @param clearedAt When an endpoint last answered it, or an operator let it go, in milliseconds since the epoch, or
+ * @param strikes The evidence of terminated endpoints since the request was last cleared, the oldest first.
+ * @param trialAt When it was last let through after a hold, in milliseconds since the epoch, or zero.
+ * @param clearedAt When an endpoint last answered it, or an operator released it, in milliseconds since the epoch, or
  *     zero.
  */
 public record Suspect(
         RequestFingerprint fingerprint, String description, List<Strike> strikes, long trialAt, long clearedAt) {
 
-    /** The largest number of strikes that are kept. All beyond those that change the judgement tell nothing. */
-    static final int MAXIMUM_STRIKES = 12;
+    /**
+     * The maximum amount of evidence that is kept. Evidence beyond the number that changes the verdict carries no
+     * information.
+     */
+    static final int MAXIMUM_EVIDENCE = 12;
 
-    /** The largest length of a description, in characters. */
+    /** The maximum length of a description, in characters. */
     private static final int MAXIMUM_DESCRIPTION = 120;
 
-    /** Copies the strikes, drops those that were cleared, and bounds the rest. */
+    /** Copies the evidence, drops what was cleared, and truncates the rest to the maximum. */
     public Suspect {
         strikes = bounded(strikes, clearedAt);
         description = description.length() <= MAXIMUM_DESCRIPTION
@@ -32,9 +36,9 @@
     }
 
     /**
-     * Creates a suspect under which no endpoint has ended.
+     * Creates a suspect without evidence.
      *
-     * @param fingerprint What recognises the request.
+     * @param fingerprint The fingerprint of the request.
      * @param description The method, host and path, for operators.
      */
     Suspect(RequestFingerprint fingerprint, String description) {
@@ -42,27 +46,27 @@
     }
 
     /**
-     * Returns the suspect after an endpoint ended under it.
+     * Returns the suspect with evidence added.
      *
-     * @param strike The endpoint.
+     * @param evidence The evidence.
      * @return The suspect.
      */
-    Suspect withStrike(Strike strike) {
-        return new Suspect(fingerprint, description, union(strikes, List.of(strike)), trialAt, clearedAt);
+    Suspect withEvidence(Strike evidence) {
+        return new Suspect(fingerprint, description, union(strikes, List.of(evidence)), trialAt, clearedAt);
     }
 
     /**
-     * Returns the suspect with fewer strikes.
+     * Returns the suspect with only some of its evidence.
      *
-     * @param kept The strikes that remain.
+     * @param kept The evidence that remains.
      * @return The suspect.
      */
-    Suspect withStrikes(List<Strike> kept) {
+    Suspect withEvidenceOnly(List<Strike> kept) {
         return new Suspect(fingerprint, description, kept, trialAt, clearedAt);
     }
 
     /**
-     * Returns the suspect after it was let through.
+     * Returns the suspect after it was let through for a trial.
      *
      * @param at When, in milliseconds since the epoch.
      * @return The suspect.
@@ -75,16 +79,16 @@
      * Returns the suspect after it was cleared.
      *
      * @param at When, in milliseconds since the epoch.
-     * @return The suspect, without strikes of before.
+     * @return The suspect, without earlier evidence.
      */
     Suspect withClearance(long at) {
         return new Suspect(fingerprint, description, strikes, trialAt, Math.max(clearedAt, at));
     }
 
     /**
-     * Returns what two nodes know together.
+     * Merges the states of a suspect at two nodes.
      *
-     * @param other What the other node knows.
+     * @param other The state at the other node.
      * @return The suspect.
      */
     Suspect merge(Suspect other) {
@@ -97,7 +101,7 @@
     }
 
     /**
-     * Returns how many endpoints have surely ended under it.
+     * Returns the number of endpoints that are known to have terminated while they processed it.
      *
      * @return The number.
      */
@@ -106,53 +110,53 @@
     }
 
     /**
-     * Returns when an endpoint last ended under it.
+     * Returns when an endpoint last terminated while it processed the request.
      *
-     * @return The time in milliseconds since the epoch, or zero if none did.
+     * @return The time in milliseconds since the epoch, or zero without evidence.
      */
-    public long lastStrikeAt() {
+    public long lastCrashAt() {
         return strikes.isEmpty() ? 0 : strikes.get(strikes.size() - 1).at();
     }
 
     /**
-     * Returns when anything last happened to it.
+     * Returns the time of the last change.
      *
      * @return The time in milliseconds since the epoch.
      */
     long changedAt() {
-        return Math.max(lastStrikeAt(), Math.max(trialAt, clearedAt));
+        return Math.max(lastCrashAt(), Math.max(trialAt, clearedAt));
     }
 
     /**
-     * Merges two lists of strikes.
+     * Merges two lists of evidence.
      *
      * @param first A list.
      * @param second Another list.
-     * @return The strikes of both, each end once.
+     * @return The evidence of both lists, with each termination once.
      */
     private static List<Strike> union(List<Strike> first, List<Strike> second) {
         List<Strike> merged = new ArrayList<>(first);
-        for (Strike strike : second) {
-            int same = indexOf(merged, strike);
+        for (Strike evidence : second) {
+            int same = indexOf(merged, evidence);
             if (same < 0) {
-                merged.add(strike);
+                merged.add(evidence);
             } else {
-                merged.set(same, merged.get(same).merge(strike));
+                merged.set(same, merged.get(same).merge(evidence));
             }
         }
         return merged;
     }
 
     /**
-     * Finds a strike that tells of the same end.
+     * Finds evidence of the same termination.
      *
-     * @param strikes Where to look.
-     * @param strike The strike.
+     * @param strikes The list to search.
+     * @param evidence The evidence to find.
      * @return Its index, or -1 if there is none.
      */
-    private static int indexOf(List<Strike> strikes, Strike strike) {
+    private static int indexOf(List<Strike> strikes, Strike evidence) {
         for (int i = 0; i < strikes.size(); i++) {
-            if (strikes.get(i).isSameEnd(strike)) {
+            if (strikes.get(i).isSameTermination(evidence)) {
                 return i;
             }
         }
@@ -160,17 +164,17 @@
     }
 
     /**
-     * Orders and bounds strikes.
+     * Sorts evidence, drops what was cleared, and truncates it to the maximum.
      *
-     * @param strikes The strikes.
-     * @param clearedAt When they were last cleared.
-     * @return The newest of those that count, the oldest first.
+     * @param strikes The evidence.
+     * @param clearedAt When the request was last cleared.
+     * @return The newest evidence that was not cleared, the oldest first.
      */
     private static List<Strike> bounded(List<Strike> strikes, long clearedAt) {
-        List<Strike> counting = strikes.stream()
-                .filter(strike -> strike.at() > clearedAt)
+        List<Strike> uncleared = strikes.stream()
+                .filter(evidence -> evidence.at() > clearedAt)
                 .sorted(Comparator.comparingLong(Strike::at).thenComparing(Strike::endpoint))
                 .toList();
-        return counting.subList(Math.max(0, counting.size() - MAXIMUM_STRIKES), counting.size());
+        return uncleared.subList(Math.max(0, uncleared.size() - MAXIMUM_EVIDENCE), uncleared.size());
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/SuspectCodec.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/SuspectCodec.java
@@ -10,28 +10,28 @@
 import java.util.stream.Collectors;
 
 /**
- * Writes requests as text, one a line: the fingerprint, the times of the last trial and the last clearance, the
- * strikes, and the description. A strike is written as {@code pool/name@incarnation:time:certain}.
+ * Encodes requests as text, one per line: the fingerprint, the times of the last trial and the last clearance, the
+ * evidence, and the description. A piece of evidence is encoded as {@code pool/name@incarnation:time:certain}.
  */
 final class SuspectCodec {
 
-    /** What stands between the parts of a line. The last part may contain it. */
+    /** Separates the parts of a line. The last part may contain it. */
     private static final String SEPARATOR = " ";
 
     /** The number of parts of a line. */
     private static final int PARTS = 5;
 
-    /** What stands between strikes. */
-    private static final String STRIKE_SEPARATOR = ",";
+    /** Separates pieces of evidence. */
+    private static final String EVIDENCE_SEPARATOR = ",";
 
-    /** What stands for no strikes. */
+    /** Denotes a request without evidence. */
     private static final String NONE = "-";
 
     /** This class has no instances. */
     private SuspectCodec() {}
 
     /**
-     * Writes requests.
+     * Encodes requests.
      *
      * @param suspects The requests.
      * @return The text.
@@ -41,14 +41,14 @@
     }
 
     /**
-     * Writes a request.
+     * Encodes a request.
      *
      * @param suspect The request.
      * @return The line.
      */
     static String encode(Suspect suspect) {
         String strikes =
-                suspect.strikes().stream().map(SuspectCodec::encode).collect(Collectors.joining(STRIKE_SEPARATOR));
+                suspect.strikes().stream().map(SuspectCodec::encode).collect(Collectors.joining(EVIDENCE_SEPARATOR));
         return String.join(
                 SEPARATOR,
                 suspect.fingerprint().toString(),
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Reads requests. A line that can't be read, such as one of a later release, is left out.
+     * Decodes requests. A line that cannot be decoded, such as one of a later release, is skipped.
      *
      * @param text The text.
      * @return The requests.
@@ -73,10 +73,10 @@
     }
 
     /**
-     * Reads a request.
+     * Decodes a request.
      *
      * @param line The line.
-     * @return The request, or empty if the line can't be read.
+     * @return The request, or empty if the line cannot be decoded.
      */
     private static Optional<Suspect> decode(String line) {
         String[] parts = line.split(SEPARATOR, PARTS);
@@ -87,8 +87,8 @@
         try {
             List<Strike> strikes = new ArrayList<>();
             if (!parts[3].equals(NONE)) {
-                for (String strike : parts[3].split(STRIKE_SEPARATOR, -1)) {
-                    strikes.add(decodeStrike(strike));
+                for (String evidence : parts[3].split(EVIDENCE_SEPARATOR, -1)) {
+                    strikes.add(decodeEvidence(evidence));
                 }
             }
             return Optional.of(new Suspect(
@@ -99,24 +99,24 @@
     }
 
     /**
-     * Writes a strike.
+     * Encodes a piece of evidence.
      *
-     * @param strike The strike.
+     * @param evidence The evidence.
      * @return The text.
      */
-    private static String encode(Strike strike) {
-        EndpointName endpoint = strike.endpoint();
-        return endpoint.pool() + "/" + endpoint.value() + "@" + endpoint.incarnation() + ":" + strike.at() + ":"
-                + strike.certain();
+    private static String encode(Strike evidence) {
+        EndpointName endpoint = evidence.endpoint();
+        return endpoint.pool() + "/" + endpoint.value() + "@" + endpoint.incarnation() + ":" + evidence.at() + ":"
+                + evidence.certain();
     }
 
     /**
-     * Reads a strike.
+     * Decodes a piece of evidence.
      *
      * @param text The text.
-     * @return The strike.
+     * @return The evidence.
      */
-    private static Strike decodeStrike(String text) {
+    private static Strike decodeEvidence(String text) {
         String[] parts = text.split("[/@:]", -1);
         EndpointName endpoint = new EndpointName(new PoolName(parts[0]), parts[1], Long.parseLong(parts[2]));
         return new Strike(endpoint, Long.parseLong(parts[3]), Boolean.parseBoolean(parts[4]));
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/Verdict.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/Verdict.java
@@ -2,38 +2,38 @@
 
 import java.time.Duration;
 
-/** What is done with a request, as far as it is known for what it did to endpoints. */
+/** How a request is handled, given the endpoints that terminated while processing it. */
 public sealed interface Verdict {
 
-    /** It is served as any other. */
+    /** It is served without restrictions. */
     record Serve() implements Verdict {}
 
     /**
-     * It is served, but it may have ended endpoints: each attempt goes over a connection of its own, such that the end
-     * of an endpoint can be told from a connection that had ended before.
+     * It is served, but may have made endpoints terminate. Each attempt uses a new connection, so that the termination
+     * of an endpoint can be distinguished from a connection that was closed before.
      */
     record Observe() implements Verdict {}
 
     /**
-     * It gets one attempt, and none that could cost a service its last endpoint. Others that were in flight at the same
-     * endpoints may be in the same place, so it is not refused for good.
+     * It is limited to one attempt, and none that could terminate the last endpoint of a service. It is not refused, as
+     * other requests that were in flight at the same endpoints are equally suspect.
      */
     record Restrain() implements Verdict {}
 
-    /** It was held, and gets one attempt by which it may prove harmless. */
+    /** Its hold time has elapsed, and it is granted one attempt as a trial. */
     record Try() implements Verdict {}
 
     /**
      * It is refused.
      *
-     * @param comeBack When it will be let through again.
+     * @param comeBack The delay after which it is let through again.
      */
     record Refuse(Duration comeBack) implements Verdict {}
 
     /**
-     * Returns whether the request may go on to another endpoint after an attempt brought no answer.
+     * Returns whether the request may be sent to another endpoint after an attempt returned no answer.
      *
-     * @return {@code false} if it gets one attempt at most.
+     * @return {@code false} if it is limited to one attempt.
      */
     default boolean allowsRetry() {
         return this instanceof Serve || this instanceof Observe;
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/package-info.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/package-info.java
@@ -1,2 +1,5 @@
-/** Requests under which endpoints end: how they are recognised when they come again, and kept away from endpoints. */
+/**
+ * Detects requests that make endpoints terminate, recognises them when they are repeated, and protects endpoints from
+ * them.
+ */
 package io.yuccaswitch.core.quarantine;
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/quarantine/QuarantineSystemTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/quarantine/QuarantineSystemTest.java
@@ -22,113 +22,113 @@
 
     private static final PoolName POOL = new PoolName("ledger");
     private static final RequestFingerprint HARMFUL = fingerprint("harmful");
-    private static final RequestFingerprint INNOCENT = fingerprint("innocent");
+    private static final RequestFingerprint HARMLESS = fingerprint("harmless");
     private static final Loss ENDED = new Loss(Loss.Cause.ENDPOINT_ENDED, true);
     private static final Loss BROKEN_OFF = new Loss(Loss.Cause.BROKEN_OFF, true);
 
     private final TestSite site = new TestSite();
     private final Map<String, QuarantineSystem> systems = new HashMap<>();
-    private final Map<EndpointName, Standing> standings = new HashMap<>();
-    private final Set<String> cutOff = new HashSet<>();
+    private final Map<EndpointName, Standing> endpointStatuses = new HashMap<>();
+    private final Set<String> partitioned = new HashSet<>();
 
     @BeforeEach
     void startThreeNodes() {
-        site.connect((from, to) -> cutOff.contains(from) || cutOff.contains(to));
+        site.connect((from, to) -> partitioned.contains(from) || partitioned.contains(to));
         List.of("a", "b", "c").forEach(this::start);
         run(100);
     }
 
     @Test
-    void aRequestIsHeldAtAllNodesOnceThreeEndpointsEndedUnderItAtAny() {
-        end("a", HARMFUL, "e1");
-        end("b", HARMFUL, "e2");
+    void requestIsHeldAtAllNodesOnceThreeEndpointsTerminatedAtAnyNodes() {
+        terminate("a", HARMFUL, "e1");
+        terminate("b", HARMFUL, "e2");
         run(100);
         assertThat(verdicts(HARMFUL)).allMatch(Verdict.Restrain.class::isInstance);
-        end("c", HARMFUL, "e3");
+        terminate("c", HARMFUL, "e3");
         run(100);
         assertThat(verdicts(HARMFUL)).allMatch(Verdict.Refuse.class::isInstance);
-        assertThat(verdicts(INNOCENT)).allMatch(Verdict.Serve.class::isInstance);
+        assertThat(verdicts(HARMLESS)).allMatch(Verdict.Serve.class::isInstance);
     }
 
     @Test
-    void oneEndedEndpointChangesNothingButTheConnection() {
-        end("a", INNOCENT, "e1");
+    void oneTerminatedEndpointOnlyRequiresNewConnections() {
+        terminate("a", HARMLESS, "e1");
         run(100);
-        assertThat(verdicts(INNOCENT)).allMatch(Verdict.Observe.class::isInstance);
-        assertThat(verdicts(INNOCENT)).allMatch(Verdict::allowsRetry);
+        assertThat(verdicts(HARMLESS)).allMatch(Verdict.Observe.class::isInstance);
+        assertThat(verdicts(HARMLESS)).allMatch(Verdict::allowsRetry);
     }
 
     @Test
-    void anAnswerClearsARequestEverywhere() {
-        end("a", INNOCENT, "e1");
-        end("a", INNOCENT, "e2");
+    void answerClearsRequestAtAllNodes() {
+        terminate("a", HARMLESS, "e1");
+        terminate("a", HARMLESS, "e2");
         run(100);
-        node("b").accept(new QuarantineEvent.Served(INNOCENT));
+        node("b").accept(new QuarantineEvent.Served(HARMLESS));
         run(100);
-        assertThat(verdicts(INNOCENT)).allMatch(Verdict.Serve.class::isInstance);
+        assertThat(verdicts(HARMLESS)).allMatch(Verdict.Serve.class::isInstance);
         run(5000);
-        assertThat(verdicts(INNOCENT)).allMatch(Verdict.Serve.class::isInstance);
+        assertThat(verdicts(HARMLESS)).allMatch(Verdict.Serve.class::isInstance);
     }
 
     @Test
-    void aRequestThatWasAtTheSameEndpointsAsAHarmfulOneIsNotHeldAndClearsItself() {
+    void harmlessRequestAtTheSameEndpointsAsAHarmfulOneIsNotHeldAndIsClearedByAnAnswer() {
         for (String endpoint : List.of("e1", "e2", "e3")) {
-            end("a", HARMFUL, endpoint);
-            end("b", INNOCENT, endpoint);
+            terminate("a", HARMFUL, endpoint);
+            terminate("b", HARMLESS, endpoint);
         }
         run(100);
-        assertThat(verdicts(INNOCENT)).allMatch(Verdict.Restrain.class::isInstance);
+        assertThat(verdicts(HARMLESS)).allMatch(Verdict.Restrain.class::isInstance);
         assertThat(verdicts(HARMFUL)).allMatch(Verdict.Restrain.class::isInstance);
-        node("c").accept(new QuarantineEvent.Served(INNOCENT));
+        node("c").accept(new QuarantineEvent.Served(HARMLESS));
         run(100);
-        assertThat(verdicts(INNOCENT)).allMatch(Verdict.Serve.class::isInstance);
+        assertThat(verdicts(HARMLESS)).allMatch(Verdict.Serve.class::isInstance);
         assertThat(verdicts(HARMFUL)).allMatch(Verdict.Refuse.class::isInstance);
     }
 
     @Test
-    void aHarmfulRequestIsHeldAfterOneMoreEndpointWhoeverWasAtTheFirstThree() {
+    void harmfulRequestIsHeldAfterFourthEndpointDespiteOtherRequestsAtTheFirstThree() {
         for (String endpoint : List.of("e1", "e2", "e3")) {
-            end("a", HARMFUL, endpoint);
-            end("b", INNOCENT, endpoint);
+            terminate("a", HARMFUL, endpoint);
+            terminate("b", HARMLESS, endpoint);
         }
-        end("c", HARMFUL, "e4");
+        terminate("c", HARMFUL, "e4");
         run(100);
         assertThat(verdicts(HARMFUL)).allMatch(Verdict.Refuse.class::isInstance);
-        assertThat(verdicts(INNOCENT)).allMatch(Verdict.Restrain.class::isInstance);
+        assertThat(verdicts(HARMLESS)).allMatch(Verdict.Restrain.class::isInstance);
     }
 
     @Test
-    void connectionsThatHadEndedBeforeHoldNoRequest() {
+    void connectionsThatWereClosedBeforeDoNotHoldARequest() {
         for (String endpoint : List.of("e1", "e2", "e3", "e4", "e5")) {
-            lose("a", INNOCENT, endpoint, new Loss(Loss.Cause.ENDPOINT_ENDED, false));
+            recordLoss("a", HARMLESS, endpoint, new Loss(Loss.Cause.ENDPOINT_ENDED, false));
         }
         run(100);
-        assertThat(verdicts(INNOCENT)).allMatch(Verdict.Observe.class::isInstance);
+        assertThat(verdicts(HARMLESS)).allMatch(Verdict.Observe.class::isInstance);
     }
 
     @Test
-    void anAttemptThatWasBrokenOffCountsOnceItsEndpointIsFoundToHaveEnded() {
-        lose("a", HARMFUL, "e1", BROKEN_OFF);
-        lose("a", HARMFUL, "e2", BROKEN_OFF);
+    void abortedAttemptCountsOnceItsEndpointIsFoundTerminated() {
+        recordLoss("a", HARMFUL, "e1", BROKEN_OFF);
+        recordLoss("a", HARMFUL, "e2", BROKEN_OFF);
         run(100);
         assertThat(verdicts(HARMFUL)).allMatch(Verdict.Serve.class::isInstance);
         node("a").accept(new QuarantineEvent.EndpointEnded(endpoint("e1")));
-        standings.put(endpoint("e2"), Standing.GONE);
+        endpointStatuses.put(endpoint("e2"), Standing.GONE);
         run(100);
         assertThat(verdicts(HARMFUL)).allMatch(Verdict.Restrain.class::isInstance);
     }
 
     @Test
-    void anAttemptThatWasBrokenOffCountsOnceAnotherNodeLostItsEndpoint() {
-        lose("a", HARMFUL, "e1", BROKEN_OFF);
-        end("b", HARMFUL, "e2");
-        end("b", INNOCENT, "e1");
+    void abortedAttemptCountsOnceAnotherNodeReportsItsEndpointTerminated() {
+        recordLoss("a", HARMFUL, "e1", BROKEN_OFF);
+        terminate("b", HARMFUL, "e2");
+        terminate("b", HARMLESS, "e1");
         run(100);
         assertThat(verdicts(HARMFUL)).allMatch(Verdict.Restrain.class::isInstance);
     }
 
     @Test
-    void whatRefusesOneNodeAloneIsNotAvoidedByTheOthers() {
+    void endpointThatRefusesConnectionsFromOneNodeIsNotAvoidedByOtherNodes() {
         node("a").accept(new QuarantineEvent.EndpointEnded(endpoint("e1")));
         run(100);
         assertThat(system("a").view().ended()).containsExactly(endpoint("e1"));
@@ -136,35 +136,35 @@
     }
 
     @Test
-    void anAttemptThatWasBrokenOffLongBeforeItsEndpointEndedDoesNotCount() {
-        lose("a", INNOCENT, "e1", BROKEN_OFF);
+    void attemptAbortedLongBeforeItsEndpointTerminatedDoesNotCount() {
+        recordLoss("a", HARMLESS, "e1", BROKEN_OFF);
         run(7000);
         node("a").accept(new QuarantineEvent.EndpointEnded(endpoint("e1")));
         run(100);
-        assertThat(verdicts(INNOCENT)).allMatch(Verdict.Serve.class::isInstance);
+        assertThat(verdicts(HARMLESS)).allMatch(Verdict.Serve.class::isInstance);
     }
 
     @Test
-    void anEndpointThatStopsAsPlannedCountsForNoRequest() {
-        standings.put(endpoint("e1"), Standing.LEAVING);
-        end("a", INNOCENT, "e1");
+    void plannedStopOfAnEndpointIsNoEvidence() {
+        endpointStatuses.put(endpoint("e1"), Standing.LEAVING);
+        terminate("a", HARMLESS, "e1");
         run(100);
-        assertThat(verdicts(INNOCENT)).allMatch(Verdict.Serve.class::isInstance);
+        assertThat(verdicts(HARMLESS)).allMatch(Verdict.Serve.class::isInstance);
     }
 
     @Test
-    void endpointsThatTheRegistryStillNamesLaterHaveNotEnded() {
-        List.of("e1", "e2", "e3").forEach(name -> standings.put(endpoint(name), Standing.WORKING));
-        List.of("e1", "e2", "e3").forEach(name -> end("a", INNOCENT, name));
+    void evidenceIsDroppedWhileTheRegistryStillListsTheEndpoints() {
+        List.of("e1", "e2", "e3").forEach(name -> endpointStatuses.put(endpoint(name), Standing.WORKING));
+        List.of("e1", "e2", "e3").forEach(name -> terminate("a", HARMLESS, name));
         run(100);
-        assertThat(verdicts(INNOCENT)).allMatch(Verdict.Refuse.class::isInstance);
+        assertThat(verdicts(HARMLESS)).allMatch(Verdict.Refuse.class::isInstance);
         run(10_000);
-        assertThat(verdicts(INNOCENT)).allMatch(Verdict.Serve.class::isInstance);
+        assertThat(verdicts(HARMLESS)).allMatch(Verdict.Serve.class::isInstance);
     }
 
     @Test
-    void whatIsKnownOutlastsTheEndOfAllNodes() {
-        List.of("e1", "e2", "e3").forEach(name -> end("a", HARMFUL, name));
+    void suspectsOutlastTheTerminationOfAllNodes() {
+        List.of("e1", "e2", "e3").forEach(name -> terminate("a", HARMFUL, name));
         run(1000);
         List.of("a", "b", "c").forEach(site::kill);
         run(1000);
@@ -174,10 +174,10 @@
     }
 
     @Test
-    void endsThatThreeNodesFindAtTheSameMomentAreKeptOnThePlatformToo() {
-        end("a", HARMFUL, "e1");
-        end("b", HARMFUL, "e2");
-        end("c", HARMFUL, "e3");
+    void terminationsThatThreeNodesObserveSimultaneouslyAreStoredOnThePlatform() {
+        terminate("a", HARMFUL, "e1");
+        terminate("b", HARMFUL, "e2");
+        terminate("c", HARMFUL, "e3");
         run(1500);
         List.of("a", "b", "c").forEach(site::kill);
         List.of("a", "b", "c").forEach(this::start);
@@ -186,8 +186,8 @@
     }
 
     @Test
-    void aNodeThatStartsWhileThePlatformIsAwayLearnsFromTheOthers() {
-        List.of("e1", "e2", "e3").forEach(name -> end("a", HARMFUL, name));
+    void nodeThatStartsWhileThePlatformIsUnreachableReceivesSuspectsFromOtherNodes() {
+        List.of("e1", "e2", "e3").forEach(name -> terminate("a", HARMFUL, name));
         run(1000);
         site.platform().failWhere((_node, _call) -> true);
         start("d");
@@ -196,20 +196,20 @@
     }
 
     @Test
-    void aNodeThatWasCutOffLearnsWhatItMissed() {
-        cutOff.add("c");
-        List.of("e1", "e2", "e3").forEach(name -> end("a", HARMFUL, name));
+    void partitionedNodeCatchesUpAfterReconnecting() {
+        partitioned.add("c");
+        List.of("e1", "e2", "e3").forEach(name -> terminate("a", HARMFUL, name));
         run(15_000);
         assertThat(verdict("c", HARMFUL)).isInstanceOf(Verdict.Serve.class);
-        cutOff.clear();
+        partitioned.clear();
         run(3000);
         assertThat(verdict("c", HARMFUL)).isInstanceOf(Verdict.Refuse.class);
     }
 
     @Test
-    void whatIsFoundWhileThePlatformIsAwayIsKeptThereLater() {
+    void evidenceRecordedWhileThePlatformIsUnreachableIsStoredLater() {
         site.platform().failWhere((_node, _call) -> true);
-        List.of("e1", "e2", "e3").forEach(name -> end("a", HARMFUL, name));
+        List.of("e1", "e2", "e3").forEach(name -> terminate("a", HARMFUL, name));
         run(5000);
         site.platform().failWhere((_node, _call) -> false);
         run(3000);
@@ -220,14 +220,14 @@
     }
 
     @Test
-    void aHeldRequestIsTriedOnceAfterItsTimeAndHeldForLongerIfAnotherEndpointEnds() {
-        List.of("e1", "e2", "e3").forEach(name -> end("a", HARMFUL, name));
+    void heldRequestGetsOneTrialAfterItsHoldTimeAndIsHeldForLongerIfAnotherEndpointTerminates() {
+        List.of("e1", "e2", "e3").forEach(name -> terminate("a", HARMFUL, name));
         run(31_000);
         assertThat(verdicts(HARMFUL)).allMatch(Verdict.Try.class::isInstance);
         node("b").accept(new QuarantineEvent.TrialBegun(HARMFUL));
         run(50);
         assertThat(verdicts(HARMFUL)).allMatch(Verdict.Refuse.class::isInstance);
-        end("b", HARMFUL, "e4");
+        terminate("b", HARMFUL, "e4");
         run(100);
         assertThat(verdicts(HARMFUL))
                 .allMatch(verdict -> verdict instanceof Verdict.Refuse refuse
@@ -235,42 +235,43 @@
     }
 
     @Test
-    void anOperatorLetsARequestGoAtAllNodes() {
-        List.of("e1", "e2", "e3").forEach(name -> end("a", INNOCENT, name));
+    void operatorReleasesRequestAtAllNodes() {
+        List.of("e1", "e2", "e3").forEach(name -> terminate("a", HARMLESS, name));
         run(1000);
-        node("c").accept(new QuarantineEvent.Released(INNOCENT));
+        node("c").accept(new QuarantineEvent.Released(HARMLESS));
         run(5000);
-        assertThat(verdicts(INNOCENT)).allMatch(Verdict.Serve.class::isInstance);
+        assertThat(verdicts(HARMLESS)).allMatch(Verdict.Serve.class::isInstance);
         List.of("a", "b", "c").forEach(site::kill);
         List.of("a", "b", "c").forEach(this::start);
         run(100);
-        assertThat(verdicts(INNOCENT)).allMatch(Verdict.Serve.class::isInstance);
+        assertThat(verdicts(HARMLESS)).allMatch(Verdict.Serve.class::isInstance);
     }
 
     /**
-     * An operator let a request go, and it was shown again a moment later, for ten minutes: an attempt from before,
-     * whose endpoint was found to have ended only then, counted as if it had been made since.
+     * Guards against a released request that is reported as suspect again: an attempt from before the release, whose
+     * endpoint is found to have terminated only afterwards, must not count as evidence. It did for ten minutes, as it
+     * was recorded with the time of detection.
      */
     @Test
-    void anAttemptFromBeforeDoesNotBringBackARequestThatAnOperatorLetGo() {
-        lose("a", INNOCENT, "e4", BROKEN_OFF);
-        List.of("e1", "e2", "e3").forEach(name -> end("b", INNOCENT, name));
+    void attemptFromBeforeTheReleaseDoesNotReintroduceAReleasedRequest() {
+        recordLoss("a", HARMLESS, "e4", BROKEN_OFF);
+        List.of("e1", "e2", "e3").forEach(name -> terminate("b", HARMLESS, name));
         run(1000);
-        node("c").accept(new QuarantineEvent.Released(INNOCENT));
+        node("c").accept(new QuarantineEvent.Released(HARMLESS));
         run(1000);
         node("a").accept(new QuarantineEvent.EndpointEnded(endpoint("e4")));
         run(3000);
-        assertThat(verdicts(INNOCENT)).allMatch(Verdict.Serve.class::isInstance);
+        assertThat(verdicts(HARMLESS)).allMatch(Verdict.Serve.class::isInstance);
         assertThat(systems.values())
                 .allSatisfy(system -> assertThat(system.view().entries()).isEmpty());
     }
 
     @Test
-    void requestsWithFewEndedEndpointsMakeRoomForThoseWithMany() {
-        List.of("e1", "e2", "e3").forEach(name -> end("a", HARMFUL, name));
+    void requestsWithFewTerminatedEndpointsAreEvictedFirst() {
+        List.of("e1", "e2", "e3").forEach(name -> terminate("a", HARMFUL, name));
         run(100);
         for (int i = 0; i < 2 * QuarantineState.MAXIMUM_SUSPECTS; i++) {
-            end("a", fingerprint("request-" + i), "e9");
+            terminate("a", fingerprint("request-" + i), "e9");
         }
         run(500);
         assertThat(system("a").view().entries()).hasSizeLessThanOrEqualTo(QuarantineState.MAXIMUM_SUSPECTS);
@@ -278,7 +279,7 @@
     }
 
     @Test
-    void nothingIsSentAfterTheStartWhileNothingIsKnown() {
+    void noMessagesAreSentAfterStartupWithoutSuspects() {
         run(11_000);
         List.of("a", "b", "c").forEach(name -> node(name).take(PeerEffect.Send.class));
         run(20_000);
@@ -292,7 +293,7 @@
             QuarantineSystem system = new QuarantineSystem(
                     node,
                     tokens,
-                    endpoint -> standings.getOrDefault(endpoint, Standing.UNTOLD),
+                    endpoint -> endpointStatuses.getOrDefault(endpoint, Standing.UNTOLD),
                     () -> site.now().nanoseconds() / 1_000_000);
             systems.put(name, system);
             return List.of(system);
@@ -311,11 +312,11 @@
         return systems.get(name);
     }
 
-    private void end(String node, RequestFingerprint request, String endpoint) {
-        lose(node, request, endpoint, ENDED);
+    private void terminate(String node, RequestFingerprint request, String endpoint) {
+        recordLoss(node, request, endpoint, ENDED);
     }
 
-    private void lose(String node, RequestFingerprint request, String endpoint, Loss loss) {
+    private void recordLoss(String node, RequestFingerprint request, String endpoint, Loss loss) {
         node(node).accept(new QuarantineEvent.AnswerLost(request, "POST site.example/x", endpoint(endpoint), loss));
     }
 
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/quarantine/RequestFingerprintTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/quarantine/RequestFingerprintTest.java
@@ -12,13 +12,13 @@
     private static final Bytes BODY = Bytes.ofUtf8("body");
 
     @Test
-    void requestsThatAskForTheSameHaveTheSameFingerprint() {
+    void equalRequestsHaveTheSameFingerprint() {
         assertThat(RequestFingerprint.of("a", "h", "POST", "/x", BODY))
                 .isEqualTo(RequestFingerprint.of("a", "h", "POST", "/x", Bytes.ofUtf8("body")));
     }
 
     @Test
-    void anotherCallerHostMethodPathOrBodyMakesAnotherFingerprint() {
+    void differentCallerHostMethodPathOrBodyYieldsDifferentFingerprint() {
         Set<RequestFingerprint> all = new HashSet<>();
         all.add(RequestFingerprint.of("a", "h", "POST", "/x", BODY));
         all.add(RequestFingerprint.of("b", "h", "POST", "/x", BODY));
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void aFingerprintIsReadAsItWasWritten() {
+    void parsedFingerprintEqualsTheOriginal() {
         RequestFingerprint fingerprint = RequestFingerprint.of("a", "h", "POST", "/x", BODY);
         assertThat(RequestFingerprint.parse(fingerprint.toString())).contains(fingerprint);
         assertThat(RequestFingerprint.parse("")).isEmpty();
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/quarantine/SuspectTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/quarantine/SuspectTest.java
@@ -19,7 +19,7 @@
     private static final RequestFingerprint REQUEST = new RequestFingerprint(1, 2);
 
     @Property(tries = 300)
-    void nodesThatMergeTheSameInAnyOrderKnowTheSame(
+    void mergeIsCommutativeAssociativeAndIdempotent(
             @ForAll("suspects") Suspect first, @ForAll("suspects") Suspect second, @ForAll("suspects") Suspect third) {
         assertThat(first.merge(second)).isEqualTo(second.merge(first));
         assertThat(first.merge(second).merge(third)).isEqualTo(first.merge(second.merge(third)));
@@ -28,24 +28,24 @@
     }
 
     @Property(tries = 100)
-    void aSuspectIsReadAsItWasWritten(@ForAll("suspects") Suspect suspect) {
+    void decodedSuspectEqualsTheOriginal(@ForAll("suspects") Suspect suspect) {
         assertThat(SuspectCodec.decode(SuspectCodec.encode(List.of(suspect)))).containsExactly(suspect);
     }
 
     @Test
-    void linesThatCantBeReadAreLeftOut() {
+    void linesThatCannotBeDecodedAreSkipped() {
         Suspect suspect = new Suspect(REQUEST, "POST /x");
         Bytes text = Bytes.ofUtf8("\nnothing\n" + SuspectCodec.encode(suspect) + "\n" + REQUEST + " 0 0 a/b x\n");
         assertThat(SuspectCodec.decode(text)).containsExactly(suspect);
     }
 
     @Test
-    void twoEndsOfAnEndpointThatDoesNotTellItsStartsApartCountTwiceIfTimeLiesBetween() {
+    void distantTerminationsOfAnEndpointWithoutIncarnationsCountTwice() {
         EndpointName endpoint = new EndpointName(new PoolName("ledger"), "e1");
         Suspect suspect = new Suspect(REQUEST, "")
-                .withStrike(new Strike(endpoint, 10_000, true))
-                .withStrike(new Strike(endpoint, 10_500, true))
-                .withStrike(new Strike(endpoint, 15_000, true));
+                .withEvidence(new Strike(endpoint, 10_000, true))
+                .withEvidence(new Strike(endpoint, 10_500, true))
+                .withEvidence(new Strike(endpoint, 15_000, true));
         assertThat(suspect.count()).isEqualTo(2);
     }
 
@@ -66,7 +66,7 @@
                 .as((list, trialAt, clearedAt) -> list.stream()
                         .reduce(
                                 new Suspect(REQUEST, "POST site.example/x", List.of(), trialAt, clearedAt),
-                                Suspect::withStrike,
+                                Suspect::withEvidence,
                                 Suspect::merge));
     }
 }
