--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/limit/FairQueue.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/limit/FairQueue.java
@@ -13,18 +13,18 @@
 import java.util.function.Predicate;
 
 /**
- * A bounded queue that serves higher priority classes first and, within a class, shares by the callers' weights
- * (start-time fair queueing with unit cost). A caller that was idle does not save up its share. An instance is confined
- * to the thread of the decision core.
+ * A queue that serves higher priority classes first and, within a class, divides service among callers by their weights
+ * (start-time fair queueing with unit cost). An idle caller does not accumulate credit. An instance is confined to the
+ * thread of the decision core.
  *
  * @param <K> The type of the entries' keys.
  */
 public final class FairQueue<K> {
 
-    /** The number of entries of a flow that are looked at to find one that can be served now. */
+    /** The maximum number of entries of a flow that are inspected to find a servable one. */
     private static final int SCAN_LIMIT = 32;
 
-    /** The flows of each class. */
+    /** The flows of each priority class. */
     private final Map<PriorityClass, FlowGroup<K>> classes = new EnumMap<>(PriorityClass.class);
 
     /** The entries by their keys. */
@@ -41,7 +41,8 @@
     }
 
     /**
-     * Adds an entry. Bounds are the business of the admission, which asks for {@link #size()} and {@link #bytes()}.
+     * Adds an entry. The queue itself is unbounded: admission enforces limits by means of {@link #size()} and
+     * {@link #bytes()}.
      *
      * @param entry The entry to add, whose key must not be queued.
      */
@@ -54,9 +55,9 @@
     }
 
     /**
-     * Takes the entry whose turn it is among those that can be served now.
+     * Removes and returns the next entry among those that can be served now.
      *
-     * @param servable Tells whether an entry can be served now.
+     * @param servable Determines whether an entry can be served now.
      * @return The entry, or empty if none can be served now.
      */
     public Optional<Entry<K>> poll(Predicate<Entry<K>> servable) {
@@ -64,7 +65,7 @@
         for (int index = priorities.length - 1; index >= 0; index--) {
             Optional<Entry<K>> next = classes.get(priorities[index]).poll(servable);
             if (next.isPresent()) {
-                forget(next.get());
+                removeFromIndex(next.get());
                 return next;
             }
         }
@@ -83,14 +84,14 @@
             return false;
         }
         classes.get(entry.priority()).remove(entry);
-        forget(entry);
+        removeFromIndex(entry);
         return true;
     }
 
     /**
-     * Removes the youngest entry of the lowest class below a class, to make room.
+     * Removes the most recent entry of the lowest class below a given class, to free capacity.
      *
-     * @param priority The class that needs room.
+     * @param priority The class that needs capacity.
      * @return The removed entry, or empty if no entry is of a lower class.
      */
     public Optional<Entry<K>> shedBelow(PriorityClass priority) {
@@ -108,7 +109,7 @@
     }
 
     /**
-     * Counts the entries that go before a new one of a class if every caller had the same backlog.
+     * Counts the entries that are served before a new one of a class, assuming that all callers have the same backlog.
      *
      * @param priority The class.
      * @return The number of entries in this class and in those above it.
@@ -146,7 +147,7 @@
      *
      * @param entry The entry.
      */
-    private void forget(Entry<K> entry) {
+    private void removeFromIndex(Entry<K> entry) {
         entries.remove(entry.key());
         bytes -= entry.bytes();
     }
@@ -155,10 +156,10 @@
      * An entry of the queue.
      *
      * @param key The key, unique within the queue.
-     * @param caller The caller whose share the entry counts for.
+     * @param caller The caller to whose share the entry is charged.
      * @param weight The weight of the caller, at least one.
      * @param priority The priority class.
-     * @param bytes The number of bytes that the entry keeps in memory.
+     * @param bytes The number of bytes that the entry occupies in memory.
      * @param <K> The type of the key.
      */
     public record Entry<K>(K key, CallerName caller, int weight, PriorityClass priority, int bytes) {}
@@ -194,19 +195,19 @@
         }
 
         /**
-         * Takes the entry whose turn it is.
+         * Removes and returns the next entry.
          *
-         * @param servable Tells whether an entry can be served now.
+         * @param servable Determines whether an entry can be served now.
          * @return The entry, or empty if none can be served now.
          */
         Optional<Entry<K>> poll(Predicate<Entry<K>> servable) {
             if (size == 0) {
                 return Optional.empty();
             }
-            List<Flow<K>> inTurn = new ArrayList<>(flows.values());
-            inTurn.removeIf(flow -> flow.waiting.isEmpty());
-            inTurn.sort(Comparator.comparingDouble(flow -> flow.startTag));
-            for (Flow<K> flow : inTurn) {
+            List<Flow<K>> byStartTag = new ArrayList<>(flows.values());
+            byStartTag.removeIf(flow -> flow.waiting.isEmpty());
+            byStartTag.sort(Comparator.comparingDouble(flow -> flow.startTag));
+            for (Flow<K> flow : byStartTag) {
                 Optional<Entry<K>> entry = flow.find(servable);
                 if (entry.isPresent()) {
                     serve(flow, entry.get());
@@ -217,7 +218,7 @@
         }
 
         /**
-         * Takes an entry out and charges its caller for it.
+         * Removes an entry and charges it to its caller.
          *
          * @param flow The flow of the entry.
          * @param entry The entry.
@@ -242,7 +243,7 @@
         }
 
         /**
-         * Finds the entry that was added last by the caller with the longest backlog for its weight.
+         * Finds the most recent entry of the caller with the longest backlog.
          *
          * @return The entry, or empty if the class has none.
          */
@@ -279,7 +280,7 @@
         /**
          * Finds the first entry that can be served now.
          *
-         * @param servable Tells whether an entry can be served now.
+         * @param servable Determines whether an entry can be served now.
          * @return The entry, or empty if none of the first entries can be served.
          */
         Optional<Entry<K>> find(Predicate<Entry<K>> servable) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/limit/package-info.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/limit/package-info.java
@@ -1,2 +1,2 @@
-/** Limits on the work that is taken: fair queues, adaptive concurrency and early refusal. */
+/** Limits on accepted work: fair queues, adaptive concurrency limits and early rejection. */
 package io.yuccaswitch.core.limit;
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/limit/ConcurrencyLimitTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/limit/ConcurrencyLimitTest.java
@@ -7,15 +7,15 @@
 class ConcurrencyLimitTest {
 
     private static ConcurrencyLimit after(ConcurrencyLimit limit, int samples, double latency, boolean overloaded) {
-        ConcurrencyLimit learned = limit;
+        ConcurrencyLimit updated = limit;
         for (int count = 0; count < samples; count++) {
-            learned = learned.after(new ConcurrencyLimit.Sample(latency, learned.limit(), overloaded));
+            updated = updated.after(new ConcurrencyLimit.Sample(latency, updated.limit(), overloaded));
         }
-        return learned;
+        return updated;
     }
 
     @Test
-    void aLimitGrowsWhileTheEndpointKeepsUpAndNeverBeyondItsMaximum() {
+    void limitGrowsUpToItsMaximumWhileLatencyIsStable() {
         assertThat(after(new ConcurrencyLimit.AdditiveIncrease(8, 32, 2), 2000, 0.1, false)
                         .limit())
                 .isEqualTo(32);
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void aLimitShrinksUnderOverloadButNeverBelowOne() {
+    void limitShrinksUnderOverloadButNotBelowOne() {
         assertThat(after(new ConcurrencyLimit.AdditiveIncrease(32, 64, 2), 1000, 0, true)
                         .limit())
                 .isOne();
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void aLimitShrinksWhenTheEndpointBecomesMuchSlower() {
+    void limitShrinksWhenLatencyIncreases() {
         ConcurrencyLimit additive = after(new ConcurrencyLimit.AdditiveIncrease(32, 64, 2), 50, 0.1, false);
         assertThat(after(additive, 100, 2, false).limit()).isLessThan(additive.limit() / 2);
         ConcurrencyLimit gradient = after(new ConcurrencyLimit.Gradient(32, 64), 50, 0.1, false);
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/limit/FairQueueTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/limit/FairQueueTest.java
@@ -26,7 +26,7 @@
     }
 
     @Property(tries = 200, seed = "20261202")
-    void callersWithABacklogAreServedByTheirWeights(
+    void callersWithBacklogAreServedInProportionToTheirWeights(
             @ForAll @Size(min = 2, max = 5) List<@IntRange(min = 1, max = 9) Integer> weights,
             @ForAll @IntRange(min = 1, max = 400) int served) {
         FairQueue<Integer> queue = new FairQueue<>();
@@ -47,36 +47,37 @@
     }
 
     @Property(tries = 200, seed = "20261202")
-    void noEntryIsLostOrServedTwiceAndEachCallersOrderIsKept(
-            @ForAll @Size(max = 60) List<@IntRange(max = 17) Integer> acts) {
+    void noEntryIsLostOrServedTwiceAndTheOrderOfEachCallerIsKept(
+            @ForAll @Size(max = 60) List<@IntRange(max = 17) Integer> operations) {
         FairQueue<Integer> queue = new FairQueue<>();
-        List<Integer> left = new ArrayList<>();
+        List<Integer> remaining = new ArrayList<>();
         Map<String, Integer> latest = new HashMap<>();
-        for (int act : acts) {
-            if (act < 12) {
-                FairQueue.Entry<Integer> added = entry("c" + act % 4, 1 + act % 4, CLASSES.get(act % 3));
+        for (int operation : operations) {
+            if (operation < 12) {
+                FairQueue.Entry<Integer> added =
+                        entry("c" + operation % 4, 1 + operation % 4, CLASSES.get(operation % 3));
                 queue.add(added);
-                left.add(added.key());
-            } else if (act < 15) {
+                remaining.add(added.key());
+            } else if (operation < 15) {
                 queue.poll(_entry -> true).ifPresent(entry -> {
-                    assertThat(left.remove(entry.key())).isTrue();
+                    assertThat(remaining.remove(entry.key())).isTrue();
                     String flow = entry.caller() + "/" + entry.priority();
                     assertThat(entry.key()).isGreaterThan(latest.getOrDefault(flow, -1));
                     latest.put(flow, entry.key());
                 });
-            } else if (act < 16) {
-                queue.shedBelow(PriorityClass.URGENT)
-                        .ifPresent(entry -> assertThat(left.remove(entry.key())).isTrue());
-            } else if (!left.isEmpty()) {
-                assertThat(queue.remove(left.remove(0))).isTrue();
+            } else if (operation < 16) {
+                queue.shedBelow(PriorityClass.URGENT).ifPresent(entry -> assertThat(remaining.remove(entry.key()))
+                        .isTrue());
+            } else if (!remaining.isEmpty()) {
+                assertThat(queue.remove(remaining.remove(0))).isTrue();
             }
-            assertThat(queue.size()).isEqualTo(left.size());
-            assertThat(queue.bytes()).isEqualTo(10L * left.size());
+            assertThat(queue.size()).isEqualTo(remaining.size());
+            assertThat(queue.bytes()).isEqualTo(10L * remaining.size());
         }
     }
 
     @Test
-    void aCallerThatWasIdleSavesUpNoShare() {
+    void idleCallerAccumulatesNoCredit() {
         FairQueue<Integer> queue = new FairQueue<>();
         for (int count = 0; count < 100; count++) {
             queue.add(entry("busy", 1, PriorityClass.NORMAL));
@@ -95,7 +96,7 @@
     }
 
     @Test
-    void higherClassesGoFirstAndTheLowestClassIsShedFirst() {
+    void higherClassesAreServedFirstAndTheLowestClassIsShedFirst() {
         FairQueue<Integer> queue = new FairQueue<>();
         queue.add(entry("a", 1, PriorityClass.NORMAL));
         queue.add(entry("a", 1, PriorityClass.BATCH));
@@ -108,7 +109,7 @@
     }
 
     @Test
-    void anEntryThatCanNotBeServedNowDoesNotBlockTheOneBehindIt() {
+    void unservableEntryDoesNotBlockTheNextOne() {
         FairQueue<Integer> queue = new FairQueue<>();
         queue.add(entry("a", 1, PriorityClass.NORMAL));
         queue.add(entry("a", 1, PriorityClass.NORMAL));
