--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/retry/Backoff.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/retry/Backoff.java
@@ -4,22 +4,25 @@
 import java.time.Duration;
 import java.util.SplittableRandom;
 
-/** Pauses before further attempts: exponential with full jitter, such that callers that failed together spread out. */
+/**
+ * Computes delays before retries: exponential backoff with full jitter, so that callers that failed together do not
+ * retry together.
+ */
 public final class Backoff {
 
-    /** The largest number of doublings. */
+    /** The maximum number of doublings. */
     private static final int MAXIMUM_DOUBLINGS = 20;
 
     /** This class has no instances. */
     private Backoff() {}
 
     /**
-     * Picks the pause before a further attempt.
+     * Computes the delay before a retry.
      *
-     * @param settings The bounds of the pause.
+     * @param settings The settings with the initial and the maximum delay.
      * @param attempts The number of attempts so far.
      * @param random The source of the jitter.
-     * @return The pause.
+     * @return The delay.
      */
     public static Duration pause(RetrySettings settings, int attempts, SplittableRandom random) {
         int doublings = Math.min(MAXIMUM_DOUBLINGS, Math.max(0, attempts - 1));
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/retry/EndpointHealth.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/retry/EndpointHealth.java
@@ -6,31 +6,30 @@
 import java.util.Optional;
 
 /**
- * Whether an endpoint is ejected for its failures. When an ejection is over, a single further failure ejects the
- * endpoint again, for twice the time.
+ * The health of an endpoint, which is ejected after repeated failures. After an ejection, a single further failure
+ * ejects the endpoint again, for twice the time.
  *
- * @param failuresInRow The number of failures since the last success.
+ * @param consecutiveFailures The number of failures since the last success.
  * @param ejections The number of ejections since the last success.
- * @param ejectedUntil The time at which the ejection is over, or empty if the endpoint was not ejected since its last
- *     success.
+ * @param ejectedUntil The end of the ejection, or empty if the endpoint was not ejected since its last success.
  */
-public record EndpointHealth(int failuresInRow, int ejections, Optional<MonotonicTime> ejectedUntil) {
+public record EndpointHealth(int consecutiveFailures, int ejections, Optional<MonotonicTime> ejectedUntil) {
 
-    /** The health of an endpoint that did not fail. */
+    /** The health of an endpoint without failures. */
     public static final EndpointHealth GOOD = new EndpointHealth(0, 0, Optional.empty());
 
-    /** The largest number of doublings of the time of an ejection. */
+    /** The maximum number of doublings of the ejection time. */
     private static final int MAXIMUM_DOUBLINGS = 4;
 
     /**
      * Returns the health after a failure.
      *
-     * @param settings When endpoints are ejected.
+     * @param settings The settings that define when endpoints are ejected, and for how long.
      * @param now The time of the failure.
-     * @return The changed health.
+     * @return The updated health.
      */
     public EndpointHealth afterFailure(RetrySettings settings, MonotonicTime now) {
-        int failures = failuresInRow + 1;
+        int failures = consecutiveFailures + 1;
         if (failures < settings.ejectionThreshold() || ejected(now)) {
             return new EndpointHealth(failures, ejections, ejectedUntil);
         }
@@ -41,7 +40,7 @@
     /**
      * Returns whether the endpoint is ejected.
      *
-     * @param now The time.
+     * @param now The current time.
      * @return {@code true} if the endpoint is ejected.
      */
     public boolean ejected(MonotonicTime now) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/retry/HedgingPolicy.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/retry/HedgingPolicy.java
@@ -4,14 +4,14 @@
 import io.yuccaswitch.core.request.Request;
 import java.time.Duration;
 
-/** Decides whether a request is sent to a second endpoint while the first one still works on it. */
+/** Decides whether a request is sent to a second endpoint while the first attempt is still running. */
 public interface HedgingPolicy {
 
     /**
      * Returns whether a second attempt is due.
      *
      * @param request The request.
-     * @param running The time since the only attempt was sent.
+     * @param running The time since the first attempt was sent.
      * @return {@code true} if a second attempt is due.
      */
     boolean due(Request request, Duration running);
@@ -38,7 +38,7 @@
 
     /**
      * Sends a second attempt after a delay. Requests that are not idempotent are never hedged, and neither are streams,
-     * whose text must come from one attempt.
+     * as their text must come from one attempt.
      *
      * @param delay The delay.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/retry/RetryBudget.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/retry/RetryBudget.java
@@ -1,20 +1,20 @@
 package io.yuccaswitch.core.retry;
 
 /**
- * A budget that bounds further attempts to a share of the requests: each new request deposits the share, each further
- * attempt withdraws one.
+ * A budget that limits retries to a share of the requests: each new request deposits the share, and each retry
+ * withdraws one.
  *
- * @param balance The number of further attempts that are allowed now.
+ * @param balance The number of retries that are currently allowed.
  */
 public record RetryBudget(double balance) {
 
-    /** The largest balance, which bounds the burst of further attempts when an outage begins. */
+    /** The maximum balance, which limits the burst of retries when an outage begins. */
     private static final double MAXIMUM_BALANCE = 32;
 
-    /** The balance that a pool begins with. */
+    /** The initial balance of a pool. */
     private static final double INITIAL_BALANCE = 4;
 
-    /** Creates a budget for a pool that was not used yet. */
+    /** Creates the budget of an unused pool. */
     public RetryBudget() {
         this(INITIAL_BALANCE);
     }
@@ -22,26 +22,26 @@
     /**
      * Returns the budget after a new request.
      *
-     * @param ratio The share of requests that may be tried again.
-     * @return The changed budget.
+     * @param ratio The share of requests that may be retried.
+     * @return The updated budget.
      */
     public RetryBudget deposit(double ratio) {
         return new RetryBudget(Math.min(MAXIMUM_BALANCE, balance + ratio));
     }
 
     /**
-     * Returns whether a further attempt is allowed.
+     * Returns whether a retry is allowed.
      *
-     * @return {@code true} if a further attempt is allowed.
+     * @return {@code true} if a retry is allowed.
      */
     public boolean allows() {
         return balance >= 1;
     }
 
     /**
-     * Returns the budget after a further attempt.
+     * Returns the budget after a retry.
      *
-     * @return The changed budget.
+     * @return The updated budget.
      */
     public RetryBudget withdraw() {
         return new RetryBudget(Math.max(0, balance - 1));
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/retry/package-info.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/retry/package-info.java
@@ -1,2 +1,2 @@
-/** When work is tried again: the retry budget, back-off and the ejection of failing endpoints. */
+/** Retries: the retry budget, backoff, hedging and the ejection of failing endpoints. */
 package io.yuccaswitch.core.retry;
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/retry/RetryBudgetTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/retry/RetryBudgetTest.java
@@ -11,12 +11,12 @@
 class RetryBudgetTest {
 
     @Property(tries = 200, seed = "20261202")
-    void furtherAttemptsStayWithinTheirShareOfTheRequestsAndABoundedBurst(
-            @ForAll @DoubleRange(max = 1) double ratio, @ForAll @Size(max = 2000) List<Boolean> acts) {
+    void retriesStayWithinTheirShareOfTheRequestsPlusABoundedBurst(
+            @ForAll @DoubleRange(max = 1) double ratio, @ForAll @Size(max = 2000) List<Boolean> operations) {
         RetryBudget budget = new RetryBudget();
         int requests = 0;
         int retries = 0;
-        for (boolean request : acts) {
+        for (boolean request : operations) {
             if (request) {
                 requests++;
                 budget = budget.deposit(ratio);
