--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/routing/CandidateSample.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/routing/CandidateSample.java
@@ -5,17 +5,17 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 
-/** Draws the few candidates that a policy compares. */
+/** Samples the candidates that a policy compares. */
 final class CandidateSample {
 
     /** This class has no instances. */
     private CandidateSample() {}
 
     /**
-     * Draws two different candidates at random, and adds the one whose cache fits best if there is one.
+     * Samples two distinct candidates at random, and adds the one with the largest cached share of the prompt, if any.
      *
      * @param candidates The candidates, at least one.
-     * @param affinity The weight of the cache, where zero ignores it.
+     * @param affinity The weight of cached prefixes, where zero ignores them.
      * @param random The source of randomness.
      * @return One to three candidates.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/routing/EndpointLoad.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/routing/EndpointLoad.java
@@ -8,14 +8,14 @@
 import java.util.Optional;
 
 /**
- * What this node knows of an endpoint from its own requests.
+ * The load of an endpoint as observed by this node.
  *
- * @param inFlight The number of requests of this node in progress at the endpoint.
+ * @param inFlight The number of requests of this node in flight at the endpoint.
  * @param reportedAt The time at which the latest load report was received, or empty if there was none.
- * @param inFlightAtReport The number of requests of this node in progress when that report was received.
- * @param limit The learned limit on requests of this node.
+ * @param inFlightAtReport The number of requests of this node in flight when that report was received.
+ * @param limit The adaptive limit on requests of this node.
  * @param health Whether the endpoint is ejected.
- * @param model The fitted iteration time.
+ * @param model The fitted model of the iteration time.
  */
 public record EndpointLoad(
         int inFlight,
@@ -25,13 +25,13 @@
         EndpointHealth health,
         IterationTimeModel model) {
 
-    /** The share at which the requests of other nodes count, by the measurements in docs/MEASUREMENTS.md. */
+    /** The weight of the requests of other nodes, according to the measurements in docs/MEASUREMENTS.md. */
     private static final double REPORT_WEIGHT = 0.3;
 
     /**
-     * Creates the load of an endpoint that was not used yet.
+     * Creates the load of an unused endpoint.
      *
-     * @param limit The limit to begin with.
+     * @param limit The initial limit.
      * @return The load.
      */
     public static EndpointLoad unused(ConcurrencyLimit limit) {
@@ -41,37 +41,37 @@
     /**
      * Returns this load after a request was sent.
      *
-     * @return The changed load.
+     * @return The updated load.
      */
     public EndpointLoad afterSend() {
         return withInFlight(inFlight + 1);
     }
 
     /**
-     * Returns this load after a request ended.
+     * Returns this load after a request completed.
      *
-     * @return The changed load.
+     * @return The updated load.
      */
     public EndpointLoad afterEnd() {
         return withInFlight(Math.max(0, inFlight - 1));
     }
 
     /**
-     * Returns this load with another number of requests in progress.
+     * Returns this load with a different number of requests in flight.
      *
-     * @param changed The number of requests of this node in progress.
-     * @return The changed load.
+     * @param changed The number of requests of this node in flight.
+     * @return The updated load.
      */
     private EndpointLoad withInFlight(int changed) {
         return new EndpointLoad(changed, reportedAt, inFlightAtReport, limit, health, model);
     }
 
     /**
-     * Returns this load after a look at the latest report. The requests that this node sends from then on are counted
-     * on top of the report.
+     * Returns this load updated for the latest report. Requests that this node sends after the report are added to its
+     * figures.
      *
      * @param report The latest report, or empty if there is none.
-     * @return The changed load, or this one if the report was seen before.
+     * @return The updated load, or this one if the report was already applied.
      */
     public EndpointLoad withReport(Optional<LoadReport> report) {
         Optional<MonotonicTime> received = report.map(LoadReport::receivedAt);
@@ -82,59 +82,60 @@
     }
 
     /**
-     * Returns this load with another limit.
+     * Returns this load with a different limit.
      *
      * @param changed The limit.
-     * @return The changed load.
+     * @return The updated load.
      */
     public EndpointLoad withLimit(ConcurrencyLimit changed) {
         return new EndpointLoad(inFlight, reportedAt, inFlightAtReport, changed, health, model);
     }
 
     /**
-     * Returns this load with another health.
+     * Returns this load with a different health.
      *
      * @param changed The health.
-     * @return The changed load.
+     * @return The updated load.
      */
     public EndpointLoad withHealth(EndpointHealth changed) {
         return new EndpointLoad(inFlight, reportedAt, inFlightAtReport, limit, changed, model);
     }
 
     /**
-     * Returns this load with another model.
+     * Returns this load with a different model.
      *
      * @param changed The model.
-     * @return The changed load.
+     * @return The updated load.
      */
     public EndpointLoad withModel(IterationTimeModel changed) {
         return new EndpointLoad(inFlight, reportedAt, inFlightAtReport, limit, health, changed);
     }
 
     /**
-     * Estimates the load of an endpoint: this node's own requests in progress, which are known without delay, and a
-     * share of those that the report tells of other nodes. The report counts less the older it is, and not at all past
-     * its maximum age. Taken in full, reports that lag make all nodes rush to the endpoint that was idle a while ago.
+     * Estimates the load of an endpoint: this node's own requests in flight, which are always up to date, plus a share
+     * of those of other nodes according to the report. The weight of the report decreases linearly with its age and is
+     * zero beyond the maximum age. With full weight, delayed reports would make all nodes route to the endpoint that
+     * was idle at the time of the report.
      *
      * @param report The latest report, or empty if there is none.
-     * @param now The time.
-     * @param maximumAge The age past which a report no longer counts.
-     * @return The estimate, never below this node's own requests in progress.
+     * @param now The current time.
+     * @param maximumAge The age beyond which a report is ignored.
+     * @return The estimate, which is at least the number of this node's own requests in flight.
      */
     public double estimate(Optional<LoadReport> report, MonotonicTime now, Duration maximumAge) {
         if (report.isEmpty()) {
             return inFlight;
         }
         double age = (double) now.since(report.get().receivedAt()).toNanos() / maximumAge.toNanos();
-        double trust = Math.max(0, 1 - age);
+        double ageFactor = Math.max(0, 1 - age);
         double reported = report.get().active() + report.get().waiting() + (inFlight - inFlightAtReport);
-        return inFlight + REPORT_WEIGHT * trust * Math.max(0, reported - inFlight);
+        return inFlight + REPORT_WEIGHT * ageFactor * Math.max(0, reported - inFlight);
     }
 
     /**
      * Returns whether another request may be sent.
      *
-     * @return {@code true} if the limit leaves room.
+     * @return {@code true} if the limit is not reached.
      */
     public boolean hasRoom() {
         return inFlight < limit.limit();
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/routing/EndpointSubset.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/routing/EndpointSubset.java
@@ -12,9 +12,9 @@
 import java.util.List;
 
 /**
- * Picks the endpoints that one node routes to and probes, such that a node's state does not grow with the fleet. The
- * node's own availability zone goes first; within a zone, rendezvous hashing by node and endpoint picks, so that an
- * endpoint that comes or goes changes only its own place.
+ * Selects the endpoints that one node routes to and probes, so that a node's state does not grow with the fleet.
+ * Endpoints in the node's own availability zone are preferred. Within a zone, endpoints are selected by rendezvous
+ * hashing of node and endpoint, so that adding or removing an endpoint changes only one member of the subset.
  */
 public final class EndpointSubset {
 
@@ -22,13 +22,13 @@
     private EndpointSubset() {}
 
     /**
-     * Picks the subset of a node.
+     * Selects the subset of a node.
      *
      * @param node The node.
      * @param availabilityZone The node's availability zone.
-     * @param endpoints The endpoints to pick from.
-     * @param size The largest size of the subset.
-     * @return The picked endpoints.
+     * @param endpoints The endpoints to select from.
+     * @param size The maximum size of the subset.
+     * @return The selected endpoints.
      */
     public static List<Endpoint> pick(
             NodeName node, AvailabilityZone availabilityZone, Collection<Endpoint> endpoints, int size) {
@@ -49,7 +49,7 @@
      *
      * @param node The node.
      * @param endpoint The endpoint.
-     * @return The weight, where the highest ones are picked.
+     * @return The weight, where the highest ones are selected.
      */
     private static long weight(NodeName node, EndpointName endpoint) {
         String text = node + "\n" + endpoint;
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/routing/IterationTimeModel.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/routing/IterationTimeModel.java
@@ -1,43 +1,45 @@
 package io.yuccaswitch.core.routing;
 
 /**
- * An engine's time per token as a linear function of its active requests, fitted to the latencies that are observed
- * with exponentially decaying weights, such that it follows drift like a sliding window does. The linear form is that
- * of the queueing model in the paper listed in docs/design/routing.md.
+ * An engine's time per token as a linear function of its active requests, fitted to the observed latencies with
+ * exponentially decaying weights, so that it follows drift like a sliding window. The linear form is that of the
+ * queueing model in the paper listed in docs/design/routing.md.
  *
  * @param weight The sum of the observations' weights.
  * @param sumActive The weighted sum of the active requests.
  * @param sumSeconds The weighted sum of the times per token.
  * @param sumActiveSquared The weighted sum of the squares of the active requests.
- * @param sumProduct The weighted sum of the products of both.
+ * @param sumProduct The weighted sum of the products of active requests and time per token.
  */
 public record IterationTimeModel(
         double weight, double sumActive, double sumSeconds, double sumActiveSquared, double sumProduct) {
 
-    /** The model of an engine that was not observed yet. */
+    /** The model of an engine without observations. */
     public static final IterationTimeModel EMPTY = new IterationTimeModel(0, 0, 0, 0, 0);
 
-    /** The factor by which older observations lose weight with each new one, a window of about 64. */
+    /**
+     * The decay factor of older observations with each new one, which corresponds to a window of about 64 observations.
+     */
     private static final double DECAY = 1 - 1.0 / 64;
 
-    /** The weight of observations below which nothing is predicted. */
-    private static final double ENOUGH = 4;
+    /** The total weight of observations below which no prediction is made. */
+    private static final double MINIMUM_WEIGHT = 4;
 
-    /** The variance of the active requests below which the slope is taken from a prior. */
-    private static final double SMALLEST_VARIANCE = 1;
+    /** The variance of the active requests below which the slope is taken from the prior. */
+    private static final double MINIMUM_VARIANCE = 1;
 
-    /** The share of the mean time that the prior takes to grow with the active requests. */
-    private static final double PRIOR_SHARE = 0.5;
+    /** The share of the mean time that the prior attributes to the active requests. */
+    private static final double PRIOR_SLOPE_SHARE = 0.5;
 
-    /** The smallest intercept, as a share of the mean time. */
-    private static final double SMALLEST_INTERCEPT = 0.05;
+    /** The minimum intercept, as a share of the mean time. */
+    private static final double MINIMUM_INTERCEPT_SHARE = 0.05;
 
     /**
-     * Learns from a request that was answered.
+     * Returns the model after a request was answered.
      *
      * @param active The estimated number of active requests while it ran.
-     * @param seconds The time per token, or the whole time if no tokens are counted.
-     * @return The model from now on.
+     * @param seconds The time per token, or the total time if no tokens are counted.
+     * @return The updated model.
      */
     public IterationTimeModel after(double active, double seconds) {
         return new IterationTimeModel(
@@ -49,12 +51,12 @@
     }
 
     /**
-     * Returns whether enough was observed to predict.
+     * Returns whether there are enough observations for a prediction.
      *
-     * @return {@code true} if enough was observed.
+     * @return {@code true} if there are enough observations.
      */
     public boolean isFitted() {
-        return weight >= ENOUGH;
+        return weight >= MINIMUM_WEIGHT;
     }
 
     /**
@@ -67,12 +69,12 @@
         double meanActive = sumActive / weight;
         double meanSeconds = sumSeconds / weight;
         double slope = slope(meanActive, meanSeconds);
-        double intercept = Math.max(SMALLEST_INTERCEPT * meanSeconds, meanSeconds - slope * meanActive);
+        double intercept = Math.max(MINIMUM_INTERCEPT_SHARE * meanSeconds, meanSeconds - slope * meanActive);
         return intercept + slope * active;
     }
 
     /**
-     * Computes the slope, from a prior where the observations do not tell it.
+     * Computes the slope, or returns that of the prior if the observations do not determine it.
      *
      * @param meanActive The mean of the active requests.
      * @param meanSeconds The mean of the times.
@@ -80,8 +82,8 @@
      */
     private double slope(double meanActive, double meanSeconds) {
         double variance = sumActiveSquared / weight - meanActive * meanActive;
-        double prior = PRIOR_SHARE * meanSeconds / Math.max(1, meanActive);
-        if (variance < SMALLEST_VARIANCE) {
+        double prior = PRIOR_SLOPE_SHARE * meanSeconds / Math.max(1, meanActive);
+        if (variance < MINIMUM_VARIANCE) {
             return prior;
         }
         double fitted = (sumProduct / weight - meanActive * meanSeconds) / variance;
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/routing/RoutingPolicy.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/routing/RoutingPolicy.java
@@ -18,7 +18,7 @@
     RoutingCandidate choose(List<RoutingCandidate> candidates, SplittableRandom random);
 
     /**
-     * Scores a candidate for the explanation of the choice.
+     * Returns the score of a candidate, to explain the choice.
      *
      * @param candidate The candidate.
      * @return The score, where a lower one is better.
@@ -26,7 +26,7 @@
     double score(RoutingCandidate candidate);
 
     /**
-     * Creates the policy that settings name.
+     * Creates the policy that the settings select.
      *
      * @param settings The settings of the pool.
      * @return The policy.
@@ -42,19 +42,19 @@
     }
 
     /**
-     * Scales a cost down for a prompt whose prefixes are cached.
+     * Reduces a cost according to the cached share of the prompt.
      *
-     * @param cost The cost without the cache.
+     * @param cost The cost without regard to the cache.
      * @param candidate The candidate.
-     * @param affinity The weight of the cache against the load.
-     * @return The cost with the cache.
+     * @param affinity The weight of cached prefixes relative to the load.
+     * @return The reduced cost.
      */
     private static double withAffinity(double cost, RoutingCandidate candidate, double affinity) {
         return cost / (1 + affinity * candidate.cachedShare());
     }
 
     /**
-     * Returns the candidate with the lowest score, the first one after a random start among equal ones.
+     * Returns the candidate with the lowest score. Ties are broken in favour of the first one after a random index.
      *
      * @param candidates The candidates.
      * @param score The score.
@@ -77,7 +77,7 @@
         return best;
     }
 
-    /** Picks at random. */
+    /** Selects an endpoint at random. */
     final class RandomChoice implements RoutingPolicy {
 
         /** {@inheritDoc} */
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Picks one after the other. */
+    /** Selects the endpoints in turn. */
     final class RoundRobin implements RoutingPolicy {
 
         /** The number of choices so far. */
@@ -113,7 +113,7 @@
         }
     }
 
-    /** Picks the endpoint with the least requests of this node in progress. */
+    /** Selects the endpoint with the fewest requests of this node in flight. */
     final class LeastInFlight implements RoutingPolicy {
 
         /** {@inheritDoc} */
@@ -130,18 +130,18 @@
     }
 
     /**
-     * Picks the less loaded of two random candidates by their estimated load, which spreads the choices of many nodes
-     * that see the same old reports. A candidate whose cache fits best is always one of the two.
+     * Selects the less loaded of two random candidates by their estimated load, which spreads the choices of many nodes
+     * that use the same delayed reports. The candidate with the largest cached share is always included.
      */
     final class PowerOfTwoChoices implements RoutingPolicy {
 
-        /** The weight of the cache against the load. */
+        /** The weight of cached prefixes relative to the load. */
         private final double affinity;
 
         /**
          * Creates a new policy.
          *
-         * @param affinity The weight of the cache against the load.
+         * @param affinity The weight of cached prefixes relative to the load.
          */
         public PowerOfTwoChoices(double affinity) {
             this.affinity = affinity;
@@ -162,18 +162,18 @@
     }
 
     /**
-     * Picks the lower predicted time of an iteration, which grows linearly with the active requests, of two random
-     * candidates. Engines that are full are charged for the requests that wait.
+     * Selects the candidate with the lowest predicted iteration time, which grows linearly with the active requests,
+     * out of two random ones. The prediction for a full engine includes the waiting requests.
      */
     final class IterationTimeEstimate implements RoutingPolicy {
 
-        /** The weight of the cache against the load. */
+        /** The weight of cached prefixes relative to the load. */
         private final double affinity;
 
         /**
          * Creates a new policy.
          *
-         * @param affinity The weight of the cache against the load.
+         * @param affinity The weight of cached prefixes relative to the load.
          */
         public IterationTimeEstimate(double affinity) {
             this.affinity = affinity;
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/routing/EndpointLoadTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/routing/EndpointLoadTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void ownRequestsCountInFullAndThoseOfOthersInPart() {
+    void ownRequestsHaveFullWeightAndThoseOfOtherNodesAReducedWeight() {
         EndpointLoad load = unused.withReport(report(5)).afterSend().afterSend().withReport(report(5));
 
         assertThat(load.estimate(report(5), NOW, MAXIMUM_AGE)).isEqualTo(2 + 0.3 * 5);
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void aReportCountsLessTheOlderItIs() {
+    void weightOfAReportDecreasesWithItsAge() {
         EndpointLoad load = unused.afterSend().withReport(report(21));
 
         assertThat(load.estimate(report(21), NOW.plus(Duration.ofMillis(2500)), MAXIMUM_AGE))
@@ -39,14 +39,14 @@
     }
 
     @Test
-    void theEstimateIsNeverBelowTheOwnRequests() {
+    void estimateIsAtLeastTheNumberOfOwnRequests() {
         EndpointLoad load = unused.afterSend().afterSend().afterSend().withReport(report(0));
 
         assertThat(load.estimate(report(0), NOW, MAXIMUM_AGE)).isEqualTo(3);
     }
 
     @Test
-    void theFittedIterationTimeFollowsTheLine() {
+    void fittedModelPredictsALinearIterationTime() {
         IterationTimeModel model = IterationTimeModel.EMPTY;
         for (int count = 0; count < 300; count++) {
             int active = 1 + count % 30;
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/routing/EndpointSubsetTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/routing/EndpointSubsetTest.java
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void theOwnZoneGoesFirst() {
+    void endpointsInTheOwnZoneArePreferred() {
         assertThat(pick(endpoints(90))).hasSize(16).allSatisfy(endpoint -> assertThat(endpoint.availabilityZone())
                 .isEqualTo(ZONE));
         assertThat(pick(endpoints(30)).stream()
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void anEndpointThatGoesChangesOnlyItsOwnPlace() {
+    void removalOfAnEndpointChangesOnlyOneMemberOfTheSubset() {
         List<Endpoint> all = endpoints(90);
         List<Endpoint> before = pick(all);
         List<Endpoint> fewer = new ArrayList<>(all);
