--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/route/RequestKind.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/route/RequestKind.java
@@ -1,6 +1,6 @@
 package io.yuccaswitch.core.route;
 
-/** What may be repeated of a request. */
+/** The rule for repeating a request. */
 public enum RequestKind {
     /** The request may run more than once. */
     IDEMPOTENT,
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/route/Route.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/route/Route.java
@@ -6,21 +6,21 @@
 import java.util.Optional;
 
 /**
- * A route: requests of one host below one path.
+ * A route: the requests to one host below one path.
  *
  * @param name The name, for logs.
  * @param host The host, in lower case.
  * @param pathPrefix The path below which requests belong to the route.
- * @param kind What may be repeated.
+ * @param kind The rule for repeating its requests.
  * @param pools The pools that serve the route, with their shares of it.
- * @param timeout The longest time for which a caller is kept waiting.
- * @param latencyTarget The time within which an answer is of full use.
- * @param maximumAttempts The largest number of endpoints that one request is sent to.
- * @param priority The rank, where 0 is the highest.
+ * @param timeout The maximum time for which a caller waits.
+ * @param latencyTarget The time within which an answer has its full value.
+ * @param maximumAttempts The maximum number of endpoints that one request is sent to.
+ * @param priority The priority, where 0 is the highest.
  * @param streaming Whether answers are streams of events.
- * @param resumable Whether a stream that broke can be resumed at another endpoint.
- * @param batch What holds for batch jobs, if the route takes them.
- * @param anonymous Whether requests need no API key where the site has accounts.
+ * @param resumable Whether an interrupted stream can be resumed at another endpoint.
+ * @param batch The terms of batch jobs, if the route accepts them.
+ * @param anonymous Whether requests need no API key at a site with accounts.
  */
 public record Route(
         String name,
@@ -52,26 +52,26 @@
     }
 
     /**
-     * Returns whether a result of a batch job must come from one version alone.
+     * Returns whether all results of a batch job must come from a single version.
      *
-     * @return {@code true} if the route takes batch jobs and demands it.
+     * @return {@code true} if the route accepts batch jobs and requires it.
      */
     public boolean demandsSingleVersion() {
         return batch.filter(BatchTerms::singleVersion).isPresent();
     }
 
     /**
-     * Picks a pool by the shares.
+     * Selects a pool according to the shares.
      *
-     * @param drawn A number from 0 to below 1, drawn evenly.
+     * @param drawn A random number, uniformly distributed from 0 (inclusive) to 1 (exclusive).
      * @return The pool, or empty if the route has none.
      */
     public Optional<PoolName> pick(double drawn) {
         double total = pools.stream().mapToDouble(PoolShare::weight).sum();
-        double left = drawn * total;
+        double remaining = drawn * total;
         for (PoolShare share : pools) {
-            left -= share.weight();
-            if (left < 0) {
+            remaining -= share.weight();
+            if (remaining < 0) {
                 return Optional.of(share.pool());
             }
         }
@@ -87,11 +87,11 @@
     public record PoolShare(PoolName pool, double weight) {}
 
     /**
-     * What holds for the batch jobs of a route.
+     * The terms of the batch jobs of a route.
      *
      * @param resultDeadline The time after the submission at which all results are due.
-     * @param queueTimeout The time after the submission at which an item may be given up.
-     * @param singleVersion Whether a result must come from one version alone.
+     * @param queueTimeout The time after the submission at which an item may be abandoned.
+     * @param singleVersion Whether all results must come from a single version.
      */
     public record BatchTerms(Duration resultDeadline, Duration queueTimeout, boolean singleVersion) {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/route/RouteConfiguration.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/route/RouteConfiguration.java
@@ -15,25 +15,25 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** All routes of a site at one version. */
+/** One version of the configuration of all routes of a site. */
 public final class RouteConfiguration {
 
-    /** The version, which grows with each change. */
+    /** The version, which increases with each change. */
     private final long version;
 
-    /** The routes of each host, those with the longest paths first. */
+    /** The routes of each host, in descending order of path length. */
     private final Map<String, List<Route>> byHost = new HashMap<>();
 
     /** The models that each pool of engines serves. */
     private final Map<PoolName, Set<String>> models;
 
-    /** What callers may send. */
+    /** The limits on callers. */
     private final CallerLimits limits;
 
     /** The client accounts. */
     private final AccountDirectory accounts;
 
-    /** What the cloud offers for the pools whose endpoints it can be asked for. */
+    /** The scaling terms of the pools whose endpoints can be requested from the cloud. */
     private final Map<PoolName, ScalingTerms> scaling;
 
     /**
@@ -42,7 +42,7 @@
      * @param version The version.
      * @param routes The routes.
      * @param models The models that each pool of engines serves.
-     * @param limits What callers may send.
+     * @param limits The limits on callers.
      */
     public RouteConfiguration(
             long version, List<Route> routes, Map<PoolName, Set<String>> models, CallerLimits limits) {
@@ -55,9 +55,9 @@
      * @param version The version.
      * @param routes The routes.
      * @param models The models that each pool of engines serves.
-     * @param limits What callers may send.
+     * @param limits The limits on callers.
      * @param accounts The client accounts.
-     * @param scaling What the cloud offers for the pools whose endpoints it can be asked for.
+     * @param scaling The scaling terms of the pools whose endpoints can be requested from the cloud.
      */
     public RouteConfiguration(
             long version,
@@ -89,7 +89,7 @@
     }
 
     /**
-     * Returns what callers may send.
+     * Returns the limits on callers.
      *
      * @return The limits.
      */
@@ -107,65 +107,66 @@
     }
 
     /**
-     * Returns what the cloud offers.
+     * Returns the scaling terms.
      *
-     * @return The terms by pool, for those whose endpoints it can be asked for.
+     * @return The terms by pool, for the pools whose endpoints can be requested from the cloud.
      */
     public Map<PoolName, ScalingTerms> scaling() {
         return scaling;
     }
 
     /**
-     * Finds out whose a request on a route is.
+     * Determines the client account of a request on a route.
      *
-     * @param credential What the request presents.
+     * @param credential The credential that was presented.
      * @param route The route.
-     * @return Whose it is, or empty if it is to be turned away.
+     * @return The account, or empty if the request must be rejected.
      */
     public Optional<ClientAccount> authenticate(Credential credential, Route route) {
         return accounts.authenticate(credential, route.anonymous());
     }
 
     /**
-     * Finds out whose a call about a batch job is. Such a call names no route: it may come without a key if a route for
-     * batch jobs of its host takes jobs without one, and then it reaches just jobs that belong to no account.
+     * Determines the client account of a call about a batch job. Such a call names no route: it is accepted without a
+     * key if a route for batch jobs of its host accepts jobs without one, and then reaches only jobs that belong to no
+     * account.
      *
-     * @param credential What the call presents.
+     * @param credential The credential that was presented.
      * @param host The host, with or without a port.
-     * @return Whose it is, or empty if it is to be turned away.
+     * @return The account, or empty if the request must be rejected.
      */
     public Optional<ClientAccount> authenticateBatchCall(Credential credential, String host) {
-        boolean open = byHost.getOrDefault(nameOf(host), List.of()).stream()
+        boolean acceptsAnonymous = byHost.getOrDefault(normalizeHost(host), List.of()).stream()
                 .anyMatch(route -> route.anonymous() && route.kind() == RequestKind.BATCH);
-        return accounts.authenticate(credential, open);
+        return accounts.authenticate(credential, acceptsAnonymous);
     }
 
     /**
-     * Finds the route of a request, which is the one with the longest path that begins the request's path.
+     * Finds the route of a request, which is the one with the longest path prefix that matches.
      *
      * @param host The host, with or without a port.
      * @param path The path, without a query.
      * @return The route, or empty if there is none.
      */
     public Optional<Route> find(String host, String path) {
-        return byHost.getOrDefault(nameOf(host), List.of()).stream()
+        return byHost.getOrDefault(normalizeHost(host), List.of()).stream()
                 .filter(route -> path.startsWith(route.pathPrefix()))
                 .findFirst();
     }
 
     /**
-     * Returns the name of a host.
+     * Normalizes the name of a host.
      *
      * @param host The host, with or without a port.
-     * @return The name in lower case.
+     * @return The name in lower case, without a port.
      */
-    private static String nameOf(String host) {
+    private static String normalizeHost(String host) {
         int colon = host.indexOf(':');
         return (colon < 0 ? host : host.substring(0, colon)).toLowerCase(Locale.ROOT);
     }
 
     /**
-     * Returns whether any route of a model's pool demands results from one version alone.
+     * Returns whether any route of a model's pool requires all results of a job to come from a single version.
      *
      * @param pool The pool.
      * @return {@code true} if a route of the pool does.
@@ -179,10 +180,10 @@
     }
 
     /**
-     * What callers may send, and how long they may take.
+     * Limits on callers.
      *
-     * @param maximumHeaderBytes The largest size of a request's headers, in bytes.
-     * @param maximumBodyBytes The largest size of a request's body, in bytes.
+     * @param maximumHeaderBytes The maximum size of a request's headers, in bytes.
+     * @param maximumBodyBytes The maximum size of a request's body, in bytes.
      * @param idleTimeout The time after which an idle connection is closed.
      */
     public record CallerLimits(int maximumHeaderBytes, long maximumBodyBytes, Duration idleTimeout) {}
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/route/RouteConfigurationSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/route/RouteConfigurationSystem.java
@@ -12,61 +12,64 @@
 import java.util.Optional;
 import java.util.function.Function;
 
-/** Follows the configuration of routes. A version is only ever replaced by a higher one. */
+/** Follows the route configuration. A version is only replaced by a higher one. */
 public final class RouteConfigurationSystem implements DecisionSystem {
 
-    /** The kind of the configuration's object. */
+    /** The object kind of the configuration. */
     public static final String KIND = "route-configuration";
 
-    /** Gathers quick successions of versions. Far below the time in which a version has to be in force. */
-    private static final Duration GATHERING = Duration.ofMillis(100);
+    /**
+     * The delay that batches versions in quick succession, which is far below the time within which a version must be
+     * active.
+     */
+    private static final Duration BATCHING_DELAY = Duration.ofMillis(100);
 
     /**
-     * The age at which a node asks the platform itself: above what it reaches through other nodes while all is well,
-     * and low enough for one call before a configuration has to be in force.
+     * The age of its copy at which a node queries the platform itself. It is above the age that updates through other
+     * nodes reach in normal operation, and low enough for one call before a configuration must be active.
      */
-    private static final Duration CONFIRMED = Duration.ofMillis(1600);
+    private static final Duration DIRECT_QUERY_AGE = Duration.ofMillis(1600);
 
-    /** Brings the configuration's object. */
+    /** Supplies the configuration's object. */
     private final KindFeed feed;
 
-    /** Reads a configuration. */
+    /** Decodes a configuration. */
     private final Function<StoredObject, Optional<RouteConfiguration>> decoder;
 
-    /** The configuration in force, if any. */
+    /** The active configuration, if any. */
     private Optional<RouteConfiguration> inForce = Optional.empty();
 
     /**
-     * Creates a system that has no configuration.
+     * Creates a system without a configuration.
      *
      * @param watches This node's shared watches.
-     * @param tokens Hands out the tokens of calls.
-     * @param decoder Reads a configuration, or returns empty where it can't be read.
+     * @param tokens Allocates the tokens of platform calls.
+     * @param decoder Decodes a configuration, or returns empty if it cannot be decoded.
      */
     public RouteConfigurationSystem(
             SharedWatches watches,
             PlatformTokens tokens,
             Function<StoredObject, Optional<RouteConfiguration>> decoder) {
-        feed = watches.watchWithin(KIND, PlatformPurpose.CONFIGURATION, tokens, GATHERING, CONFIRMED);
+        feed = watches.watchWithin(KIND, PlatformPurpose.CONFIGURATION, tokens, BATCHING_DELAY, DIRECT_QUERY_AGE);
         this.decoder = decoder;
     }
 
     @Override
     public void run(Tick tick) {
-        feed.run(tick).ifPresent(news -> news.objects().forEach(object -> take(tick, object)));
+        feed.run(tick).ifPresent(changes -> changes.objects().forEach(object -> apply(tick, object)));
     }
 
     /**
-     * Returns the configuration in force.
+     * Returns the active configuration.
      *
-     * @return The configuration, or empty before the first one was read.
+     * @return The configuration, or empty before the first one is applied.
      */
     public Optional<RouteConfiguration> inForce() {
         return inForce;
     }
 
     /**
-     * Finds the route of a request in the configuration in force.
+     * Finds the route of a request in the active configuration.
      *
      * @param host The host, with or without a port.
      * @param path The path, without a query.
@@ -77,12 +80,12 @@
     }
 
     /**
-     * Takes a version, if it is newer than the one in force.
+     * Applies a version if it is higher than the active one.
      *
      * @param tick The tick.
      * @param object The object.
      */
-    private void take(Tick tick, StoredObject object) {
+    private void apply(Tick tick, StoredObject object) {
         if (object.deleted()) {
             return;
         }
@@ -90,13 +93,16 @@
         if (decoded.isEmpty()) {
             return;
         }
-        long held = inForce.map(RouteConfiguration::version).orElse(-1L);
-        if (decoded.get().version() <= held) {
+        long activeVersion = inForce.map(RouteConfiguration::version).orElse(-1L);
+        if (decoded.get().version() <= activeVersion) {
             return;
         }
         inForce = decoded;
         tick.emit(new RouteEffect.InForce(decoded.get()));
         tick.decide(Decision.of(
-                "configuration", Long.toString(decoded.get().version()), "in force", "replaces version " + held));
+                "configuration",
+                Long.toString(decoded.get().version()),
+                "in force",
+                "replaces version " + activeVersion));
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/route/RouteEffect.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/route/RouteEffect.java
@@ -2,11 +2,11 @@
 
 import io.yuccaswitch.core.decision.Effect;
 
-/** What the routes tell the shell. */
+/** The effects of the route configuration on the shell. */
 public sealed interface RouteEffect extends Effect {
 
     /**
-     * A configuration is in force from now on.
+     * A configuration has become active.
      *
      * @param configuration The configuration.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/route/package-info.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/route/package-info.java
@@ -1,2 +1,2 @@
-/** Which requests are served, by which pools and under which limits. */
+/** Routes: which requests are served, by which pools and under which limits. */
 package io.yuccaswitch.core.route;
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/route/ConfigurationInTimeTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/route/ConfigurationInTimeTest.java
@@ -29,15 +29,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * News of a configuration went the same way as that of a leaving endpoint: through a watching node that is believed for
- * as long as a lost platform may take to show, then waited for until it is missed, then through the other one. Each of
- * these has its own bound, and their sum was more than two seconds, for routes that were dropped and keys that were
- * taken away as well.
+ * Guards against configuration changes that take more than two seconds to become active. Followers trusted a watcher
+ * until the loss of its platform connection could be detected, then waited for its updates until a timeout, and only
+ * then switched to the other watcher. Each of these delays has its own bound, but their sum exceeded two seconds, also
+ * for removed routes and revoked keys.
  */
 final class ConfigurationInTimeTest {
 
-    /** The bound within which a configuration is in force at each node that the platform answers. */
-    private static final Duration BOUND = Duration.ofMillis(1900);
+    /** The maximum time until a configuration is active at each node, while the platform answers that node. */
+    private static final Duration MAXIMUM_ACTIVATION_DELAY = Duration.ofMillis(1900);
 
     private static final Duration IDLE_INTERVAL = Duration.ofMillis(100);
 
@@ -49,34 +49,35 @@
     @BeforeEach
     void startNodes() {
         site.connect((_from, _to) -> false);
-        change();
-        TestNode any = site.start("node-0", this::systems);
+        publishVersion();
+        TestNode anyNode = site.start("node-0", this::systems);
         for (int i = 1; i < 9; i++) {
             site.start("node-" + i, this::systems);
         }
         site.run(Duration.ofSeconds(3));
-        watchers = RendezvousRanking.pair("watch", any.working()).stream()
+        watchers = RendezvousRanking.pair("watch", anyNode.working()).stream()
                 .map(member -> member.identity().name().value())
                 .collect(Collectors.toCollection(TreeSet::new));
     }
 
     @ParameterizedTest
     @ValueSource(ints = {0, 70, 140, 210, 280, 350, 420, 490, 560, 630, 700, 770})
-    void aConfigurationIsInForceInTimeThoughTheWatchingNodesLoseThePlatformAndThenStandStill(int phase) {
+    void configurationIsActiveInTimeWhenTheWatchersLoseThePlatformAndAreThenSuspended(int phase) {
         for (int step = 0; step < 28; step++) {
             site.run(Duration.ofMillis(5000 + phase + step % 7 * 10));
-            int contact = 450 + step / 7 * 200;
-            Troubles.lostAndStill(watchers, site.now(), Duration.ofMillis(contact))
+            int contactMillis = 450 + step / 7 * 200;
+            Troubles.lostAndStill(watchers, site.now(), Duration.ofMillis(contactMillis))
                     .strike(site);
-            change();
-            assertInForceInTime("platform lost at phase " + (phase + step % 7 * 10) + ", still after " + contact);
+            publishVersion();
+            assertActiveInTime(
+                    "platform lost at phase " + (phase + step % 7 * 10) + ", suspended after " + contactMillis);
             Troubles.NONE.strike(site);
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = {0, 1, 2, 3, 4, 5, 6, 7, 8, 9})
-    void aConfigurationIsInForceInTimeHoweverTheWatchingNodesFailOneAfterTheOther(long group) {
+    void configurationIsActiveInTimeWhenTheWatchersFailOneAfterTheOther(long group) {
         for (long seed = group * 20; seed < group * 20 + 20; seed++) {
             site.run(Duration.ofSeconds(5));
             Random random = new Random(seed);
@@ -84,29 +85,29 @@
                     Troubles.drawn(watchers, site.now().plus(Duration.ofMillis(random.nextInt(1000))), random);
             troubles.strike(site);
             site.run(Duration.ofMillis(1000 + random.nextInt(1500)));
-            change();
-            assertInForceInTime("seed " + seed + " " + troubles);
+            publishVersion();
+            assertActiveInTime("seed " + seed + " " + troubles);
             Troubles.NONE.strike(site);
         }
     }
 
     @Test
-    void noNodeAsksThePlatformBesideTheWatchingOnesWhileConfigurationsChange() {
+    void onlyWatchersQueryThePlatformWhileConfigurationsChange() {
         Set<String> callers = new TreeSet<>();
         site.platform().failWhere((node, _call) -> {
             callers.add(node);
             return false;
         });
         for (int i = 0; i < 20; i++) {
-            change();
+            publishVersion();
             site.run(Duration.ofMillis(80 + 90 * i));
         }
         assertThat(callers).isSubsetOf(watchers);
     }
 
-    private void assertInForceInTime(String description) {
+    private void assertActiveInTime(String description) {
         MonotonicTime acknowledged = site.now();
-        site.run(BOUND);
+        site.run(MAXIMUM_ACTIVATION_DELAY);
         systems.forEach((name, system) -> {
             if (!watchers.contains(name)) {
                 assertThat(system.inForce().orElseThrow().version())
@@ -118,7 +119,7 @@
         });
     }
 
-    private void change() {
+    private void publishVersion() {
         version++;
         site.platform().put(RouteConfigurationSystem.KIND, "main", Long.toString(version));
     }
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/route/RouteConfigurationTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/route/RouteConfigurationTest.java
@@ -11,11 +11,11 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** Which route a request belongs to, and that versions never go back. */
+/** Tests the selection of routes, and that versions never decrease. */
 final class RouteConfigurationTest {
 
     @Test
-    void theRouteWithTheLongestPathWins() {
+    void routeWithTheLongestMatchingPathIsSelected() {
         RouteConfiguration routes = configuration(1, route("short", "/a/"), route("long", "/a/b/"));
         assertThat(routes.find("site.example", "/a/b/c").map(Route::name)).contains("long");
         assertThat(routes.find("site.example", "/a/x").map(Route::name)).contains("short");
@@ -23,14 +23,14 @@
     }
 
     @Test
-    void theHostIsComparedWithoutItsPortAndCase() {
+    void hostIsComparedWithoutPortAndIgnoringCase() {
         RouteConfiguration routes = configuration(1, route("only", "/a/"));
         assertThat(routes.find("Site.Example:8080", "/a/x")).isPresent();
         assertThat(routes.find("other.example", "/a/x")).isEmpty();
     }
 
     @Test
-    void poolsArePickedByTheirShares() {
+    void poolsAreSelectedByTheirShares() {
         Route route = withPools(List.of(
                 new Route.PoolShare(new PoolName("large"), 90), new Route.PoolShare(new PoolName("small"), 10)));
         assertThat(route.pick(0.0)).contains(new PoolName("large"));
@@ -39,14 +39,14 @@
     }
 
     @Test
-    void aPoolWithoutAShareIsNeverPicked() {
+    void poolWithoutAShareIsNeverSelected() {
         Route route = withPools(
                 List.of(new Route.PoolShare(new PoolName("none"), 0), new Route.PoolShare(new PoolName("all"), 5)));
         assertThat(route.pick(0)).contains(new PoolName("all"));
     }
 
     @Test
-    void aVersionIsOnlyEverReplacedByAHigherOne() {
+    void versionIsReplacedOnlyByAHigherOne() {
         TestSite site = new TestSite();
         RouteConfigurationSystem[] system = new RouteConfigurationSystem[1];
         site.start("node", (node, tokens) -> {
