--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/proxy/EndpointSelection.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/proxy/EndpointSelection.java
@@ -16,48 +16,54 @@
 import java.util.Set;
 
 /**
- * Chooses endpoints for plain requests by this node's own measurements and the loads that endpoints tell. Endpoints
- * that failed are left alone for a while, unless all of them did.
+ * Selects endpoints for plain requests by this node's own measurements and the loads that endpoints report. Endpoints
+ * that failed are paused for a while, and are used during that time only if there is no other.
  */
 public final class EndpointSelection {
 
-    /** The time that an answer is expected to take where nothing was measured, of any endpoint of the pool. */
-    private static final double DEFAULT_MILLIS = 30;
+    /** The expected time of an answer in milliseconds if no endpoint of the pool was measured. */
+    private static final double DEFAULT_ANSWER_MILLIS = 30;
 
     /**
-     * What a new connection adds to the time of an answer, in milliseconds: a round trip and work at the endpoint.
-     * Where endpoints are equally good, the one to which a connection is open is taken.
+     * The time that a new connection adds to an answer, in milliseconds: a round trip and processing at the endpoint.
+     * Among equal endpoints, one with an open connection is preferred.
      */
-    private static final double CONNECTING_MILLIS = 3;
+    private static final double CONNECTION_SETUP_MILLIS = 3;
 
-    /** For how long after an answer a connection is taken to be open, below the time for which idle ones are kept. */
-    private static final Duration OPEN_TIME = Duration.ofSeconds(4);
+    /**
+     * How long after an answer a connection is assumed to be open, which is below the time for which idle connections
+     * are kept.
+     */
+    private static final Duration CONNECTION_VALIDITY = Duration.ofSeconds(4);
 
-    /** The weight of the newest measurement in the mean of an endpoint. */
-    private static final double NEWEST_WEIGHT = 0.4;
+    /** The weight of the latest measurement in the mean of an endpoint. */
+    private static final double LATEST_WEIGHT = 0.4;
 
-    /** After how long a mean is forgotten, such that an endpoint that was slow gets a request again. */
-    private static final Duration MEMORY = Duration.ofMillis(2500);
+    /** How long a mean is used, so that an endpoint that was slow receives requests again. */
+    private static final Duration MEAN_VALIDITY = Duration.ofMillis(2500);
 
-    /** For how long a load that an endpoint told counts. */
+    /** How long a load that an endpoint reported is used. */
     private static final Duration LOAD_VALIDITY = Duration.ofMillis(400);
 
-    /** The first pause after a failure. */
-    private static final Duration FIRST_PAUSE = Duration.ofMillis(500);
+    /** The initial pause after a failure. */
+    private static final Duration INITIAL_PAUSE = Duration.ofMillis(500);
 
-    /** The longest pause after failures in a row. */
-    private static final Duration LONGEST_PAUSE = Duration.ofSeconds(4);
+    /** The maximum pause after consecutive failures. */
+    private static final Duration MAXIMUM_PAUSE = Duration.ofSeconds(4);
 
-    /** The mark-up for an endpoint in another availability zone: between equal ones the nearer one is taken. */
+    /**
+     * The factor on the expected time of an endpoint in another availability zone, so that the nearer one of equal
+     * endpoints is preferred.
+     */
     private static final double OTHER_ZONE_FACTOR = 1.15;
 
     /** The availability zone of this node. */
     private final AvailabilityZone ownZone;
 
-    /** The name of this node, by which nodes that know equally little choose different endpoints. */
+    /** The name of this node, which makes nodes without measurements select different endpoints. */
     private final String node;
 
-    /** What is known of the endpoints. */
+    /** The state of the endpoints. */
     private final Map<EndpointName, Row> rows = new HashMap<>();
 
     /**
@@ -72,26 +78,26 @@
     }
 
     /**
-     * Chooses an endpoint.
+     * Selects an endpoint.
      *
-     * @param working The endpoints that may get new work.
-     * @param excluded The endpoints that the request was sent to already, which are taken only if there is no other.
-     * @param now The present.
+     * @param working The endpoints that accept new work.
+     * @param excluded The endpoints that the request was already sent to, which are used only if there is no other.
+     * @param now The current time.
      * @return The endpoint, or empty if there is none.
      */
     public Optional<RegisteredEndpoint> choose(
             List<RegisteredEndpoint> working, Set<EndpointName> excluded, MonotonicTime now) {
-        double usual = usualMillis(working, now);
+        double typical = typicalMillis(working, now);
         return working.stream()
                 .min(Comparator.comparing((RegisteredEndpoint endpoint) -> excluded.contains(endpoint.name()))
                         .thenComparing(endpoint -> row(endpoint).isPaused(now))
-                        .thenComparingDouble(endpoint -> cost(endpoint, usual, now))
+                        .thenComparingDouble(endpoint -> estimatedMillis(endpoint, typical, now))
                         .thenComparingInt(endpoint -> preference(endpoint.name()))
                         .thenComparing(RegisteredEndpoint::name));
     }
 
     /**
-     * Returns the rank of an endpoint at this node, which differs between nodes.
+     * Returns the rank of an endpoint at this node, by which different nodes prefer different endpoints.
      *
      * @param endpoint The endpoint.
      * @return The rank.
@@ -103,24 +109,23 @@
     }
 
     /**
-     * Returns the time that an answer of the endpoints usually takes, which is expected of those that were not
-     * measured.
+     * Returns the typical time of an answer, which is assumed for endpoints without measurements.
      *
      * @param working The endpoints.
-     * @param now The present.
-     * @return The mean of the measured ones, in milliseconds.
+     * @param now The current time.
+     * @return The mean of the endpoints with measurements, in milliseconds.
      */
-    private double usualMillis(List<RegisteredEndpoint> working, MonotonicTime now) {
+    private double typicalMillis(List<RegisteredEndpoint> working, MonotonicTime now) {
         return working.stream()
                 .map(this::row)
-                .filter(row -> row.isMeasured(now) && !row.late)
+                .filter(row -> row.isMeasured(now) && !row.timedOut)
                 .mapToDouble(row -> row.meanMillis)
                 .average()
-                .orElse(DEFAULT_MILLIS);
+                .orElse(DEFAULT_ANSWER_MILLIS);
     }
 
     /**
-     * Returns the number of this node's requests in progress at an endpoint.
+     * Returns the number of this node's requests in flight at an endpoint.
      *
      * @param endpoint The endpoint.
      * @return The number.
@@ -130,7 +135,7 @@
     }
 
     /**
-     * Counts a request that is sent.
+     * Records that a request was sent.
      *
      * @param endpoint The endpoint.
      */
@@ -139,7 +144,7 @@
     }
 
     /**
-     * Counts a request that ended.
+     * Records that a request completed.
      *
      * @param endpoint The endpoint.
      */
@@ -148,90 +153,92 @@
     }
 
     /**
-     * Takes the time that an answer took.
+     * Records the time of an answer.
      *
      * @param endpoint The endpoint.
-     * @param took The time.
-     * @param now The present.
+     * @param elapsed The time.
+     * @param now The current time.
      */
-    public void succeed(RegisteredEndpoint endpoint, Duration took, MonotonicTime now) {
+    public void succeed(RegisteredEndpoint endpoint, Duration elapsed, MonotonicTime now) {
         Row row = row(endpoint);
-        row.measure(took, now);
-        row.late = false;
+        row.measure(elapsed, now);
+        row.timedOut = false;
         row.failures = 0;
     }
 
     /**
-     * Takes an attempt that was broken off because it took too long, which says that an answer takes longer still.
+     * Records an attempt that was aborted because it took too long. A complete answer would have taken longer than the
+     * measured time.
      *
      * @param endpoint The endpoint.
-     * @param took The time until it was broken off.
-     * @param now The present.
+     * @param elapsed The time until the attempt was aborted.
+     * @param now The current time.
      */
-    public void slow(RegisteredEndpoint endpoint, Duration took, MonotonicTime now) {
+    public void slow(RegisteredEndpoint endpoint, Duration elapsed, MonotonicTime now) {
         Row row = row(endpoint);
-        row.measure(took.multipliedBy(2), now);
-        row.late = true;
+        row.measure(elapsed.multipliedBy(2), now);
+        row.timedOut = true;
     }
 
     /**
-     * Takes a failure, after which the endpoint is left alone for a while.
+     * Records a failure, after which the endpoint is paused for a while.
      *
      * @param endpoint The endpoint.
-     * @param now The present.
+     * @param now The current time.
      */
     public void fail(RegisteredEndpoint endpoint, MonotonicTime now) {
         Row row = row(endpoint);
         row.failures++;
-        Duration pause = FIRST_PAUSE.multipliedBy(1L << Math.min(row.failures - 1, 5));
-        row.pausedUntil = now.plus(pause.compareTo(LONGEST_PAUSE) < 0 ? pause : LONGEST_PAUSE);
+        Duration pause = INITIAL_PAUSE.multipliedBy(1L << Math.min(row.failures - 1, 5));
+        row.pausedUntil = now.plus(pause.compareTo(MAXIMUM_PAUSE) < 0 ? pause : MAXIMUM_PAUSE);
     }
 
     /**
-     * Takes the load that an endpoint told.
+     * Records the load that an endpoint reported.
      *
      * @param endpoint The endpoint.
-     * @param running The number of requests that it runs or that wait there.
-     * @param now The present.
+     * @param running The number of requests that are running or waiting there.
+     * @param now The current time.
      */
     public void tell(RegisteredEndpoint endpoint, int running, MonotonicTime now) {
         Row row = row(endpoint);
-        row.told = running;
-        row.toldAt = now;
+        row.reportedLoad = running;
+        row.reportedAt = now;
     }
 
     /**
-     * Estimates when a place will be free at any of some endpoints.
+     * Estimates the time until a slot is free at any of some endpoints.
      *
-     * @param working The endpoints that may get new work.
-     * @param now The present.
-     * @return The time, which is that of one answer where there is no endpoint.
+     * @param working The endpoints that accept new work.
+     * @param now The current time.
+     * @return The time, which is that of one answer if there is no endpoint.
      */
     public Duration untilFree(List<RegisteredEndpoint> working, MonotonicTime now) {
         double millis = working.stream()
                 .mapToDouble(endpoint -> untilFree(endpoint, now))
                 .min()
-                .orElse(DEFAULT_MILLIS);
+                .orElse(DEFAULT_ANSWER_MILLIS);
         return Duration.ofNanos((long) (millis * 1e6));
     }
 
     /**
-     * Forgets endpoints that are gone.
+     * Removes endpoints that no longer exist.
      *
-     * @param present The endpoints that there are.
+     * @param existing The existing endpoints.
      */
-    public void retain(Collection<RegisteredEndpoint> present) {
+    public void retain(Collection<RegisteredEndpoint> existing) {
         Set<EndpointName> names = new java.util.HashSet<>();
-        present.forEach(endpoint -> names.add(endpoint.name()));
+        existing.forEach(endpoint -> names.add(endpoint.name()));
         rows.entrySet().removeIf(entry -> entry.getValue().running <= 0 && !names.contains(entry.getKey()));
     }
 
     /**
-     * Estimates when a place will be free at an endpoint: its places come free one after the other within the time of
-     * an answer, behind the requests that wait there. A pause does not count, as it ends where no other is left.
+     * Estimates the time until a slot is free at an endpoint: its slots become free one after the other within the time
+     * of an answer, and waiting requests are served first. A pause is ignored, as it has no effect when no other
+     * endpoint is left.
      *
      * @param endpoint The endpoint.
-     * @param now The present.
+     * @param now The current time.
      * @return The time in milliseconds.
      */
     private double untilFree(RegisteredEndpoint endpoint, MonotonicTime now) {
@@ -242,24 +249,24 @@
     }
 
     /**
-     * Estimates the time that an answer of an endpoint takes.
+     * Estimates the time of an answer of an endpoint.
      *
      * @param endpoint The endpoint.
-     * @param usual The time that is expected of an endpoint that was not measured, in milliseconds.
-     * @param now The present.
+     * @param typical The time that is assumed for an endpoint without measurements, in milliseconds.
+     * @param now The current time.
      * @return The time in milliseconds.
      */
-    private double cost(RegisteredEndpoint endpoint, double usual, MonotonicTime now) {
+    private double estimatedMillis(RegisteredEndpoint endpoint, double typical, MonotonicTime now) {
         Row row = row(endpoint);
         int load = Math.max(row.running, row.load(now));
         double busy = (double) load / Math.max(1, endpoint.slots());
         double factor = endpoint.availabilityZone().equals(ownZone) ? 1 : OTHER_ZONE_FACTOR;
-        double expected = row.isMeasured(now) ? row.meanMillis : usual;
-        return expected * (1 + busy) * factor + (row.isConnected(now) ? 0 : CONNECTING_MILLIS);
+        double expected = row.isMeasured(now) ? row.meanMillis : typical;
+        return expected * (1 + busy) * factor + (row.isConnected(now) ? 0 : CONNECTION_SETUP_MILLIS);
     }
 
     /**
-     * Returns what is known of an endpoint.
+     * Returns the state of an endpoint.
      *
      * @param endpoint The endpoint.
      * @return The row.
@@ -268,90 +275,90 @@
         return rows.computeIfAbsent(endpoint.name(), _name -> new Row());
     }
 
-    /** What is known of one endpoint. */
+    /** The state of one endpoint. */
     private static final class Row {
 
-        /** The number of this node's requests in progress. */
+        /** The number of this node's requests in flight. */
         private int running;
 
         /** The mean time of answers in milliseconds. */
-        private double meanMillis = DEFAULT_MILLIS;
+        private double meanMillis = DEFAULT_ANSWER_MILLIS;
 
-        /** Whether the last measurement was of an answer that did not come in time, which tells nothing of others. */
-        private boolean late;
+        /** Whether the last measurement was of an attempt that timed out, which says nothing about other endpoints. */
+        private boolean timedOut;
 
         /** When an answer was last measured. */
         private MonotonicTime measuredAt = new MonotonicTime(Long.MIN_VALUE / 2);
 
-        /** The load that the endpoint last told. */
-        private int told;
+        /** The load that the endpoint last reported. */
+        private int reportedLoad;
 
-        /** When the endpoint last told its load. */
-        private MonotonicTime toldAt = new MonotonicTime(Long.MIN_VALUE / 2);
+        /** When the endpoint last reported its load. */
+        private MonotonicTime reportedAt = new MonotonicTime(Long.MIN_VALUE / 2);
 
-        /** The number of failures in a row. */
+        /** The number of consecutive failures. */
         private int failures;
 
-        /** Until when the endpoint is left alone. */
+        /** The end of the pause. */
         private MonotonicTime pausedUntil = new MonotonicTime(Long.MIN_VALUE / 2);
 
         /**
-         * Takes a measurement.
+         * Records a measurement.
          *
-         * @param took The time.
-         * @param now The present.
+         * @param elapsed The time.
+         * @param now The current time.
          */
-        private void measure(Duration took, MonotonicTime now) {
-            double millis = took.toNanos() / 1e6;
-            meanMillis = expectedMillis(now) * (1 - NEWEST_WEIGHT) + millis * NEWEST_WEIGHT;
+        private void measure(Duration elapsed, MonotonicTime now) {
+            double millis = elapsed.toNanos() / 1e6;
+            meanMillis = expectedMillis(now) * (1 - LATEST_WEIGHT) + millis * LATEST_WEIGHT;
             measuredAt = now;
         }
 
         /**
-         * Returns the time that an answer is expected to take.
+         * Returns the expected time of an answer.
          *
-         * @param now The present.
+         * @param now The current time.
          * @return The time in milliseconds.
          */
         private double expectedMillis(MonotonicTime now) {
-            return isMeasured(now) ? meanMillis : DEFAULT_MILLIS;
+            return isMeasured(now) ? meanMillis : DEFAULT_ANSWER_MILLIS;
         }
 
         /**
-         * Returns whether an answer was measured lately.
+         * Returns whether an answer was measured recently.
          *
-         * @param now The present.
-         * @return {@code true} if one was.
+         * @param now The current time.
+         * @return {@code true} if there is a recent measurement.
          */
         private boolean isMeasured(MonotonicTime now) {
-            return now.since(measuredAt).compareTo(MEMORY) < 0;
+            return now.since(measuredAt).compareTo(MEAN_VALIDITY) < 0;
         }
 
         /**
          * Returns whether a connection to the endpoint is likely open.
          *
-         * @param now The present.
-         * @return {@code true} if an answer came lately, and nothing failed since.
+         * @param now The current time.
+         * @return {@code true} if an answer was received recently, and nothing has failed since.
          */
         private boolean isConnected(MonotonicTime now) {
-            return failures == 0 && now.since(measuredAt).compareTo(OPEN_TIME) < 0;
+            return failures == 0 && now.since(measuredAt).compareTo(CONNECTION_VALIDITY) < 0;
         }
 
         /**
-         * Returns the load that the endpoint told, if that is recent.
+         * Returns the reported load if it is recent.
          *
-         * @param now The present.
-         * @return The load.
+         * @param now The current time.
+         * @return The load, or zero if there is no recent report.
          */
         private int load(MonotonicTime now) {
-            return now.since(toldAt).compareTo(LOAD_VALIDITY) < 0 ? told : 0;
+            return now.since(reportedAt).compareTo(LOAD_VALIDITY) < 0 ? reportedLoad : 0;
         }
 
         /**
-         * Returns whether the endpoint is left alone.
+         * Returns whether the endpoint is paused.
          *
-         * @param now The present.
-         * @return {@code true} if it is.
+         * @param now The current time.
+         * @return {@code true} if it is paused.
          */
         private boolean isPaused(MonotonicTime now) {
             return now.isBefore(pausedUntil);
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/proxy/RequestPlan.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/proxy/RequestPlan.java
@@ -7,16 +7,19 @@
 import java.util.Set;
 
 /**
- * The attempts of one plain request: how long each may take, whether another one may follow, and how the request ends
- * when none may.
+ * The attempts of one plain request: the timeout of each attempt, whether a retry is allowed, and how the request ends
+ * if none is.
  */
 public final class RequestPlan {
 
-    /** The share of the time for a useful answer after which an attempt that may be repeated is tried elsewhere. */
-    private static final double ATTEMPT_SHARE = 0.5;
+    /** The share of the latency target after which a repeatable attempt is abandoned in favour of another endpoint. */
+    private static final double ATTEMPT_TIME_SHARE = 0.5;
 
-    /** The number of sends beyond the allowed attempts that endpoints may refuse without having run the request. */
-    private static final int REFUSED_SENDS = 2;
+    /**
+     * The number of sends in addition to the allowed attempts, for endpoints that reject the request without running
+     * it.
+     */
+    private static final int MAXIMUM_REFUSED_SENDS = 2;
 
     /** The route. */
     private final Route route;
@@ -40,7 +43,7 @@
     }
 
     /**
-     * Begins an attempt.
+     * Records the start of an attempt.
      *
      * @param endpoint The endpoint.
      */
@@ -49,7 +52,7 @@
         sends++;
     }
 
-    /** Notes that the attempt in progress may have run. */
+    /** Records that the current attempt may have run. */
     public void mayHaveRun() {
         runs++;
     }
@@ -64,9 +67,9 @@
     }
 
     /**
-     * Returns whether an attempt has run, for all that is known.
+     * Returns whether any attempt may have run.
      *
-     * @return {@code false} only if it is sure that none has.
+     * @return {@code false} if it is certain that none has run.
      */
     public boolean hasMaybeRun() {
         return runs > 0;
@@ -75,27 +78,27 @@
     /**
      * Returns whether another attempt is allowed.
      *
-     * @return {@code true} if it is.
+     * @return {@code true} if another attempt is allowed.
      */
     public boolean mayTryAgain() {
         int allowed = Math.max(1, route.maximumAttempts());
         boolean refusedOnly = runs == 0;
-        return (refusedOnly || route.mayRepeat()) && runs < allowed && sends < allowed + REFUSED_SENDS;
+        return (refusedOnly || route.mayRepeat()) && runs < allowed && sends < allowed + MAXIMUM_REFUSED_SENDS;
     }
 
     /**
-     * Returns how long the next attempt may wait for its answer to begin: a part of the useful time while another
-     * attempt may follow, else all the time that is left.
+     * Returns how long the next attempt may wait for the start of its answer: a share of the latency target if another
+     * attempt may follow, otherwise all of the remaining time.
      *
-     * @param left The time that is left for the request.
-     * @return The time.
+     * @param remaining The remaining time of the request.
+     * @return The maximum waiting time.
      */
-    public Duration attemptTime(Duration left) {
-        boolean another = route.mayRepeat() && runs + 1 < Math.max(1, route.maximumAttempts());
-        if (!another) {
-            return left;
+    public Duration attemptTime(Duration remaining) {
+        boolean mayFollow = route.mayRepeat() && runs + 1 < Math.max(1, route.maximumAttempts());
+        if (!mayFollow) {
+            return remaining;
         }
-        Duration part = Duration.ofNanos((long) (route.latencyTarget().toNanos() * ATTEMPT_SHARE));
-        return part.compareTo(left) < 0 && !part.isZero() ? part : left;
+        Duration share = Duration.ofNanos((long) (route.latencyTarget().toNanos() * ATTEMPT_TIME_SHARE));
+        return share.compareTo(remaining) < 0 && !share.isZero() ? share : remaining;
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/proxy/ReturnTime.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/proxy/ReturnTime.java
@@ -3,30 +3,31 @@
 import java.time.Duration;
 
 /**
- * When a caller whose request has not run should come back. It answers the moment at which a service is full or gone
- * for all: callers that were refused together and told the same time would return together, and be refused again.
+ * The delay after which a caller retries a request that has not run. The delay is spread at random for the case that a
+ * service is at capacity or unavailable for all callers: callers that were rejected together with the same delay would
+ * retry together, and be rejected again.
  */
 public final class ReturnTime {
 
-    /** The shortest time: a few round trips to a caller, below which coming back only costs. */
-    private static final Duration SHORTEST = Duration.ofMillis(20);
+    /** The minimum delay: a few round trips to a caller. Retrying sooner only adds load. */
+    private static final Duration MINIMUM_DELAY = Duration.ofMillis(20);
 
-    /** The longest time: callers wait for a third of their time at most, and few have more than three seconds. */
-    private static final Duration LONGEST = Duration.ofSeconds(1);
+    /** The maximum delay: callers wait at most a third of their time, and few have more than three seconds. */
+    private static final Duration MAXIMUM_DELAY = Duration.ofSeconds(1);
 
     /** This class has no instances. */
     private ReturnTime() {}
 
     /**
-     * Returns when a caller should come back.
+     * Returns the delay after which a caller retries.
      *
-     * @param untilFree The time until a place is expected to be free.
-     * @param drawn A number from 0 to below 1, drawn evenly for each caller.
-     * @return The time, spread evenly from that time to twice as long.
+     * @param untilFree The expected time until a slot is free.
+     * @param drawn A random number for each caller, uniformly distributed from 0 (inclusive) to 1 (exclusive).
+     * @return The delay, uniformly distributed between that time and twice that time.
      */
     public static Duration of(Duration untilFree, double drawn) {
-        Duration least = untilFree.compareTo(SHORTEST) < 0 ? SHORTEST : untilFree;
-        Duration bounded = least.compareTo(LONGEST) < 0 ? least : LONGEST;
+        Duration least = untilFree.compareTo(MINIMUM_DELAY) < 0 ? MINIMUM_DELAY : untilFree;
+        Duration bounded = least.compareTo(MAXIMUM_DELAY) < 0 ? least : MAXIMUM_DELAY;
         return Duration.ofNanos((long) (bounded.toNanos() * (1 + drawn)));
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/proxy/package-info.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/proxy/package-info.java
@@ -1,2 +1,2 @@
-/** Decisions on plain requests: which endpoint, how long, and what follows a failure. */
+/** Decisions on plain requests: the choice of the endpoint, timeouts and the handling of failures. */
 package io.yuccaswitch.core.proxy;
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/proxy/EndpointSelectionTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/proxy/EndpointSelectionTest.java
@@ -14,7 +14,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Which endpoint a plain request is sent to. */
+/** Tests the selection of endpoints for plain requests. */
 final class EndpointSelectionTest {
 
     private static final AvailabilityZone NEAR = new AvailabilityZone("near");
@@ -27,12 +27,12 @@
     private MonotonicTime now = new MonotonicTime(Duration.ofMinutes(1).toNanos());
 
     @Test
-    void betweenEqualEndpointsTheNearerOneIsTaken() {
+    void nearerOneOfEqualEndpointsIsSelected() {
         assertThat(selection.choose(both, Set.of(), now)).contains(near);
     }
 
     @Test
-    void betweenEqualEndpointsTheOneWithAnOpenConnectionIsTakenAgain() {
+    void endpointWithAnOpenConnectionIsSelectedAmongEqualOnes() {
         List<RegisteredEndpoint> equal = List.of(endpoint("a", NEAR), endpoint("b", NEAR), endpoint("c", NEAR));
         RegisteredEndpoint first = selection.choose(equal, Set.of(), now).orElseThrow();
         for (int request = 0; request < 10; request++) {
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void nodesThatKnowNothingChooseDifferentEndpoints() {
+    void nodesWithoutMeasurementsSelectDifferentEndpoints() {
         List<RegisteredEndpoint> equal = List.of(endpoint("a", NEAR), endpoint("b", NEAR), endpoint("c", NEAR));
         long chosen = IntStream.range(0, 30)
                 .mapToObj(node -> new EndpointSelection(NEAR, "node-" + node).choose(equal, Set.of(), now))
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aBusyEndpointIsAvoided() {
+    void busyEndpointIsAvoided() {
         selection.begin(near);
         selection.begin(near);
         assertThat(selection.choose(both, Set.of(), now)).contains(far);
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void aLoadThatAnEndpointTellsCountsForAShortTime() {
+    void reportedLoadIsUsedForAShortTime() {
         selection.tell(near, 4, now);
         assertThat(selection.choose(both, Set.of(), now)).contains(far);
         now = now.plus(Duration.ofSeconds(1));
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void aPlaceIsFreeSoonerWhereFewerWait() {
+    void timeUntilASlotIsFreeIncreasesWithTheLoad() {
         Duration idle = selection.untilFree(both, now);
         both.forEach(endpoint -> selection.tell(endpoint, 40, now));
         Duration full = selection.untilFree(both, now);
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void aSlowEndpointIsAvoidedAndTriedAgainLater() {
+    void slowEndpointIsAvoidedAndSelectedAgainLater() {
         selection.slow(near, Duration.ofMillis(100), now);
         assertThat(selection.choose(both, Set.of(), now)).contains(far);
         now = now.plus(Duration.ofSeconds(3));
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void anEndpointThatFailedIsLeftAloneUnlessThereIsNoOther() {
+    void failedEndpointIsPausedUnlessThereIsNoOther() {
         selection.fail(near, now);
         assertThat(selection.choose(both, Set.of(), now)).contains(far);
         selection.fail(far, now);
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void anEndpointThatWasTriedIsTakenAgainOnlyIfThereIsNoOther() {
+    void endpointThatWasTriedIsSelectedAgainOnlyIfThereIsNoOther() {
         assertThat(selection.choose(both, Set.of(near.name()), now)).contains(far);
         assertThat(selection.choose(List.of(near), Set.of(near.name()), now)).contains(near);
         assertThat(selection.choose(List.of(), Set.of(), now)).isEmpty();
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/proxy/RequestPlanTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/proxy/RequestPlanTest.java
@@ -11,13 +11,13 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** How often a request is sent, and how long each attempt may take. */
+/** Tests the number and the timeouts of the attempts of a plain request. */
 final class RequestPlanTest {
 
     private static final PoolName POOL = new PoolName("pool");
 
     @Test
-    void aRequestThatMayRunOnceIsNotSentAgainAfterItMayHaveRun() {
+    void atMostOnceRequestIsNotRetriedAfterItMayHaveRun() {
         RequestPlan plan = plan(RequestKind.AT_MOST_ONCE, 3);
         send(plan, "one");
         plan.mayHaveRun();
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void aRequestThatSurelyDidNotRunIsSentAgainWhateverItsKind() {
+    void requestThatDefinitelyDidNotRunIsRetriedRegardlessOfItsKind() {
         RequestPlan plan = plan(RequestKind.AT_MOST_ONCE, 1);
         send(plan, "one");
         assertThat(plan.mayTryAgain()).isTrue();
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void anIdempotentRequestRunsAtNoMoreEndpointsThanItsRouteAllows() {
+    void idempotentRequestRunsAtNoMoreEndpointsThanItsRouteAllows() {
         RequestPlan plan = plan(RequestKind.IDEMPOTENT, 2);
         send(plan, "one");
         plan.mayHaveRun();
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void refusalsAreNotFollowedForEver() {
+    void numberOfSendsAfterRefusalsIsLimited() {
         RequestPlan plan = plan(RequestKind.IDEMPOTENT, 2);
         int sends = 0;
         while (plan.mayTryAgain()) {
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void anAttemptLeavesTimeForAnotherOneIfThatIsAllowed() {
+    void attemptLeavesTimeForAnotherOneIfOneIsAllowed() {
         RequestPlan plan = plan(RequestKind.IDEMPOTENT, 2);
         assertThat(plan.attemptTime(Duration.ofMillis(800))).isEqualTo(Duration.ofMillis(100));
         send(plan, "one");
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void aRequestThatMayRunOnceHasAllItsTimeForItsOnlyAttempt() {
+    void onlyAttemptOfAnAtMostOnceRequestMayUseAllRemainingTime() {
         assertThat(plan(RequestKind.AT_MOST_ONCE, 3).attemptTime(Duration.ofMillis(800)))
                 .isEqualTo(Duration.ofMillis(800));
     }
