--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/Admission.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/Admission.java
@@ -9,30 +9,30 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Takes requests into the queue of their pool, or refuses them at once. */
+/** Queues requests for their pool, or refuses them immediately. */
 final class Admission {
 
-    /** The largest number of bytes of the requests that wait for one pool. */
+    /** The maximum total size of the requests that wait for one pool. */
     static final long MAXIMUM_QUEUED_BYTES = 32L * 1024 * 1024;
 
-    /** The shortest time after which a refused caller is told to come back. */
-    private static final Duration LEAST_RETRY_AFTER = Duration.ofMillis(100);
+    /** The minimum delay after which a refused caller is advised to retry. */
+    private static final Duration MINIMUM_RETRY_AFTER = Duration.ofMillis(100);
 
     /** The tables. */
     private final RequestTables tables;
 
-    /** What brings requests to their outcome. */
+    /** Concludes requests and notifies their waiters. */
     private final Conclusions conclusions;
 
-    /** What sends requests, to make room in the queue. */
+    /** Sends queued requests, to make room in the queue. */
     private final DispatchSystem dispatch;
 
     /**
      * Creates a new admission.
      *
      * @param tables The tables.
-     * @param conclusions What brings requests to their outcome.
-     * @param dispatch What sends requests.
+     * @param conclusions Concludes requests and notifies their waiters.
+     * @param dispatch Sends queued requests.
      */
     Admission(RequestTables tables, Conclusions conclusions, DispatchSystem dispatch) {
         this.tables = tables;
@@ -41,20 +41,20 @@
     }
 
     /**
-     * Takes a request into the queue of its pool, or refuses it.
+     * Queues a request for its pool, or refuses it.
      *
      * @param tick The tick.
-     * @param row The request's row, which nothing was sent for yet.
+     * @param row The request's row, for which nothing was sent yet.
      */
     void admit(Tick tick, RequestRow row) {
         RequestRow queued = row.queuedUntil(tick.now(), tick.now());
         tables.requests.put(row.id(), queued);
-        Optional<PoolState> known = tables.pool(row.request().pool());
-        if (known.isEmpty()) {
+        Optional<PoolState> existing = tables.pool(row.request().pool());
+        if (existing.isEmpty()) {
             refuse(tick, queued, "unknown-pool", "No such pool is configured.", Optional.empty());
             return;
         }
-        PoolState pool = known.get();
+        PoolState pool = existing.get();
         if (!tick.now().isBefore(row.request().deadline())) {
             refuse(
                     tick,
@@ -64,26 +64,26 @@
                     Optional.empty());
             return;
         }
-        Optional<Duration> harmful = harm(tick, queued);
-        if (harmful.isPresent()) {
-            refuse(tick, queued, "quarantined", "Endpoints ended that ran the request before.", harmful);
+        Optional<Duration> quarantined = quarantineRetryAfter(tick, queued);
+        if (quarantined.isPresent()) {
+            refuse(tick, queued, "quarantined", "Endpoints terminated while running this request.", quarantined);
             return;
         }
         if (isFull(pool, queued)) {
             dispatch.drain(tick, pool);
         }
-        Optional<Duration> excess = excess(tick, pool, queued);
-        if (excess.isPresent()) {
-            refuse(tick, queued, "deadline-unreachable", "The request would not be answered in time.", excess);
-            return;
-        }
-        if (isFull(pool, queued) && !makeRoom(tick, pool, queued)) {
+        Optional<Duration> lateRetryAfter = lateRetryAfter(tick, pool, queued);
+        if (lateRetryAfter.isPresent()) {
             refuse(
                     tick,
                     queued,
-                    "queue-full",
-                    "Too many requests wait for the pool.",
-                    Optional.of(retryAfter(pool, queued)));
+                    "deadline-unreachable",
+                    "The request can't be answered before its deadline.",
+                    lateRetryAfter);
+            return;
+        }
+        if (isFull(pool, queued) && !makeRoom(tick, pool, queued)) {
+            refuse(tick, queued, "queue-full", "The queue of the pool is full.", Optional.of(retryAfter(pool, queued)));
             return;
         }
         pool.budget = pool.budget.deposit(pool.settings.retry().budgetRatio());
@@ -91,21 +91,24 @@
     }
 
     /**
-     * Returns why a request may not go to endpoints, as some ended under it, if it may not.
+     * Returns the retry delay of a request that is quarantined because endpoints terminated while they ran it.
      *
      * @param tick The tick.
      * @param row The request's row.
-     * @return The time after which it may come back, or empty if it may go on.
+     * @return The delay after which the caller may retry, or empty if the request is not quarantined.
      */
-    private Optional<Duration> harm(Tick tick, RequestRow row) {
-        List<EndpointName> working = tables.endpoints.candidates(row.request().pool()).stream()
+    private Optional<Duration> quarantineRetryAfter(Tick tick, RequestRow row) {
+        List<EndpointName> acceptingEndpoints = tables
+                .endpoints
+                .candidates(row.request().pool())
+                .stream()
                 .map(Endpoint::name)
                 .toList();
-        return tables.quarantine.refusal(tick, row.id().value(), row.request()::content, working);
+        return tables.quarantine.refusal(tick, row.id().value(), row.request()::content, acceptingEndpoints);
     }
 
     /**
-     * Puts a request into the queue of its pool without any check, as for one that is tried again.
+     * Adds a request to the queue of its pool without any check, as for a retry.
      *
      * @param pool The pool.
      * @param row The request's row.
@@ -121,32 +124,33 @@
     }
 
     /**
-     * Tells by how much a request would miss its deadline.
+     * Returns the retry delay of a request that would miss its deadline.
      *
      * @param tick The tick.
      * @param pool The pool.
      * @param row The request's row.
-     * @return The time after which the backlog is gone, or empty if the request can be in time as far as is known.
+     * @return The estimated time until the backlog is processed, or empty if the request is expected to meet its
+     *     deadline.
      */
-    private Optional<Duration> excess(Tick tick, PoolState pool, RequestRow row) {
+    private Optional<Duration> lateRetryAfter(Tick tick, PoolState pool, RequestRow row) {
         int ahead = pool.queue.ahead(row.request().priority());
         if (ahead == 0) {
             return Optional.empty();
         }
         Duration wait = pool.times.queueing(ahead, dispatch.concurrency(tick, pool));
-        Duration whole = wait.plus(pool.times.service(row.request()));
-        if (!row.request().deadline().isBefore(tick.now().plus(whole))) {
+        Duration total = wait.plus(pool.times.service(row.request()));
+        if (!row.request().deadline().isBefore(tick.now().plus(total))) {
             return Optional.empty();
         }
-        return Optional.of(atLeast(wait));
+        return Optional.of(atLeastMinimum(wait));
     }
 
     /**
-     * Returns whether the queue of a pool has no room.
+     * Returns whether the queue of a pool has no capacity for a request.
      *
      * @param pool The pool.
-     * @param row The row of the request that needs room.
-     * @return {@code true} if the queue has no room.
+     * @param row The row of the request to queue.
+     * @return {@code true} if the queue has no capacity.
      */
     private static boolean isFull(PoolState pool, RequestRow row) {
         return pool.queue.size() >= Math.max(1, pool.settings.limits().queueLength())
@@ -154,12 +158,12 @@
     }
 
     /**
-     * Refuses waiting requests of lower classes until there is room.
+     * Sheds queued requests of lower priority until a request can be queued.
      *
      * @param tick The tick.
      * @param pool The pool.
-     * @param row The row of the request that needs room.
-     * @return {@code true} if there is room.
+     * @param row The row of the request to queue.
+     * @return {@code true} if the queue has capacity.
      */
     private boolean makeRoom(Tick tick, PoolState pool, RequestRow row) {
         PriorityClass priority = row.request().priority();
@@ -169,47 +173,55 @@
             if (shed.isEmpty()) {
                 return false;
             }
-            Duration later = retryAfter(pool, shed.get());
+            Duration retryDelay = retryAfter(pool, shed.get());
             if (shed.get().history().maybeRan()) {
                 conclusions.conclude(
-                        tick, shed.get(), new Outcome.FailedAfterSend("shed", "More urgent requests took its place."));
+                        tick,
+                        shed.get(),
+                        new Outcome.FailedAfterSend(
+                                "shed", "Displaced from the queue by requests of higher priority."));
             } else {
-                refuse(tick, shed.get(), "shed", "More urgent requests took its place.", Optional.of(later));
+                refuse(
+                        tick,
+                        shed.get(),
+                        "shed",
+                        "Displaced from the queue by requests of higher priority.",
+                        Optional.of(retryDelay));
             }
         }
         return true;
     }
 
     /**
-     * Estimates when it is worth to ask again.
+     * Estimates the delay after which a refused caller may retry.
      *
      * @param pool The pool.
      * @param row The request's row.
-     * @return The time until the backlog is gone.
+     * @return The estimated time until the backlog is processed.
      */
     private static Duration retryAfter(PoolState pool, RequestRow row) {
         int ahead = pool.queue.ahead(row.request().priority());
-        return atLeast(pool.times.queueing(ahead, pool.settings.limits().initialConcurrency()));
+        return atLeastMinimum(pool.times.queueing(ahead, pool.settings.limits().initialConcurrency()));
     }
 
     /**
-     * Bounds a time after which to ask again.
+     * Raises a retry delay to the minimum.
      *
-     * @param duration The time.
-     * @return The time, or the shortest one.
+     * @param duration The delay.
+     * @return The delay, or {@link #MINIMUM_RETRY_AFTER} if that is longer.
      */
-    private static Duration atLeast(Duration duration) {
-        return duration.compareTo(LEAST_RETRY_AFTER) < 0 ? LEAST_RETRY_AFTER : duration;
+    private static Duration atLeastMinimum(Duration duration) {
+        return duration.compareTo(MINIMUM_RETRY_AFTER) < 0 ? MINIMUM_RETRY_AFTER : duration;
     }
 
     /**
-     * Refuses a request that surely did not run.
+     * Refuses a request that is known not to have run.
      *
      * @param tick The tick.
      * @param row The request's row.
      * @param code The code of the refusal.
      * @param message The explanation for the caller.
-     * @param retryAfter The time after which it is worth to ask again, or empty.
+     * @param retryAfter The delay after which the caller may retry, or empty if a retry is not suggested.
      */
     void refuse(Tick tick, RequestRow row, String code, String message, Optional<Duration> retryAfter) {
         conclusions.conclude(tick, row, new Outcome.NotRun(code, message, retryAfter));
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/ArrivalSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/ArrivalSystem.java
@@ -8,45 +8,45 @@
 import java.util.Optional;
 
 /**
- * Takes in requests from callers, from other systems and from nodes that pass them on. A request that is sent again
- * joins the one in progress or gets the outcome that is kept; a new one goes the way to its home.
+ * Accepts requests from callers, from other systems and from nodes that forward them. A repeated request joins the one
+ * in progress or receives the retained outcome; a new request is routed to its home.
  */
 final class ArrivalSystem implements DecisionSystem {
 
-    /** The time after which a node that is starting may be asked again. */
+    /** The delay after which a caller may retry at a node that is starting. */
     private static final Duration STARTING_RETRY_AFTER = Duration.ofSeconds(1);
 
     /** The tables. */
     private final RequestTables tables;
 
-    /** What brings requests to their outcome. */
+    /** Concludes requests and notifies their waiters. */
     private final Conclusions conclusions;
 
-    /** What takes idempotent requests into the queue. */
+    /** Queues idempotent requests or refuses them. */
     private final Admission admission;
 
-    /** What admits non-idempotent requests at their home. */
+    /** Admits non-idempotent requests at their home. */
     private final HomeAdmission homeAdmission;
 
-    /** What claims requests whose ids their callers made. */
+    /** Claims requests whose ids were chosen by their callers. */
     private final ClaimSystem claims;
 
-    /** What passes requests on to their home. */
+    /** Forwards requests to their home. */
     private final ForwardingSystem forwarding;
 
-    /** What searches outcomes elsewhere. */
+    /** Searches for outcomes at other nodes and at endpoints. */
     private final ResolutionSystem resolution;
 
     /**
      * Creates a new system.
      *
      * @param tables The tables.
-     * @param conclusions What brings requests to their outcome.
-     * @param admission What takes idempotent requests into the queue.
-     * @param homeAdmission What admits non-idempotent requests at their home.
-     * @param claims What claims requests whose ids their callers made.
-     * @param forwarding What passes requests on to their home.
-     * @param resolution What searches outcomes elsewhere.
+     * @param conclusions Concludes requests and notifies their waiters.
+     * @param admission Queues idempotent requests or refuses them.
+     * @param homeAdmission Admits non-idempotent requests at their home.
+     * @param claims Claims requests whose ids were chosen by their callers.
+     * @param forwarding Forwards requests to their home.
+     * @param resolution Searches for outcomes at other nodes and at endpoints.
      */
     ArrivalSystem(
             RequestTables tables,
@@ -70,7 +70,7 @@
     public void run(Tick tick) {
         for (RequestEvent event : tick.events(RequestEvent.class)) {
             if (event instanceof RequestEvent.Arrived arrived) {
-                arrived(
+                handleArrival(
                         tick,
                         RequestRow.arrived(
                                 arrived.request(),
@@ -79,66 +79,66 @@
                                 tick.random().nextLong()),
                         Optional.empty());
             } else if (event instanceof RequestEvent.Cancelled cancelled) {
-                cancelled(tick, cancelled.id());
+                handleCancellation(tick, cancelled.id());
             }
         }
         for (PeerEvent.Received event : tick.events(PeerEvent.Received.class)) {
             if (event.message() instanceof RequestMessage.Forward forward) {
-                forwarded(tick, event.sender(), forward);
+                handleForward(tick, event.sender(), forward);
             }
         }
     }
 
     /**
-     * Takes in a request that another node passes on.
+     * Handles a request that another node forwards.
      *
      * @param tick The tick.
      * @param sender The node.
      * @param message The message.
      */
-    private void forwarded(Tick tick, NodeIdentity sender, RequestMessage.Forward message) {
+    private void handleForward(Tick tick, NodeIdentity sender, RequestMessage.Forward message) {
         Waiters waiters = Waiters.of(sender.name(), message.arrival());
         Request request = message.request().withDeadline(tick.now().plus(message.timeLeft()));
         if (!message.home().equals(tables.self()) || request.idempotent()) {
-            conclusions.tell(
+            conclusions.notifyWaiters(
                     tick,
                     request.id(),
                     waiters,
-                    new Outcome.Unknown(ForwardingSystem.NOT_HOME_CODE, "This is not the home of the request."));
+                    new Outcome.Unknown(ForwardingSystem.NOT_HOME_CODE, "This node is not the home of the request."));
             return;
         }
         Optional<RecordedOutcome> refusal = tables.refused.find(message.arrival());
         if (refusal.isPresent()) {
-            conclusions.tell(tick, request.id(), waiters, refusal.get().outcome());
+            conclusions.notifyWaiters(tick, request.id(), waiters, refusal.get().outcome());
             return;
         }
-        arrived(
+        handleArrival(
                 tick,
                 RequestRow.arrived(request, waiters, tick.now(), message.arrival()),
                 Optional.of(message.window()));
     }
 
     /**
-     * Takes in a request.
+     * Handles an arriving request.
      *
      * @param tick The tick.
      * @param row The request's row, which is not in the table yet.
-     * @param claimedWindow The window of the claim that makes this node the home, as the node that passed on the
-     *     request read it, or empty if no node passed it on.
+     * @param claimedWindow The window of the claim that makes this node the home, as read by the node that forwarded
+     *     the request, or empty if the request was not forwarded.
      */
-    private void arrived(Tick tick, RequestRow row, Optional<Long> claimedWindow) {
+    private void handleArrival(Tick tick, RequestRow row, Optional<Long> claimedWindow) {
         Optional<RequestRow> running = tables.requests.find(row.id());
         if (running.isPresent()) {
             join(tick, running.get(), row);
             return;
         }
-        Optional<KeptAnswer> kept = tables.kept.find(row.id());
-        if (kept.isPresent() && !row.request().idempotent()) {
-            repeat(tick, kept.get(), row);
+        Optional<RetainedOutcome> retained = tables.retained.find(row.id());
+        if (retained.isPresent() && !row.request().idempotent()) {
+            repeat(tick, retained.get(), row);
             return;
         }
         if (tables.configuration.isEmpty()) {
-            notReady(tick, row);
+            rejectUnconfigured(tick, row);
             return;
         }
         if (row.request().idempotent()) {
@@ -157,69 +157,71 @@
     }
 
     /**
-     * Turns a request away before there is a configuration. Only a node that alone could have sent the request knows
-     * that it did not run.
+     * Rejects a request that arrives before the first configuration. It is reported as not run only if no other node
+     * could have sent it; otherwise its outcome is unknown.
      *
      * @param tick The tick.
      * @param row The request's row.
      */
-    private void notReady(Tick tick, RequestRow row) {
-        boolean surelyNotRun = row.request().idempotent() || row.id().home().equals(Optional.of(tables.self()));
-        if (surelyNotRun) {
+    private void rejectUnconfigured(Tick tick, RequestRow row) {
+        boolean definitelyNotRun = row.request().idempotent() || row.id().home().equals(Optional.of(tables.self()));
+        if (definitelyNotRun) {
             refuse(tick, row, "not-ready", "The node has no configuration yet.", Optional.of(STARTING_RETRY_AFTER));
             return;
         }
-        Outcome unknown = new Outcome.Unknown("not-ready", "The node has no configuration yet; nothing was sent now.");
-        conclusions.tell(tick, row.id(), row.waiters(), unknown);
+        Outcome unknown =
+                new Outcome.Unknown("not-ready", "The node has no configuration yet; nothing was sent for this call.");
+        conclusions.notifyWaiters(tick, row.id(), row.waiters(), unknown);
     }
 
     /**
-     * Joins a request that is sent again to the one in progress.
+     * Joins a repeated request to the one in progress.
      *
      * @param tick The tick.
      * @param running The row of the request in progress.
-     * @param again The row of the request that is sent again.
+     * @param repeated The row of the repeated request.
      */
-    private void join(Tick tick, RequestRow running, RequestRow again) {
-        if (running.fingerprint() != again.fingerprint()) {
-            refuseReuse(tick, again);
+    private void join(Tick tick, RequestRow running, RequestRow repeated) {
+        if (running.fingerprint() != repeated.fingerprint()) {
+            refuseReuse(tick, repeated);
             return;
         }
-        RequestRow joined = running.withWaiters(running.waiters().and(again.waiters()));
-        boolean later = running.request().deadline().isBefore(again.request().deadline());
+        RequestRow joined = running.withWaiters(running.waiters().and(repeated.waiters()));
+        boolean later = running.request().deadline().isBefore(repeated.request().deadline());
         tables.requests.put(
-                running.id(), later ? joined.withDeadline(again.request().deadline()) : joined);
+                running.id(), later ? joined.withDeadline(repeated.request().deadline()) : joined);
     }
 
     /**
-     * Answers a request that is sent again with the outcome that is kept. An outcome that is no answer is settled anew.
+     * Answers a repeated request with the retained outcome. An outcome that is neither an answer nor a refusal is
+     * resolved again.
      *
      * @param tick The tick.
-     * @param kept The outcome that is kept.
-     * @param again The row of the request that is sent again.
+     * @param retained The retained outcome.
+     * @param repeated The row of the repeated request.
      */
-    private void repeat(Tick tick, KeptAnswer kept, RequestRow again) {
-        if (kept.fingerprint() != again.fingerprint()) {
-            refuseReuse(tick, again);
+    private void repeat(Tick tick, RetainedOutcome retained, RequestRow repeated) {
+        if (retained.fingerprint() != repeated.fingerprint()) {
+            refuseReuse(tick, repeated);
             return;
         }
-        Outcome outcome = kept.outcome().outcome();
+        Outcome outcome = retained.outcome().outcome();
         boolean settled = outcome instanceof Outcome.Answered || outcome instanceof Outcome.NotRun;
         if (settled || tables.configuration.isEmpty()) {
-            conclusions.tell(tick, again.id(), again.waiters(), outcome);
+            conclusions.notifyWaiters(tick, repeated.id(), repeated.waiters(), outcome);
             return;
         }
-        resolution.resolve(tick, again, outcome);
+        resolution.resolve(tick, repeated, outcome);
     }
 
     /**
-     * Refuses a request that bears the id of another one.
+     * Refuses a request that reuses the id of a different request.
      *
      * @param tick The tick.
      * @param row The row of the request.
      */
     private void refuseReuse(Tick tick, RequestRow row) {
-        refuse(tick, row, "request-id-reused", "The id was used for another request.", Optional.empty());
+        refuse(tick, row, "request-id-reused", "The id was already used for a different request.", Optional.empty());
     }
 
     /**
@@ -229,33 +231,33 @@
      * @param row The row of the request.
      * @param code The code of the refusal.
      * @param message The explanation for the caller.
-     * @param retryAfter The time after which it is worth to ask again, or empty.
+     * @param retryAfter The delay after which the caller may retry, or empty if a retry is not suggested.
      */
     private void refuse(Tick tick, RequestRow row, String code, String message, Optional<Duration> retryAfter) {
-        conclusions.tell(tick, row.id(), row.waiters(), new Outcome.NotRun(code, message, retryAfter));
+        conclusions.notifyWaiters(tick, row.id(), row.waiters(), new Outcome.NotRun(code, message, retryAfter));
     }
 
     /**
-     * Gives up on a request that nobody waits for any more. A non-idempotent request that was sent goes on, such that
-     * its answer can be kept for the request when it is sent again.
+     * Concludes a request that has no waiters left. A non-idempotent request that was sent continues, so that its
+     * answer can be retained in case the request is repeated.
      *
      * @param tick The tick.
      * @param id The identifier of the request.
      */
-    private void cancelled(Tick tick, RequestId id) {
+    private void handleCancellation(Tick tick, RequestId id) {
         Optional<RequestRow> found = tables.requests.find(id);
         if (found.isEmpty()) {
             return;
         }
         RequestRow row = found.get().withWaiters(found.get().waiters().withoutLocal());
-        boolean goesOn = row.stage() == RequestStage.SENT && !row.request().idempotent();
-        if (!row.waiters().isEmpty() || goesOn) {
+        boolean continues = row.stage() == RequestStage.SENT && !row.request().idempotent();
+        if (!row.waiters().isEmpty() || continues) {
             tables.requests.put(id, row);
             return;
         }
         Outcome outcome = row.history().maybeRan() || row.stage() != RequestStage.QUEUED
-                ? new Outcome.FailedAfterSend("cancelled", "The caller went away.")
-                : new Outcome.NotRun("cancelled", "The caller went away.", Optional.empty());
+                ? new Outcome.FailedAfterSend("cancelled", "The caller no longer waits for the answer.")
+                : new Outcome.NotRun("cancelled", "The caller no longer waits for the answer.", Optional.empty());
         conclusions.conclude(tick, row, outcome);
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/AttemptHistory.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/AttemptHistory.java
@@ -6,12 +6,12 @@
 import java.util.Set;
 
 /**
- * What a request's attempts have brought so far.
+ * The history of a request's attempts.
  *
- * @param attempts The number of attempts that were made.
+ * @param attempts The number of attempts sent so far.
  * @param running The numbers of the attempts in progress.
  * @param tried The endpoints that were tried.
- * @param partial What was generated so far and can be resumed from, or empty.
+ * @param partial The partial generation that a later attempt can resume from, or empty.
  * @param maybeRan Whether an attempt may have run.
  * @param lastCode The code of the latest failure, or an empty text.
  */
@@ -62,9 +62,9 @@
     }
 
     /**
-     * Returns the history with what was generated so far, unless it is shorter than what is known.
+     * Returns the history with a partial generation, unless the recorded one has at least as many tokens.
      *
-     * @param generation What was generated so far.
+     * @param generation The partial generation.
      * @return The changed history.
      */
     AttemptHistory withPartial(Generation generation) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/AttemptObserver.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/AttemptObserver.java
@@ -7,17 +7,20 @@
 import java.time.Duration;
 import java.util.Set;
 
-/** Learns from ended attempts: the limit, the health and the iteration time of endpoints, and the times of a pool. */
+/**
+ * Updates the concurrency limit, the health and the iteration time model of endpoints, and the service times of a pool,
+ * from ended attempts.
+ */
 final class AttemptObserver {
 
-    /** The statuses by which an endpoint says that it could not serve a request. */
+    /** The HTTP statuses by which an endpoint reports that it could not serve a request. */
     private static final Set<Integer> FAILURE_STATUSES = Set.of(502, 503, 504);
 
-    /** The statuses by which an endpoint says that it is overloaded. */
+    /** The HTTP statuses by which an endpoint reports that it is overloaded. */
     private static final Set<Integer> OVERLOAD_STATUSES = Set.of(429, 503);
 
-    /** The number of nanoseconds of a second. */
-    private static final double NANOSECONDS = 1e9;
+    /** The number of nanoseconds per second. */
+    private static final double NANOSECONDS_PER_SECOND = 1e9;
 
     /** The tables. */
     private final RequestTables tables;
@@ -32,7 +35,7 @@
     }
 
     /**
-     * Learns from an attempt that ended.
+     * Updates the state of an endpoint and its pool from an ended attempt.
      *
      * @param tick The tick.
      * @param attempt The attempt.
@@ -44,23 +47,23 @@
             return;
         }
         EndpointLoad load = tables.load(attempt.endpoint(), pool).afterEnd();
-        tables.loads.put(attempt.endpoint(), learned(tick, pool, load, attempt, result));
+        tables.loads.put(attempt.endpoint(), afterResult(tick, pool, load, attempt, result));
     }
 
     /**
-     * Learns from a result.
+     * Computes the load state of an endpoint after a result.
      *
      * @param tick The tick.
      * @param pool The pool.
-     * @param load What was known of the endpoint.
+     * @param load The load state before the result.
      * @param attempt The attempt.
      * @param result The result.
-     * @return What is known of the endpoint from now on.
+     * @return The load state after the result.
      */
-    private static EndpointLoad learned(
+    private static EndpointLoad afterResult(
             Tick tick, PoolState pool, EndpointLoad load, Attempt attempt, AttemptResult result) {
         if (result instanceof AttemptResult.Whole whole) {
-            return answered(tick, pool, load, attempt, whole);
+            return afterAnswer(tick, pool, load, attempt, whole);
         }
         if (result instanceof AttemptResult.NotRun notRun && notRun.leaving()) {
             return load;
@@ -74,7 +77,7 @@
     }
 
     /**
-     * Describes an attempt that met an overloaded endpoint.
+     * Creates the sample of an attempt that failed or timed out, which is treated as an overload of the endpoint.
      *
      * @param attempt The attempt.
      * @return The sample.
@@ -84,16 +87,16 @@
     }
 
     /**
-     * Learns from a whole answer.
+     * Computes the load state of an endpoint after a complete answer, and updates the service times of its pool.
      *
      * @param tick The tick.
      * @param pool The pool.
-     * @param load What was known of the endpoint.
+     * @param load The load state before the result.
      * @param attempt The attempt.
      * @param whole The answer.
-     * @return What is known of the endpoint from now on.
+     * @return The load state after the result.
      */
-    private static EndpointLoad answered(
+    private static EndpointLoad afterAnswer(
             Tick tick, PoolState pool, EndpointLoad load, Attempt attempt, AttemptResult.Whole whole) {
         boolean overloaded = OVERLOAD_STATUSES.contains(whole.status());
         if (overloaded || FAILURE_STATUSES.contains(whole.status())) {
@@ -105,7 +108,7 @@
         int tokens = whole.generation()
                 .map(generation -> generation.tokens() - attempt.tokensAtStart())
                 .orElse(0);
-        double seconds = duration.toNanos() / NANOSECONDS / Math.max(1, tokens);
+        double seconds = duration.toNanos() / NANOSECONDS_PER_SECOND / Math.max(1, tokens);
         pool.times = pool.times.after(duration, tokens);
         return load.withHealth(EndpointHealth.GOOD)
                 .withModel(load.model().after(attempt.loadAtStart(), seconds))
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/AttemptResult.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/AttemptResult.java
@@ -8,18 +8,18 @@
 public sealed interface AttemptResult {
 
     /**
-     * The endpoint gave a whole answer: its end was seen and it named the request's identifier.
+     * The endpoint returned a complete answer: its end was received and it carried the request's identifier.
      *
      * @param status The HTTP status of the answer.
      * @param contentType The content type of the answer, or an empty text.
-     * @param body The whole body.
-     * @param generation What an engine generated, or empty if the endpoint is not an engine.
+     * @param body The complete body.
+     * @param generation The engine's generation, or empty if the endpoint is not an engine.
      */
     record Whole(int status, String contentType, Bytes body, Optional<Generation> generation)
             implements AttemptResult {}
 
     /**
-     * Surely nothing ran: no byte left for the endpoint, or the endpoint itself refused the request.
+     * The request is known not to have run: no byte was sent to the endpoint, or the endpoint refused the request.
      *
      * @param code The code of the reason.
      * @param leaving {@code true} if the endpoint refused because it is leaving.
@@ -27,19 +27,19 @@
     record NotRun(String code, boolean leaving) implements AttemptResult {}
 
     /**
-     * The attempt failed after bytes had left for the endpoint.
+     * The attempt failed after bytes were sent to the endpoint.
      *
      * @param code The code of the reason.
-     * @param partial What an engine had generated before, or empty if nothing was received or it can't be used.
-     * @param loss What the loss of the answer says of the endpoint.
+     * @param partial The engine's generation before the failure, or empty if none was received or it is unusable.
+     * @param loss What the loss of the answer indicates about the endpoint.
      */
     record MaybeRun(String code, Optional<Generation> partial, Loss loss) implements AttemptResult {
 
         /**
-         * Creates the result of an attempt that tells nothing of the endpoint.
+         * Creates the result of an attempt whose failure indicates nothing about the endpoint.
          *
          * @param code The code of the reason.
-         * @param partial What an engine had generated before, or empty.
+         * @param partial The engine's generation before the failure, or empty.
          */
         public MaybeRun(String code, Optional<Generation> partial) {
             this(code, partial, Loss.UNUSABLE);
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/AttemptSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/AttemptSystem.java
@@ -8,40 +8,40 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Takes in what attempts bring: progress, answers and failures, which are tried again where that is safe. */
+/** Handles the progress, answers and failures of attempts, and retries failed requests where that is safe. */
 final class AttemptSystem implements DecisionSystem {
 
-    /** The lowest status of an answer that is no success. */
-    private static final int BAD_REQUEST = 400;
+    /** The lowest HTTP status of an unsuccessful answer. */
+    private static final int MINIMUM_ERROR_STATUS = 400;
 
-    /** The statuses by which an endpoint says that it could not serve a request. */
+    /** The HTTP statuses by which an endpoint reports that it could not serve a request. */
     private static final Set<Integer> FAILURE_STATUSES = Set.of(502, 503, 504);
 
-    /** The time after which a caller may ask again when no endpoint could be reached. */
+    /** The delay after which a caller may retry when no endpoint accepted its request. */
     private static final Duration UNAVAILABLE_RETRY_AFTER = Duration.ofSeconds(1);
 
     /** The tables. */
     private final RequestTables tables;
 
-    /** What brings requests to their outcome. */
+    /** Concludes requests and notifies their waiters. */
     private final Conclusions conclusions;
 
-    /** What puts requests into the queue. */
+    /** Queues requests or refuses them. */
     private final Admission admission;
 
-    /** What searches outcomes at endpoints. */
+    /** Queries endpoints for outcomes. */
     private final ResolutionSystem resolution;
 
-    /** What learns from attempts. */
+    /** Updates the statistics of endpoints and pools from ended attempts. */
     private final AttemptObserver observer;
 
     /**
      * Creates a new system.
      *
      * @param tables The tables.
-     * @param conclusions What brings requests to their outcome.
-     * @param admission What puts requests into the queue.
-     * @param resolution What searches outcomes at endpoints.
+     * @param conclusions Concludes requests and notifies their waiters.
+     * @param admission Queues requests or refuses them.
+     * @param resolution Queries endpoints for outcomes.
      */
     AttemptSystem(RequestTables tables, Conclusions conclusions, Admission admission, ResolutionSystem resolution) {
         this.tables = tables;
@@ -56,37 +56,37 @@
     public void run(Tick tick) {
         for (RequestEvent event : tick.events(RequestEvent.class)) {
             if (event instanceof RequestEvent.Progressed progressed) {
-                progressed(tick, progressed);
+                applyProgress(tick, progressed);
             } else if (event instanceof RequestEvent.AttemptEnded ended) {
-                ended(tick, ended);
+                handleEnd(tick, ended);
             }
         }
     }
 
     /**
-     * Takes in the progress of an attempt.
+     * Handles the progress of an attempt.
      *
      * @param tick The tick.
      * @param event The event.
      */
-    private void progressed(Tick tick, RequestEvent.Progressed event) {
+    private void applyProgress(Tick tick, RequestEvent.Progressed event) {
         Optional<RequestRow> row = tables.requests.find(event.id());
         if (row.isPresent() && row.get().history().running().contains(event.attempt())) {
-            tables.requests.put(event.id(), progressed(tick, row.get(), event.partial()));
+            tables.requests.put(event.id(), applyProgress(tick, row.get(), event.partial()));
         }
     }
 
     /**
-     * Takes in what was generated so far. Text that does not go on where the earlier text ended is not used, because a
-     * stream's text can't be taken back.
+     * Applies a partial generation. A text that does not continue the recorded one is ignored, because text that was
+     * streamed to a caller can't be retracted.
      *
      * @param tick The tick.
      * @param row The request's row.
-     * @param partial What was generated so far.
+     * @param partial The partial generation.
      * @return The changed row.
      */
-    private static RequestRow progressed(Tick tick, RequestRow row, Generation partial) {
-        if (!goesOn(row, partial)) {
+    private static RequestRow applyProgress(Tick tick, RequestRow row, Generation partial) {
+        if (!continues(row, partial)) {
             return row;
         }
         AttemptHistory history = row.history().withPartial(partial);
@@ -98,26 +98,26 @@
     }
 
     /**
-     * Returns whether a generation begins with what is known of the request already.
+     * Returns whether a generation begins with the recorded partial generation of its request.
      *
      * @param row The request's row.
      * @param generation The generation.
-     * @return {@code true} if the generation goes on where the earlier one ended.
+     * @return {@code true} if the generation continues the recorded one.
      */
-    private static boolean goesOn(RequestRow row, Generation generation) {
+    private static boolean continues(RequestRow row, Generation generation) {
         return row.history()
                 .partial()
-                .map(known -> generation.text().startsWith(known.text()))
+                .map(existing -> generation.text().startsWith(existing.text()))
                 .orElse(true);
     }
 
     /**
-     * Takes in the end of an attempt. The result of an attempt that was given up is dropped.
+     * Handles the end of an attempt. The result of an abandoned attempt is dropped.
      *
      * @param tick The tick.
      * @param event The event.
      */
-    private void ended(Tick tick, RequestEvent.AttemptEnded event) {
+    private void handleEnd(Tick tick, RequestEvent.AttemptEnded event) {
         Optional<Attempt> attempt = tables.attempts.remove(event.attempt());
         if (attempt.isEmpty() || !attempt.get().id().equals(event.id())) {
             return;
@@ -133,33 +133,33 @@
             return;
         }
         if (event.result() instanceof AttemptResult.Whole whole) {
-            answered(tick, row.get(), event, whole);
+            handleAnswer(tick, row.get(), event, whole);
         } else if (event.result() instanceof AttemptResult.NotRun notRun) {
-            notRun(tick, row.get(), event.attempt(), notRun);
+            handleNotRun(tick, row.get(), event.attempt(), notRun);
         } else if (event.result() instanceof AttemptResult.MaybeRun maybeRun) {
-            maybeRun(tick, row.get(), event, maybeRun);
+            handleMaybeRun(tick, row.get(), event, maybeRun);
         }
     }
 
     /**
-     * Takes in a whole answer.
+     * Handles a complete answer.
      *
      * @param tick The tick.
      * @param row The request's row.
      * @param event The event.
      * @param whole The answer.
      */
-    private void answered(Tick tick, RequestRow row, RequestEvent.AttemptEnded event, AttemptResult.Whole whole) {
+    private void handleAnswer(Tick tick, RequestRow row, RequestEvent.AttemptEnded event, AttemptResult.Whole whole) {
         if (row.request().streaming()
                 && whole.generation().isPresent()
-                && !goesOn(row, whole.generation().get())) {
+                && !continues(row, whole.generation().get())) {
             RequestRow failed = row.withHistory(row.history().afterEnd(event.attempt(), true, "resume-mismatch"));
             conclusions.conclude(
                     tick, failed, new Outcome.FailedAfterSend("resume-mismatch", "The stream could not be resumed."));
             return;
         }
         RequestRow ended = row.withHistory(row.history().afterEnd(event.attempt(), true, ""));
-        if (whole.status() < BAD_REQUEST) {
+        if (whole.status() < MINIMUM_ERROR_STATUS) {
             boolean first = row.history().attempts() == 1;
             tables.quarantine.serve(tick, row.request()::content, first);
         }
@@ -182,15 +182,16 @@
     }
 
     /**
-     * Takes in an attempt that surely did not run, which any request may repeat. A refusal of a leaving endpoint costs
-     * no budget, because another endpoint does the work instead and not besides.
+     * Handles an attempt that is known not to have run, after which any request may be retried. A retry after the
+     * refusal of a leaving endpoint is not charged to the retry budget, because it causes no additional work: another
+     * endpoint does the work instead.
      *
      * @param tick The tick.
      * @param row The request's row.
      * @param number The number of the attempt.
      * @param result The result.
      */
-    private void notRun(Tick tick, RequestRow row, int number, AttemptResult.NotRun result) {
+    private void handleNotRun(Tick tick, RequestRow row, int number, AttemptResult.NotRun result) {
         RequestRow ended = row.withHistory(row.history().afterEnd(number, false, result.code()));
         if (!ended.history().running().isEmpty()) {
             tables.requests.put(ended.id(), ended);
@@ -208,23 +209,23 @@
                 tick,
                 ended,
                 "endpoint-unavailable",
-                "No endpoint took the request: " + result.code(),
+                "No endpoint accepted the request: " + result.code(),
                 Optional.of(UNAVAILABLE_RETRY_AFTER));
     }
 
     /**
-     * Takes in an attempt that may have run. Only idempotent requests are sent again; what was generated is resumed
-     * from.
+     * Handles an attempt that may have run. Only idempotent requests are retried; a partial generation is resumed.
      *
      * @param tick The tick.
      * @param row The request's row.
      * @param event The event.
      * @param result The result.
      */
-    private void maybeRun(Tick tick, RequestRow row, RequestEvent.AttemptEnded event, AttemptResult.MaybeRun result) {
+    private void handleMaybeRun(
+            Tick tick, RequestRow row, RequestEvent.AttemptEnded event, AttemptResult.MaybeRun result) {
         RequestRow before = row.withHistory(row.history().afterEnd(event.attempt(), true, result.code()));
         RequestRow ended = result.partial()
-                .map(partial -> progressed(tick, before, partial))
+                .map(partial -> applyProgress(tick, before, partial))
                 .orElse(before);
         if (!ended.history().running().isEmpty()) {
             tables.requests.put(ended.id(), ended);
@@ -246,8 +247,8 @@
      * Returns whether a request may be sent again.
      *
      * @param row The request's row.
-     * @param free Whether the retry budget does not count, as for a resume, which goes on with work instead of doing it
-     *     again.
+     * @param free Whether the retry budget is not consulted, as for a resume, which continues work instead of repeating
+     *     it.
      * @return {@code true} if the request may be sent again.
      */
     private boolean mayRetry(RequestRow row, boolean free) {
@@ -259,11 +260,11 @@
     }
 
     /**
-     * Puts a request back into the queue.
+     * Queues a request for another attempt.
      *
      * @param tick The tick.
      * @param row The request's row.
-     * @param charged Whether the retry budget is charged and the request waits before it is sent again.
+     * @param charged Whether the retry is charged to the retry budget and delayed by a backoff.
      */
     private void retry(Tick tick, RequestRow row, boolean charged) {
         PoolState pool = tables.pool(row.request().pool()).orElseThrow();
@@ -283,12 +284,12 @@
     }
 
     /**
-     * Describes a request that was sent and failed.
+     * Creates the outcome of a request that was sent and failed.
      *
      * @param code The code of the failure.
      * @return The outcome.
      */
     private static Outcome.FailedAfterSend failedAfterSend(String code) {
-        return new Outcome.FailedAfterSend(code, "The request was sent and its answer was not received whole.");
+        return new Outcome.FailedAfterSend(code, "The request was sent, but its answer was not received completely.");
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/ClaimSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/ClaimSystem.java
@@ -12,42 +12,42 @@
 import java.util.OptionalLong;
 
 /**
- * Claims non-idempotent requests whose ids their callers made: a conditional create on the platform, before anything is
- * sent, decides which life of a node is the home. A create whose answer was lost is settled by reading. While the
- * platform does not answer, nothing is sent; the outcome is unknown and not a refusal, because the same id may have
- * been sent through another node before.
+ * Claims non-idempotent requests whose ids were chosen by their callers: before anything is sent, a conditional create
+ * on the platform decides which incarnation of a node is the home. If the answer to a create is lost, the claim is read
+ * to determine its owner. While the platform is unreachable, nothing is sent; the outcome is unknown instead of a
+ * refusal, because the same id may have been sent through another node before.
  */
 final class ClaimSystem implements DecisionSystem {
 
-    /** The largest number of writes for one claim. */
+    /** The maximum number of writes for one claim. */
     private static final int MAXIMUM_WRITES = 3;
 
     /** The tables. */
     private final RequestTables tables;
 
-    /** What brings requests to their outcome. */
+    /** Concludes requests and notifies their waiters. */
     private final Conclusions conclusions;
 
-    /** What admits requests at their home. */
+    /** Admits requests at their home. */
     private final HomeAdmission homeAdmission;
 
-    /** What passes requests on to their home. */
+    /** Forwards requests to their home. */
     private final ForwardingSystem forwarding;
 
-    /** The tokens of calls to the platform. */
+    /** The generator of tokens for platform calls. */
     private final PlatformTokens tokens;
 
-    /** The claims that are being made, by the token of the call that is waited for. */
+    /** The pending claims by the token of the platform call in progress. */
     private final EntityTable<Long, PendingClaim> claims = new EntityTable<>();
 
     /**
      * Creates a new system.
      *
      * @param tables The tables.
-     * @param conclusions What brings requests to their outcome.
-     * @param homeAdmission What admits requests at their home.
-     * @param forwarding What passes requests on to their home.
-     * @param tokens The tokens of calls to the platform.
+     * @param conclusions Concludes requests and notifies their waiters.
+     * @param homeAdmission Admits requests at their home.
+     * @param forwarding Forwards requests to their home.
+     * @param tokens The generator of tokens for platform calls.
      */
     ClaimSystem(
             RequestTables tables,
@@ -63,7 +63,7 @@
     }
 
     /**
-     * Begins to claim a request.
+     * Starts to claim a request.
      *
      * @param tick The tick.
      * @param row The request's row.
@@ -79,18 +79,18 @@
     @Override
     public void run(Tick tick) {
         for (PlatformEvent event : tick.events(PlatformEvent.class)) {
-            claims.remove(event.token()).ifPresent(pending -> answered(tick, pending, event));
+            claims.remove(event.token()).ifPresent(pending -> handleAnswer(tick, pending, event));
         }
     }
 
     /**
-     * Takes in an answer of the platform.
+     * Handles an answer of the platform.
      *
      * @param tick The tick.
-     * @param pending The claim.
+     * @param pending The pending claim.
      * @param event The answer.
      */
-    private void answered(Tick tick, PendingClaim pending, PlatformEvent event) {
+    private void handleAnswer(Tick tick, PendingClaim pending, PlatformEvent event) {
         Optional<RequestRow> row =
                 tables.requests.find(pending.id()).filter(found -> found.stage() == RequestStage.CLAIMING);
         if (row.isEmpty()) {
@@ -99,9 +99,9 @@
         if (event instanceof PlatformEvent.Accepted) {
             homeAdmission.admit(tick, row.get(), pending.claim().window());
         } else if (event instanceof PlatformEvent.Conflict conflict) {
-            found(tick, row.get(), pending, conflict.current());
+            handleStoredClaim(tick, row.get(), pending, conflict.current());
         } else if (event instanceof PlatformEvent.ObjectRead read) {
-            found(tick, row.get(), pending, read.object());
+            handleStoredClaim(tick, row.get(), pending, read.object());
         } else if (event instanceof PlatformEvent.Unavailable unavailable && unavailable.maybeApplied()) {
             read(tick, pending);
         } else {
@@ -110,14 +110,14 @@
     }
 
     /**
-     * Takes in what the platform holds.
+     * Handles the claim that is stored on the platform.
      *
      * @param tick The tick.
      * @param row The request's row.
-     * @param pending The claim.
+     * @param pending The pending claim.
      * @param object The object, or empty if there is none.
      */
-    private void found(Tick tick, RequestRow row, PendingClaim pending, Optional<StoredObject> object) {
+    private void handleStoredClaim(Tick tick, RequestRow row, PendingClaim pending, Optional<StoredObject> object) {
         if (object.isEmpty()) {
             if (pending.writes() < MAXIMUM_WRITES) {
                 write(tick, pending);
@@ -141,7 +141,7 @@
      * Sends a conditional create.
      *
      * @param tick The tick.
-     * @param pending The claim.
+     * @param pending The pending claim.
      */
     private void write(Tick tick, PendingClaim pending) {
         long token = tokens.next();
@@ -158,7 +158,7 @@
      * Reads the claim after a create whose answer was lost.
      *
      * @param tick The tick.
-     * @param pending The claim.
+     * @param pending The pending claim.
      */
     private void read(Tick tick, PendingClaim pending) {
         long token = tokens.next();
@@ -167,13 +167,13 @@
     }
 
     /**
-     * Describes a request that can't be claimed.
+     * Creates the outcome of a request that can't be claimed.
      *
      * @return The outcome.
      */
     private static Outcome unavailable() {
         return new Outcome.Unknown(
                 "platform-unavailable",
-                "Nothing was sent now, but an earlier call with this id can't be ruled out; send it again later.");
+                "Nothing was sent for this call, but an earlier call with this id can't be ruled out; retry later.");
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/ConcludedIds.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/ConcludedIds.java
@@ -4,47 +4,47 @@
 import java.util.Map;
 
 /**
- * The ids of non-idempotent requests that this life of the node has sent, kept for as long as they could be accepted
- * again. Ids of a window that is too old are not accepted any more, so its digests can go.
+ * The ids of non-idempotent requests that this incarnation of the node has sent, retained for as long as the ids could
+ * be accepted again. Ids of an expired window are no longer accepted, so the digests of that window are removed.
  */
 final class ConcludedIds {
 
-    /** The number of windows before and after the present one whose ids are accepted. */
+    /** The number of windows before and after the current one whose ids are accepted. */
     static final int ACCEPTED_WINDOWS = 10;
 
-    /** The largest number of ids of one window. */
-    static final int WINDOW_LIMIT = 16 * IdDigests.FILTER_CAPACITY;
+    /** The maximum number of ids of one window. */
+    static final int MAXIMUM_IDS_PER_WINDOW = 16 * IdDigests.FILTER_CAPACITY;
 
-    /** The largest number of ids without a window, over the whole life of the node. */
-    static final int LIFETIME_LIMIT = 64 * IdDigests.FILTER_CAPACITY;
+    /** The maximum number of ids without a window, over the whole incarnation of the node. */
+    static final int MAXIMUM_IDS_WITHOUT_WINDOW = 64 * IdDigests.FILTER_CAPACITY;
 
     /** The digests by window, with those of ids without a window under {@link RequestClock#NO_WINDOW}. */
     private final Map<Long, IdDigests> digests = new HashMap<>();
 
     /**
-     * Tells whether an id may be sent.
+     * Returns whether an id may be sent.
      *
      * @param id The id.
      * @param window The window of the id, or {@link RequestClock#NO_WINDOW}.
-     * @param current The present window.
-     * @return The standing of the id.
+     * @param current The current window.
+     * @return The status of the id.
      */
-    Standing standing(RequestId id, long window, long current) {
+    Status status(RequestId id, long window, long current) {
         if (window != RequestClock.NO_WINDOW && window < current - ACCEPTED_WINDOWS) {
-            return Standing.EXPIRED;
+            return Status.EXPIRED;
         }
         if (window > current + ACCEPTED_WINDOWS) {
-            return Standing.AHEAD;
+            return Status.AHEAD;
         }
-        IdDigests known = digests.get(window);
-        if (known == null) {
-            return Standing.ADMISSIBLE;
+        IdDigests existing = digests.get(window);
+        if (existing == null) {
+            return Status.ADMISSIBLE;
         }
-        if (known.mayContain(id)) {
-            return Standing.CONCLUDED;
+        if (existing.mayContain(id)) {
+            return Status.CONCLUDED;
         }
-        int limit = window == RequestClock.NO_WINDOW ? LIFETIME_LIMIT : WINDOW_LIMIT;
-        return known.size() < limit ? Standing.ADMISSIBLE : Standing.FULL;
+        int limit = window == RequestClock.NO_WINDOW ? MAXIMUM_IDS_WITHOUT_WINDOW : MAXIMUM_IDS_PER_WINDOW;
+        return existing.size() < limit ? Status.ADMISSIBLE : Status.FULL;
     }
 
     /**
@@ -58,25 +58,27 @@
     }
 
     /**
-     * Drops the digests of windows whose ids are not accepted any more.
+     * Removes the digests of windows whose ids are no longer accepted.
      *
-     * @param current The present window, never before that of an earlier call.
+     * @param current The current window, which never decreases between calls.
      */
     void expire(long current) {
         digests.keySet().removeIf(window -> window != RequestClock.NO_WINDOW && window < current - ACCEPTED_WINDOWS);
     }
 
-    /** Whether an id may be sent. */
-    enum Standing {
-        /** The id was surely not sent. */
+    /** The status of an id, which determines whether it may be sent. */
+    enum Status {
+        /** The id is known not to have been sent. */
         ADMISSIBLE,
         /** The id was sent before. */
         CONCLUDED,
-        /** The id is too old to tell. */
+        /** The id is too old to determine whether it was sent. */
         EXPIRED,
-        /** The id names a window in the future and was not sent. */
+        /** The window of the id is in the future, and the id was not sent. */
         AHEAD,
-        /** The id was surely not sent, but there is no room to remember it. */
+        /**
+         * The id is known not to have been sent, but can't be recorded because the maximum number of ids is reached.
+         */
         FULL
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/Conclusions.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/Conclusions.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Brings requests to their outcome: tells everybody who waits, and keeps what a request that is sent again needs. */
+/** Concludes requests: notifies all waiters, and retains the outcomes that are needed to answer repeated requests. */
 final class Conclusions {
 
     /** The tables. */
@@ -38,21 +38,21 @@
             pool.queue.remove(row.id());
         }
         abandonAttempts(tick, row);
-        if (!row.request().idempotent() && mustBeRemembered(row, outcome)) {
-            remember(tick, row, outcome);
+        if (!row.request().idempotent() && mustBeRetained(row, outcome)) {
+            retainOutcome(tick, row, outcome);
         }
-        tell(tick, row.id(), row.waiters(), outcome);
+        notifyWaiters(tick, row.id(), row.waiters(), outcome);
     }
 
     /**
-     * Gives everybody who waits an outcome, without a change to the request's row.
+     * Notifies all waiters of an outcome, without changing the request's row.
      *
      * @param tick The tick.
      * @param id The identifier of the request.
-     * @param waiters Who waits.
+     * @param waiters The waiters.
      * @param outcome The outcome.
      */
-    void tell(Tick tick, RequestId id, Waiters waiters, Outcome outcome) {
+    void notifyWaiters(Tick tick, RequestId id, Waiters waiters, Outcome outcome) {
         explain(tick, id, outcome);
         if (waiters.local()) {
             tick.emit(new RequestEffect.Conclude(id, outcome));
@@ -61,14 +61,14 @@
         RecordedOutcome recorded = RecordedOutcome.of(outcome);
         for (Waiters.Peer peer : waiters.peers()) {
             if (outcome instanceof Outcome.NotRun) {
-                tables.refused.keep(peer.arrival(), recorded, tick.now());
+                tables.refused.retain(peer.arrival(), recorded, tick.now());
             }
             tick.emit(new PeerEffect.Send(peer.node(), new RequestMessage.Concluded(id, peer.arrival(), recorded)));
         }
     }
 
     /**
-     * Stops the attempts of a request that are still in progress.
+     * Cancels the attempts of a request that are still in progress.
      *
      * @param tick The tick.
      * @param row The request's row.
@@ -81,30 +81,32 @@
     }
 
     /**
-     * Returns whether a non-idempotent request must not be sent after its outcome. A request that surely did not run
-     * may be sent again, unless the refusal goes to a peer: it may arrive there late, and has to be true when it does.
+     * Returns whether a non-idempotent request must not be sent after its outcome. A request that is known not to have
+     * run may be sent again, unless the refusal is sent to a peer: the refusal may arrive there late and must still be
+     * true then.
      *
      * @param row The request's row.
      * @param outcome The outcome.
-     * @return {@code true} if the id is closed by this outcome.
+     * @return {@code true} if the id must not be sent after this outcome.
      */
-    private static boolean mustBeRemembered(RequestRow row, Outcome outcome) {
+    private static boolean mustBeRetained(RequestRow row, Outcome outcome) {
         return outcome instanceof Outcome.NotRun
                 ? !row.waiters().peers().isEmpty()
                 : row.history().attempts() > 0;
     }
 
     /**
-     * Remembers the outcome of a non-idempotent request, and keeps it here and at a peer.
+     * Records the id of a non-idempotent request as concluded, and retains its outcome at this node and at a peer.
      *
      * @param tick The tick.
      * @param row The request's row.
      * @param outcome The outcome.
      */
-    private void remember(Tick tick, RequestRow row, Outcome outcome) {
+    private void retainOutcome(Tick tick, RequestRow row, Outcome outcome) {
         RecordedOutcome recorded = RecordedOutcome.of(outcome);
         tables.concluded.record(row.id(), row.window());
-        tables.kept.keep(new KeptAnswer(row.id(), row.request().caller(), row.fingerprint(), recorded, tick.now()));
+        tables.retained.retain(
+                new RetainedOutcome(row.id(), row.request().caller(), row.fingerprint(), recorded, tick.now()));
         keeper(row.id())
                 .ifPresent(peer -> tick.emit(new PeerEffect.Send(
                         peer,
@@ -112,10 +114,11 @@
     }
 
     /**
-     * Picks the peer that keeps a copy of an outcome: the highest ranked one in another availability zone.
+     * Selects the peer that keeps a copy of an outcome: the highest ranked one in another availability zone, or the
+     * highest ranked one if there is none.
      *
      * @param id The identifier of the request.
-     * @return The peer, or empty if this node is alone.
+     * @return The peer, or empty if there are no other nodes.
      */
     private Optional<NodeName> keeper(RequestId id) {
         Member self = tables.membership.self();
@@ -131,7 +134,7 @@
     }
 
     /**
-     * Explains an outcome.
+     * Records the decision that explains an outcome.
      *
      * @param tick The tick.
      * @param id The identifier of the request.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/DeadlineSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/DeadlineSystem.java
@@ -6,40 +6,40 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** Looks after all requests in progress at a steady interval: deadlines, requests that were passed on, and hedging. */
+/** Checks all requests in progress periodically: deadlines, forwarded requests, hedging and pools without endpoints. */
 final class DeadlineSystem implements DecisionSystem {
 
-    /** The interval at which all requests are looked at. */
-    private static final Duration INTERVAL = Duration.ofMillis(5);
+    /** The minimum interval between two checks of all requests. */
+    private static final Duration CHECK_INTERVAL = Duration.ofMillis(5);
 
-    /** The time for which a request waits for an endpoint where its pool has none. */
-    private static final Duration NO_ENDPOINT_GRACE = Duration.ofMillis(500);
+    /** The time for which a request waits for an endpoint if its pool has none. */
+    private static final Duration NO_ENDPOINT_TIMEOUT = Duration.ofMillis(500);
 
-    /** The time after which a caller may ask again where a pool has no endpoint. */
+    /** The delay after which a caller may retry if a pool has no endpoint. */
     private static final Duration NO_ENDPOINT_RETRY_AFTER = Duration.ofSeconds(1);
 
     /** The tables. */
     private final RequestTables tables;
 
-    /** What brings requests to their outcome. */
+    /** Concludes requests and notifies their waiters. */
     private final Conclusions conclusions;
 
-    /** What sends second attempts. */
+    /** Sends hedged attempts. */
     private final DispatchSystem dispatch;
 
-    /** What looks after requests that were passed on. */
+    /** Monitors forwarded requests. */
     private final ForwardingSystem forwarding;
 
-    /** The time of the latest look. */
-    private Optional<MonotonicTime> lookedAt = Optional.empty();
+    /** The time of the latest check, or empty before the first one. */
+    private Optional<MonotonicTime> checkedAt = Optional.empty();
 
     /**
      * Creates a new system.
      *
      * @param tables The tables.
-     * @param conclusions What brings requests to their outcome.
-     * @param dispatch What sends second attempts.
-     * @param forwarding What looks after requests that were passed on.
+     * @param conclusions Concludes requests and notifies their waiters.
+     * @param dispatch Sends hedged attempts.
+     * @param forwarding Monitors forwarded requests.
      */
     DeadlineSystem(
             RequestTables tables, Conclusions conclusions, DispatchSystem dispatch, ForwardingSystem forwarding) {
@@ -52,66 +52,66 @@
     /** {@inheritDoc} */
     @Override
     public void run(Tick tick) {
-        if (lookedAt.isPresent() && tick.now().since(lookedAt.get()).compareTo(INTERVAL) < 0) {
+        if (checkedAt.isPresent() && tick.now().since(checkedAt.get()).compareTo(CHECK_INTERVAL) < 0) {
             return;
         }
-        lookedAt = Optional.of(tick.now());
+        checkedAt = Optional.of(tick.now());
         tables.refused.expire(tick.now());
         tables.concluded.expire(tables.clock.window(tick.now()));
         tables.configuration.ifPresent(configuration ->
-                tables.kept.expire(tick.now(), configuration.entry().answerRetention()));
+                tables.retained.expire(tick.now(), configuration.entry().answerRetention()));
         for (RequestRow row : tables.requests.rows()) {
-            look(tick, row);
+            checkRequest(tick, row);
         }
     }
 
     /**
-     * Looks after a request.
+     * Checks a request.
      *
      * @param tick The tick.
      * @param row The request's row.
      */
-    private void look(Tick tick, RequestRow row) {
+    private void checkRequest(Tick tick, RequestRow row) {
         if (!tick.now().isBefore(row.request().deadline())) {
-            expired(tick, row);
+            handleExpiry(tick, row);
         } else if (row.stage() == RequestStage.FORWARDED) {
             forwarding.check(tick, row);
         } else if (row.stage() == RequestStage.SENT) {
             hedge(tick, row);
         } else if (row.stage() == RequestStage.QUEUED) {
-            giveUpWithoutEndpoint(tick, row);
+            failWithoutEndpoint(tick, row);
         }
     }
 
     /**
-     * Ends a request whose deadline passed. An attempt of a non-idempotent request goes on for a while, such that its
-     * answer can be kept.
+     * Handles a request whose deadline passed. An attempt of a non-idempotent request continues for
+     * {@link DispatchSystem#LATE_ANSWER_GRACE_PERIOD}, so that its answer can be retained.
      *
      * @param tick The tick.
      * @param row The request's row.
      */
-    private void expired(Tick tick, RequestRow row) {
+    private void handleExpiry(Tick tick, RequestRow row) {
         if (row.stage() != RequestStage.SENT || row.request().idempotent()) {
-            conclusions.conclude(tick, row, expiry(row));
+            conclusions.conclude(tick, row, expiryOutcome(row));
             return;
         }
         if (!tick.now().isBefore(DispatchSystem.attemptDeadline(row.request()))) {
-            conclusions.conclude(tick, row, expiry(row));
+            conclusions.conclude(tick, row, expiryOutcome(row));
             return;
         }
         if (!row.waiters().isEmpty()) {
-            conclusions.tell(tick, row.id(), row.waiters(), expiry(row));
+            conclusions.notifyWaiters(tick, row.id(), row.waiters(), expiryOutcome(row));
             tables.requests.put(row.id(), row.withWaiters(Waiters.NONE));
         }
     }
 
     /**
-     * Describes a request whose deadline passed.
+     * Creates the outcome of a request whose deadline passed.
      *
      * @param row The request's row.
      * @return The outcome.
      */
-    private Outcome expiry(RequestRow row) {
+    private Outcome expiryOutcome(RequestRow row) {
         if (row.stage() == RequestStage.RESOLVING) {
             return tables.resolutions
                     .find(row.id())
@@ -123,26 +123,26 @@
         }
         if (row.stage() == RequestStage.CLAIMING) {
             return new Outcome.Unknown(
-                    "platform-unavailable", "The id could not be claimed in time; nothing was sent now.");
+                    "platform-unavailable", "The id could not be claimed in time; nothing was sent for this call.");
         }
         if (row.stage() == RequestStage.SENT || row.history().maybeRan()) {
-            return new Outcome.FailedAfterSend("deadline-exceeded", "The answer did not come in time.");
+            return new Outcome.FailedAfterSend("deadline-exceeded", "The answer was not received in time.");
         }
         return new Outcome.NotRun("deadline-exceeded", "The request was not sent in time.", Optional.empty());
     }
 
     /**
-     * Sends a second attempt where that is due.
+     * Sends a hedged attempt if it is due.
      *
      * @param tick The tick.
      * @param row The request's row.
      */
     private void hedge(Tick tick, RequestRow row) {
-        Optional<PoolState> known = tables.pool(row.request().pool());
-        if (known.isEmpty() || row.history().running().size() != 1) {
+        Optional<PoolState> existing = tables.pool(row.request().pool());
+        if (existing.isEmpty() || row.history().running().size() != 1) {
             return;
         }
-        PoolState pool = known.get();
+        PoolState pool = existing.get();
         Duration running = tick.now().since(row.stageSince());
         if (pool.hedging.due(row.request(), running)
                 && row.history().attempts() < pool.settings.retry().maximumAttempts()
@@ -154,14 +154,14 @@
     }
 
     /**
-     * Refuses a request that waits in a pool without any endpoint. A request that waits for a version which engines do
-     * not hold yet goes on waiting.
+     * Concludes a request that waits for a pool without any endpoint. A request that waits for a version that no engine
+     * has loaded yet continues to wait.
      *
      * @param tick The tick.
      * @param row The request's row.
      */
-    private void giveUpWithoutEndpoint(Tick tick, RequestRow row) {
-        if (tick.now().since(row.stageSince()).compareTo(NO_ENDPOINT_GRACE) < 0) {
+    private void failWithoutEndpoint(Tick tick, RequestRow row) {
+        if (tick.now().since(row.stageSince()).compareTo(NO_ENDPOINT_TIMEOUT) < 0) {
             return;
         }
         boolean empty = tables.endpoints.candidates(row.request().pool()).isEmpty();
@@ -169,8 +169,9 @@
             return;
         }
         Outcome outcome = row.history().maybeRan()
-                ? new Outcome.FailedAfterSend("no-endpoint", "No endpoint is left to go on with the request.")
-                : new Outcome.NotRun("no-endpoint", "No endpoint takes work.", Optional.of(NO_ENDPOINT_RETRY_AFTER));
+                ? new Outcome.FailedAfterSend("no-endpoint", "No endpoint is left to continue the request.")
+                : new Outcome.NotRun(
+                        "no-endpoint", "No endpoint accepts requests.", Optional.of(NO_ENDPOINT_RETRY_AFTER));
         conclusions.conclude(tick, row, outcome);
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/DispatchSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/DispatchSystem.java
@@ -21,29 +21,29 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Sends waiting requests to endpoints that have room for them. */
+/** Sends queued requests to endpoints that have capacity for them. */
 final class DispatchSystem implements DecisionSystem {
 
     /**
-     * The time for which an attempt of a non-idempotent request goes on past its deadline, such that its answer can be
-     * kept for the request when it is sent again.
+     * The time for which an attempt of a non-idempotent request continues past its deadline, so that its answer can be
+     * retained in case the request is repeated.
      */
-    static final Duration LATE_ANSWER_GRACE = Duration.ofSeconds(30);
+    static final Duration LATE_ANSWER_GRACE_PERIOD = Duration.ofSeconds(30);
 
-    /** The time after which a caller may ask again when its request waited too long. */
+    /** The delay after which a caller may retry when its request was queued too long. */
     private static final Duration LATE_RETRY_AFTER = Duration.ofMillis(500);
 
     /** The tables. */
     private final RequestTables tables;
 
-    /** What brings requests to their outcome. */
+    /** Concludes requests and notifies their waiters. */
     private final Conclusions conclusions;
 
     /**
      * Creates a new system.
      *
      * @param tables The tables.
-     * @param conclusions What brings requests to their outcome.
+     * @param conclusions Concludes requests and notifies their waiters.
      */
     DispatchSystem(RequestTables tables, Conclusions conclusions) {
         this.tables = tables;
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Sends as many waiting requests of a pool as the endpoints have room for.
+     * Sends as many queued requests of a pool as its endpoints have capacity for.
      *
      * @param tick The tick.
      * @param pool The pool.
@@ -75,20 +75,21 @@
             if (next.isEmpty()) {
                 return;
             }
-            tables.requests.find(next.get().key()).ifPresent(row -> sendInTime(tick, pool, row, inUse));
+            tables.requests.find(next.get().key()).ifPresent(row -> sendOrRefuse(tick, pool, row, inUse));
         }
     }
 
     /**
-     * Sends a request whose turn it is. While others wait, one that would not be answered in time is refused instead,
-     * such that endpoints do not work for nothing; without others it is sent, such that the estimate is renewed.
+     * Sends the next queued request. While others wait, a request that is not expected to meet its deadline is refused
+     * instead, so that endpoints do not waste work on it; if no others wait, it is sent, so that the estimate is
+     * updated.
      *
      * @param tick The tick.
      * @param pool The pool.
      * @param row The request's row.
      * @param inUse The endpoints in use.
      */
-    private void sendInTime(Tick tick, PoolState pool, RequestRow row, List<Endpoint> inUse) {
+    private void sendOrRefuse(Tick tick, PoolState pool, RequestRow row, List<Endpoint> inUse) {
         MonotonicTime expected = tick.now().plus(pool.times.service(row.request()));
         boolean late = row.request().deadline().isBefore(expected);
         boolean sheddable = row.request().priority() != PriorityClass.URGENT
@@ -96,7 +97,7 @@
         if (late && sheddable && pool.queue.size() > 0) {
             Outcome refusal = new Outcome.NotRun(
                     "deadline-unreachable",
-                    "The request waited too long to be in time.",
+                    "The request was queued too long to meet its deadline.",
                     Optional.of(LATE_RETRY_AFTER));
             conclusions.conclude(tick, row, refusal);
             return;
@@ -105,7 +106,7 @@
     }
 
     /**
-     * Sends a second attempt of a request that is in progress, if an endpoint that was not tried has room.
+     * Sends a second attempt of a request in progress, if an endpoint that was not tried yet has capacity.
      *
      * @param tick The tick.
      * @param pool The pool.
@@ -128,7 +129,7 @@
      *
      * @param tick The tick.
      * @param pool The pool.
-     * @return The number of requests that can be in progress at the same time.
+     * @return The maximum number of concurrent requests.
      */
     int concurrency(Tick tick, PoolState pool) {
         return inUse(tick, pool).stream()
@@ -137,23 +138,23 @@
     }
 
     /**
-     * Returns whether a pool has an endpoint that could serve a request, however loaded it is.
+     * Returns whether a pool has an endpoint that could serve a request, regardless of its load.
      *
      * @param tick The tick.
      * @param pool The pool.
      * @param request The request.
-     * @return {@code true} if an endpoint holds what the request needs.
+     * @return {@code true} if an endpoint has loaded the model and version that the request needs.
      */
     boolean hasEndpoint(Tick tick, PoolState pool, Request request) {
         return inUse(tick, pool).stream().anyMatch(endpoint -> holds(endpoint, request));
     }
 
     /**
-     * Returns the endpoints that this node routes to.
+     * Returns the endpoints to which this node routes requests.
      *
      * @param tick The tick.
      * @param pool The pool.
-     * @return The node's subset of the endpoints that take new work, without those that are ejected.
+     * @return The node's subset of the endpoints that accept new requests, without ejected ones.
      */
     private List<Endpoint> inUse(Tick tick, PoolState pool) {
         Member self = tables.membership.self();
@@ -171,7 +172,7 @@
     }
 
     /**
-     * Returns whether a waiting request can be sent now.
+     * Returns whether a queued request can be sent now.
      *
      * @param tick The tick.
      * @param pool The pool.
@@ -188,7 +189,7 @@
     }
 
     /**
-     * Returns whether an endpoint has room and holds what a request needs.
+     * Returns whether an endpoint has capacity and has loaded the model and version that a request needs.
      *
      * @param endpoint The endpoint.
      * @param pool The pool.
@@ -200,22 +201,22 @@
     }
 
     /**
-     * Returns whether an endpoint has room.
+     * Returns whether an endpoint has capacity for another request.
      *
      * @param endpoint The endpoint.
      * @param pool The pool.
-     * @return {@code true} if the endpoint has room.
+     * @return {@code true} if the endpoint has capacity.
      */
     private boolean hasRoom(Endpoint endpoint, PoolState pool) {
         return tables.load(endpoint.name(), pool).hasRoom();
     }
 
     /**
-     * Returns whether an endpoint holds the model and version that a request needs.
+     * Returns whether an endpoint has loaded the model and version that a request needs.
      *
      * @param endpoint The endpoint.
      * @param request The request.
-     * @return {@code true} if the endpoint holds them.
+     * @return {@code true} if the endpoint has loaded them.
      */
     private static boolean holds(Endpoint endpoint, Request request) {
         if (request.model().isEmpty()) {
@@ -234,13 +235,13 @@
      * @param inUse The endpoints in use, at least one of which can serve the request.
      */
     private void send(Tick tick, PoolState pool, RequestRow row, List<Endpoint> inUse) {
-        List<Endpoint> able = inUse.stream()
+        List<Endpoint> capable = inUse.stream()
                 .filter(endpoint -> canServe(endpoint, pool, row.request()))
                 .toList();
-        List<Endpoint> untried = able.stream()
+        List<Endpoint> untried = capable.stream()
                 .filter(endpoint -> !row.history().tried().contains(endpoint.name()))
                 .toList();
-        List<RoutingCandidate> candidates = (untried.isEmpty() ? able : untried)
+        List<RoutingCandidate> candidates = (untried.isEmpty() ? capable : untried)
                 .stream()
                         .map(endpoint -> candidate(tick, pool, row.request(), endpoint))
                         .toList();
@@ -276,7 +277,7 @@
     }
 
     /**
-     * Describes an endpoint to the routing policy.
+     * Creates the routing candidate of an endpoint.
      *
      * @param tick The tick.
      * @param pool The pool.
@@ -301,11 +302,11 @@
     }
 
     /**
-     * Returns what is known of an endpoint after a look at its latest report.
+     * Updates the load state of an endpoint with its latest report.
      *
      * @param pool The pool.
      * @param endpoint The endpoint.
-     * @return The load, which is in the table.
+     * @return The load state, which is stored in the table.
      */
     private EndpointLoad observed(PoolState pool, Endpoint endpoint) {
         EndpointName name = endpoint.name();
@@ -315,23 +316,23 @@
     }
 
     /**
-     * Returns the time by which an attempt must have ended.
+     * Returns the deadline of an attempt.
      *
      * @param request The request.
-     * @return The time.
+     * @return The deadline of its attempts.
      */
     static MonotonicTime attemptDeadline(Request request) {
-        return request.idempotent() ? request.deadline() : request.deadline().plus(LATE_ANSWER_GRACE);
+        return request.idempotent() ? request.deadline() : request.deadline().plus(LATE_ANSWER_GRACE_PERIOD);
     }
 
     /**
-     * Explains the choice of an endpoint.
+     * Records the decision that explains the choice of an endpoint.
      *
      * @param tick The tick.
      * @param pool The pool.
      * @param row The request's row before the attempt.
      * @param number The number of the attempt.
-     * @param chosen The candidate that was chosen.
+     * @param chosen The chosen candidate.
      * @param candidates The candidates.
      */
     private static void explain(
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/ForwardingSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/ForwardingSystem.java
@@ -12,32 +12,32 @@
 import java.util.Optional;
 
 /**
- * Passes requests on to their home and waits for the outcome. When the home is gone or was born again, the outcome is
- * searched elsewhere; the request is never sent from here.
+ * Forwards requests to their home and waits for the outcome. If the home is gone or was restarted, the outcome is
+ * searched for at other nodes and at endpoints; this node never sends the request to an endpoint.
  */
 final class ForwardingSystem implements DecisionSystem {
 
-    /** The code by which a node says that it is not the life that a request is homed at. */
+    /** The code by which a node reports that it is not the incarnation that is the home of a request. */
     static final String NOT_HOME_CODE = "home-gone";
 
-    /** The interval at which a request is passed on again, as messages may be lost. */
-    private static final Duration REPEAT_INTERVAL = Duration.ofMillis(500);
+    /** The interval at which a request is forwarded again, as messages may be lost. */
+    private static final Duration RESEND_INTERVAL = Duration.ofMillis(500);
 
     /** The tables. */
     private final RequestTables tables;
 
-    /** What brings requests to their outcome. */
+    /** Concludes requests and notifies their waiters. */
     private final Conclusions conclusions;
 
-    /** What searches outcomes elsewhere. */
+    /** Searches for outcomes at other nodes and at endpoints. */
     private final ResolutionSystem resolution;
 
     /**
      * Creates a new system.
      *
      * @param tables The tables.
-     * @param conclusions What brings requests to their outcome.
-     * @param resolution What searches outcomes elsewhere.
+     * @param conclusions Concludes requests and notifies their waiters.
+     * @param resolution Searches for outcomes at other nodes and at endpoints.
      */
     ForwardingSystem(RequestTables tables, Conclusions conclusions, ResolutionSystem resolution) {
         this.tables = tables;
@@ -46,11 +46,11 @@
     }
 
     /**
-     * Passes a request on to its home.
+     * Forwards a request to its home.
      *
      * @param tick The tick.
      * @param arrived The request's row.
-     * @param home The home, which is not this life of this node.
+     * @param home The home, which is not this incarnation of this node.
      * @param window The issue window of the id, or {@link RequestClock#NO_WINDOW}.
      */
     void forward(Tick tick, RequestRow arrived, NodeIdentity home, long window) {
@@ -70,16 +70,16 @@
     public void run(Tick tick) {
         for (PeerEvent.Received event : tick.events(PeerEvent.Received.class)) {
             if (event.message() instanceof RequestMessage.Concluded concluded) {
-                concluded(tick, event.sender(), concluded);
+                handleConclusion(tick, event.sender(), concluded);
             } else if (event.message() instanceof RequestMessage.KeepAnswer keep) {
-                tables.kept.keep(
-                        new KeptAnswer(keep.id(), keep.caller(), keep.fingerprint(), keep.outcome(), tick.now()));
+                tables.retained.retain(
+                        new RetainedOutcome(keep.id(), keep.caller(), keep.fingerprint(), keep.outcome(), tick.now()));
             }
         }
     }
 
     /**
-     * Looks after a request that was passed on.
+     * Checks a forwarded request: resolves it if its home is gone, or forwards it again.
      *
      * @param tick The tick.
      * @param row The request's row.
@@ -90,21 +90,21 @@
             resolution.resolve(tick, row, homeGone());
             return;
         }
-        if (tick.now().since(row.stageSince()).compareTo(REPEAT_INTERVAL) >= 0) {
-            RequestRow again = row.withStage(RequestStage.FORWARDED, tick.now());
-            tables.requests.put(row.id(), again);
-            send(tick, again, home);
+        if (tick.now().since(row.stageSince()).compareTo(RESEND_INTERVAL) >= 0) {
+            RequestRow repeated = row.withStage(RequestStage.FORWARDED, tick.now());
+            tables.requests.put(row.id(), repeated);
+            send(tick, repeated, home);
         }
     }
 
     /**
-     * Takes in the outcome that a home tells. Only the home is believed.
+     * Handles the outcome that a home reports. Outcomes from other nodes are ignored.
      *
      * @param tick The tick.
-     * @param sender The node that tells.
+     * @param sender The node that reports the outcome.
      * @param message The message.
      */
-    private void concluded(Tick tick, NodeIdentity sender, RequestMessage.Concluded message) {
+    private void handleConclusion(Tick tick, NodeIdentity sender, RequestMessage.Concluded message) {
         Optional<RequestRow> row = tables.requests
                 .find(message.id())
                 .filter(found -> found.stage() == RequestStage.FORWARDED && found.arrival() == message.arrival())
@@ -134,10 +134,10 @@
     }
 
     /**
-     * Returns whether a life of a node is over, as far as this node knows.
+     * Returns whether an incarnation of a node has ended, according to this node's view of the membership.
      *
-     * @param home The life of a node.
-     * @return {@code true} if the node is not known, dead or born again.
+     * @param home The incarnation of a node.
+     * @return {@code true} if the node is not a member, is dead or was restarted.
      */
     private boolean isGone(NodeIdentity home) {
         if (home.name().equals(tables.self().name())) {
@@ -150,11 +150,11 @@
     }
 
     /**
-     * Describes a request whose home is gone.
+     * Creates the outcome of a request whose home is gone.
      *
      * @return The outcome.
      */
     private static Outcome homeGone() {
-        return new Outcome.Unknown(NOT_HOME_CODE, "The node that alone may send the request is gone.");
+        return new Outcome.Unknown(NOT_HOME_CODE, "The only node that may send the request is gone.");
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/Generation.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/Generation.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * What an engine generated, with the weight versions that it says it used.
+ * The output of an engine, with the weight versions that it reports to have used.
  *
  * @param text The generated text.
  * @param segments The segments of tokens in their order, each generated with one weight version.
- * @param finishReason The reason for which the engine stopped, such as {@code stop} or {@code length}, or an empty text
- *     if the end was not seen.
+ * @param finishReason The reason why the engine stopped, such as {@code stop} or {@code length}, or an empty text if
+ *     the end was not received.
  */
 public record Generation(String text, List<Segment> segments, String finishReason) {
 
@@ -27,14 +27,14 @@
     }
 
     /**
-     * A run of tokens that one weight version generated.
+     * A sequence of tokens that were generated with one weight version.
      *
-     * @param version The weight version, or {@link #UNKNOWN_VERSION} if the engine did not say.
+     * @param version The weight version, or {@link #UNKNOWN_VERSION} if the engine did not report it.
      * @param tokens The number of tokens.
      */
     public record Segment(long version, int tokens) {
 
-        /** The version of a segment whose engine did not say which weights it used. */
+        /** The version of a segment whose engine did not report which weights it used. */
         public static final long UNKNOWN_VERSION = -1;
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/HomeAdmission.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/HomeAdmission.java
@@ -4,26 +4,26 @@
 import java.util.Optional;
 
 /**
- * Admits non-idempotent requests at their home: this life of this node, the only one that may ever send them. An id
- * that was sent before, or of which that can't be ruled out any more, is not sent.
+ * Admits non-idempotent requests at their home: this incarnation of this node, the only one that may ever send them. An
+ * id that was sent before, or for which that can no longer be ruled out, is not sent.
  */
 final class HomeAdmission {
 
     /** The tables. */
     private final RequestTables tables;
 
-    /** What takes requests into the queue. */
+    /** Queues requests or refuses them. */
     private final Admission admission;
 
-    /** What searches outcomes elsewhere. */
+    /** Searches for outcomes at other nodes and at endpoints. */
     private final ResolutionSystem resolution;
 
     /**
      * Creates a new admission.
      *
      * @param tables The tables.
-     * @param admission What takes requests into the queue.
-     * @param resolution What searches outcomes elsewhere.
+     * @param admission Queues requests or refuses them.
+     * @param resolution Searches for outcomes at other nodes and at endpoints.
      */
     HomeAdmission(RequestTables tables, Admission admission, ResolutionSystem resolution) {
         this.tables = tables;
@@ -32,37 +32,43 @@
     }
 
     /**
-     * Admits a request whose home is this life of this node.
+     * Admits a request whose home is this incarnation of this node.
      *
      * @param tick The tick.
-     * @param arrived The request's row, which nothing was sent for yet.
+     * @param arrived The request's row, for which nothing was sent yet.
      * @param window The issue window of the id, or {@link RequestClock#NO_WINDOW}.
      */
     void admit(Tick tick, RequestRow arrived, long window) {
         RequestRow row = arrived.withHome(tables.self(), window);
-        switch (tables.concluded.standing(row.id(), window, tables.clock.window(tick.now()))) {
+        switch (tables.concluded.status(row.id(), window, tables.clock.window(tick.now()))) {
             case ADMISSIBLE -> admission.admit(tick, row);
             case CONCLUDED ->
                 resolution.resolve(
                         tick,
                         row,
-                        new Outcome.Unknown("answer-expired", "The request was sent, its answer is not kept."));
+                        new Outcome.Unknown(
+                                "answer-expired", "The request was sent, but its answer is no longer retained."));
             case EXPIRED ->
                 resolution.resolve(
                         tick,
                         row,
-                        new Outcome.Unknown("request-id-expired", "The id is too old to tell whether it ran."));
+                        new Outcome.Unknown(
+                                "request-id-expired", "The id is too old to determine whether the request ran."));
             case AHEAD ->
                 admission.refuse(
-                        tick, row, "request-id-ahead", "The id names a time that has not come.", Optional.empty());
+                        tick,
+                        row,
+                        "request-id-ahead",
+                        "The issue window of the id is in the future.",
+                        Optional.empty());
             case FULL ->
                 admission.refuse(
                         tick,
                         row,
                         "request-ids-exhausted",
-                        "The node can't remember further ids for now; use a new prefix.",
-                        Optional.of(RequestClock.WINDOW));
-            default -> throw new IllegalStateException("Unknown standing");
+                        "The node can't record more ids for now; use a new prefix.",
+                        Optional.of(RequestClock.WINDOW_LENGTH));
+            default -> throw new IllegalStateException("Unknown id status");
         }
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/IdDigests.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/IdDigests.java
@@ -8,18 +8,19 @@
 import java.util.List;
 
 /**
- * A set of ids in little memory that forgets none. It may claim, about once in a thousand million questions and filter,
- * to hold an id that it does not, which makes a request unknown but never lets it run twice.
+ * A compact set of ids, backed by Bloom filters. It has no false negatives. The probability of a false positive is
+ * about 1e-9 per query and filter; a false positive makes the outcome of a request unknown, but never lets a request
+ * run twice.
  */
 final class IdDigests {
 
-    /** The number of ids of one filter. */
+    /** The capacity of one filter, in ids. */
     static final int FILTER_CAPACITY = 16384;
 
-    /** The probability that a full filter claims to hold an id that it does not. */
-    private static final double FALSE_POSITIVES = 1e-9;
+    /** The probability of a false positive of a full filter. */
+    private static final double FALSE_POSITIVE_PROBABILITY = 1e-9;
 
-    /** The filters, of which the last one is filled. */
+    /** The filters, of which the last one receives new ids. */
     private final List<BloomFilter<Long>> filters = new ArrayList<>();
 
     /** The number of ids. */
@@ -32,7 +33,7 @@
      */
     void add(RequestId id) {
         if (size % FILTER_CAPACITY == 0) {
-            filters.add(BloomFilter.create(Funnels.longFunnel(), FILTER_CAPACITY, FALSE_POSITIVES));
+            filters.add(BloomFilter.create(Funnels.longFunnel(), FILTER_CAPACITY, FALSE_POSITIVE_PROBABILITY));
         }
         filters.get(filters.size() - 1).put(digest(id));
         size++;
@@ -42,7 +43,7 @@
      * Returns whether an id may have been added.
      *
      * @param id The id.
-     * @return {@code false} if the id was surely not added.
+     * @return {@code false} if the id was definitely not added.
      */
     boolean mayContain(RequestId id) {
         long digest = digest(id);
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/Outcome.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/Outcome.java
@@ -5,32 +5,32 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** What became of a request. */
+/** The outcome of a request. */
 public sealed interface Outcome {
 
     /**
-     * An endpoint gave a whole answer.
+     * An endpoint returned a complete answer.
      *
      * @param endpoint The endpoint that answered.
      * @param status The HTTP status of the answer.
      * @param contentType The content type of the answer, or an empty text.
-     * @param body The whole body of the answer, or an empty one if it was streamed to the caller.
-     * @param generation What an engine generated, or empty if the endpoint is not an engine.
+     * @param body The complete body of the answer, or an empty one if it was streamed to the caller.
+     * @param generation The engine's generation, or empty if the endpoint is not an engine.
      */
     record Answered(EndpointName endpoint, int status, String contentType, Bytes body, Optional<Generation> generation)
             implements Outcome {}
 
     /**
-     * The request was refused and surely did not run.
+     * The request was refused and is known not to have run.
      *
      * @param code The code of the refusal.
      * @param message The explanation for the caller.
-     * @param retryAfter The time after which it is worth to ask again, or empty if it never is.
+     * @param retryAfter The delay after which the caller may retry, or empty if a retry is not suggested.
      */
     record NotRun(String code, String message, Optional<Duration> retryAfter) implements Outcome {}
 
     /**
-     * The request was sent to an endpoint and failed, such that it may have run.
+     * The request was sent to an endpoint and failed; it may have run.
      *
      * @param code The code of the failure.
      * @param message The explanation for the caller.
@@ -38,7 +38,7 @@
     record FailedAfterSend(String code, String message) implements Outcome {}
 
     /**
-     * This node can't tell what became of the request.
+     * This node can't determine the outcome of the request.
      *
      * @param code The code of the reason.
      * @param message The explanation for the caller.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/PendingClaim.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/PendingClaim.java
@@ -1,11 +1,11 @@
 package io.yuccaswitch.core.request;
 
 /**
- * A row of the table of claims that are being made.
+ * A row of the table of pending claims.
  *
  * @param id The identifier of the request.
  * @param claim The claim.
- * @param writes The number of writes that were sent.
+ * @param writes The number of writes sent so far.
  */
 record PendingClaim(RequestId id, RequestClaim claim, int writes) {
 
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/PoolState.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/PoolState.java
@@ -8,13 +8,13 @@
 import io.yuccaswitch.core.retry.RetryBudget;
 import io.yuccaswitch.core.routing.RoutingPolicy;
 
-/** What this node keeps for a pool. */
+/** The state of a pool at this node. */
 final class PoolState {
 
     /** The name of the pool. */
     final PoolName name;
 
-    /** The requests that wait to be sent. */
+    /** The queued requests. */
     final FairQueue<RequestId> queue = new FairQueue<>();
 
     /** The settings of the pool. */
@@ -23,13 +23,13 @@
     /** The policy that chooses endpoints. */
     RoutingPolicy routing;
 
-    /** The policy that sends second attempts. */
+    /** The policy that decides when a hedged attempt is due. */
     HedgingPolicy hedging;
 
-    /** The budget of further attempts. */
+    /** The budget for retries and hedged attempts. */
     RetryBudget budget = new RetryBudget();
 
-    /** What the pool's requests have taken lately. */
+    /** The service times of the pool's recent requests. */
     ServiceTimes times = ServiceTimes.EMPTY;
 
     /**
@@ -46,7 +46,7 @@
     }
 
     /**
-     * Takes over changed settings.
+     * Applies changed settings.
      *
      * @param changed The settings of the pool.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/RecordedOutcome.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/RecordedOutcome.java
@@ -6,17 +6,18 @@
 import java.util.Optional;
 
 /**
- * An {@link Outcome} as one flat record of plain values, as it is kept and sent to other nodes.
+ * An {@link Outcome} as one flat record of plain values, the form in which outcomes are retained and sent to other
+ * nodes.
  *
  * @param kind The kind of the outcome.
  * @param endpoint The endpoint that answered, or empty if none did.
  * @param status The HTTP status of the answer, or zero.
  * @param contentType The content type of the answer, or an empty text.
  * @param body The body of the answer, or an empty one.
- * @param generation What an engine generated, or empty.
+ * @param generation The engine's generation, or empty.
  * @param code The code of the refusal or failure, or an empty text.
  * @param message The explanation for the caller, or an empty text.
- * @param retryAfter The time after which it is worth to ask again, or empty.
+ * @param retryAfter The delay after which the caller may retry, or empty if a retry is not suggested.
  */
 public record RecordedOutcome(
         Kind kind,
@@ -29,11 +30,11 @@
         String message,
         Optional<Duration> retryAfter) {
 
-    /** The estimated number of bytes that a record takes beside its body and text. */
+    /** The estimated size of a record without its body and texts, in bytes. */
     private static final int OVERHEAD_BYTES = 256;
 
     /**
-     * Records an outcome.
+     * Creates the record of an outcome.
      *
      * @param outcome The outcome to record.
      * @return The record.
@@ -67,7 +68,7 @@
      * @param kind The kind of the outcome.
      * @param code The code.
      * @param message The explanation for the caller.
-     * @param retryAfter The time after which it is worth to ask again, or empty.
+     * @param retryAfter The delay after which the caller may retry, or empty if a retry is not suggested.
      * @return The record.
      */
     private static RecordedOutcome failure(Kind kind, String code, String message, Optional<Duration> retryAfter) {
@@ -76,8 +77,8 @@
     }
 
     /**
-     * Returns the outcome that was recorded. A record that claims an answer without naming its endpoint counts as
-     * unknown, because it can't have been made by {@link #of(Outcome)}.
+     * Returns the recorded outcome. A record of an answer without an endpoint is treated as unknown, because
+     * {@link #of(Outcome)} never creates one.
      *
      * @return The outcome.
      */
@@ -95,7 +96,7 @@
     }
 
     /**
-     * Estimates the memory that this record takes.
+     * Estimates the size of this record in memory.
      *
      * @return The number of bytes.
      */
@@ -108,13 +109,13 @@
 
     /** The kind of an outcome. */
     public enum Kind {
-        /** An endpoint gave a whole answer. */
+        /** An endpoint returned a complete answer. */
         ANSWERED,
-        /** The request surely did not run. */
+        /** The request is known not to have run. */
         NOT_RUN,
         /** The request was sent and failed. */
         FAILED_AFTER_SEND,
-        /** Nobody that could be asked can tell. */
+        /** The outcome could not be determined. */
         UNKNOWN
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/RefusedArrivals.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/RefusedArrivals.java
@@ -6,25 +6,25 @@
 import java.util.Optional;
 
 /**
- * The refusals of requests that peers passed on, by the number of the arrival. A repetition of the message that arrives
- * after the refusal gets the refusal again: the caller was told that the request did not run.
+ * The refusals of requests that peers forwarded, by the number of the arrival. If the message arrives again after the
+ * refusal, the refusal is repeated, because the caller was already notified that the request did not run.
  */
 final class RefusedArrivals {
 
-    /** The time for which refusals are kept, longer than a message can be on its way. */
+    /** The time for which refusals are retained, which exceeds the longest delivery time of a message. */
     private static final Duration RETENTION = Duration.ofMinutes(2);
 
-    /** The refusals in the order in which they were given. */
+    /** The refusals in the order in which they were issued. */
     private final EntityTable<Long, Refusal> refusals = new EntityTable<>();
 
     /**
-     * Keeps a refusal.
+     * Records a refusal.
      *
      * @param arrival The number of the arrival.
      * @param outcome The refusal.
-     * @param now The time.
+     * @param now The current time.
      */
-    void keep(long arrival, RecordedOutcome outcome, MonotonicTime now) {
+    void retain(long arrival, RecordedOutcome outcome, MonotonicTime now) {
         refusals.put(arrival, new Refusal(arrival, outcome, now));
     }
 
@@ -39,9 +39,9 @@
     }
 
     /**
-     * Drops old refusals.
+     * Removes the refusals whose retention time has passed.
      *
-     * @param now The time.
+     * @param now The current time.
      */
     void expire(MonotonicTime now) {
         while (refusals.size() > 0) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/Request.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/Request.java
@@ -13,21 +13,22 @@
 import java.util.Optional;
 
 /**
- * A request as the decision core sees it.
+ * A request as it is represented in the decision core.
  *
  * @param id The identifier.
  * @param pool The pool whose endpoints may serve the request.
  * @param caller The caller, or the trainer's name for the generation of samples.
  * @param priority The priority class.
  * @param idempotent {@code true} if the request may run more than once.
- * @param streaming {@code true} if the caller reads the answer while it is produced.
+ * @param streaming {@code true} if the answer is streamed to the caller while it is generated.
  * @param deadline The time by which the answer must be complete.
  * @param method The HTTP method that the endpoint is called with.
  * @param path The path and query that the endpoint is called with, beginning with a slash.
  * @param contentType The content type of the body, or an empty text.
  * @param body The body that is sent to the endpoint.
- * @param model The model or adapter that must be loaded at the endpoint, or empty if any will do.
- * @param minimumVersion The smallest weight version that the endpoint must hold, or zero if any will do.
+ * @param model The model or adapter that must be loaded at the endpoint, or empty if there is no such requirement.
+ * @param minimumVersion The minimum weight version that must be loaded at the endpoint, or zero if any version is
+ *     accepted.
  * @param prefixHashes The hashes of the prompt's prefixes, from the shortest to the longest.
  * @param promptTokens The estimated number of tokens of the prompt.
  * @param expectedTokens The estimated number of tokens to generate.
@@ -82,7 +83,7 @@
     }
 
     /**
-     * Computes the fingerprint by which this request is recognised when its caller sends it again under another id.
+     * Computes the fingerprint that identifies this request when its caller repeats it with another id.
      *
      * @return The fingerprint.
      */
@@ -91,7 +92,7 @@
     }
 
     /**
-     * Describes this request for operators, without what its caller sends.
+     * Describes this request for operators, without its query and body.
      *
      * @return The caller, method, pool and path.
      */
@@ -101,8 +102,8 @@
     }
 
     /**
-     * Computes the fingerprint of this request, which tells a request that is sent again from another one that bears
-     * the same id by mistake.
+     * Computes the fingerprint of this request, which distinguishes a repetition of this request from a different
+     * request that has the same id by mistake.
      *
      * @return The fingerprint.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/RequestClaim.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/RequestClaim.java
@@ -11,27 +11,27 @@
 import java.util.regex.Pattern;
 
 /**
- * A claim on the platform that makes a life of a node the home of a request whose id its caller made.
+ * A claim on the platform that makes an incarnation of a node the home of a request whose id was chosen by its caller.
  *
- * @param owner The life of a node that may send the request.
- * @param window The window in which the claim was made, which takes the part of the id's issue window.
- * @param nonce A random number that tells the claim from others of the same owner.
+ * @param owner The incarnation of a node that may send the request.
+ * @param window The window in which the claim was made, which is used as the issue window of the id.
+ * @param nonce A random number that distinguishes the claim from others of the same owner.
  */
 record RequestClaim(NodeIdentity owner, long window, long nonce) {
 
-    /** The kind of the objects that hold claims. */
+    /** The kind of the objects that store claims. */
     static final String KIND = "request";
 
-    /** The radix of the nonce. */
-    private static final int RADIX = 16;
+    /** The radix of the encoded nonce. */
+    private static final int NONCE_RADIX = 16;
 
-    /** The form of a claim. */
-    private static final Pattern FORM =
+    /** The format of an encoded claim. */
+    private static final Pattern FORMAT =
             Pattern.compile("([A-Za-z0-9][A-Za-z0-9._-]*)@([1-9][0-9]{0,17}) ([0-9]{1,15}) ([0-9a-f]{1,16})");
 
     /**
-     * Returns the key of the object that holds the claim of a request. The id is hashed, as it may bear characters that
-     * object names don't.
+     * Returns the key of the object that holds the claim of a request. The id is hashed, as it may contain characters
+     * that are not allowed in object names.
      *
      * @param id The identifier of the request.
      * @return The key.
@@ -55,15 +55,15 @@
      * Decodes a claim.
      *
      * @param value The value of the object.
-     * @return The claim, or empty if the value is none.
+     * @return The claim, or empty if the value is malformed.
      */
     static Optional<RequestClaim> decode(Bytes value) {
-        Matcher matcher = FORM.matcher(value.toUtf8());
+        Matcher matcher = FORMAT.matcher(value.toUtf8());
         if (!matcher.matches()) {
             return Optional.empty();
         }
         NodeIdentity owner = new NodeIdentity(new NodeName(matcher.group(1)), Long.parseLong(matcher.group(2)));
         return Optional.of(new RequestClaim(
-                owner, Long.parseLong(matcher.group(3)), Long.parseUnsignedLong(matcher.group(4), RADIX)));
+                owner, Long.parseLong(matcher.group(3)), Long.parseUnsignedLong(matcher.group(4), NONCE_RADIX)));
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/RequestEffect.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/RequestEffect.java
@@ -5,7 +5,7 @@
 import io.yuccaswitch.core.time.MonotonicTime;
 import java.util.Optional;
 
-/** Something that the shell does for a request. */
+/** An action that the shell performs for a request. */
 public sealed interface RequestEffect extends Effect {
 
     /**
@@ -16,17 +16,20 @@
     RequestId id();
 
     /**
-     * Sends a request to an endpoint, to be answered by exactly one {@link RequestEvent.AttemptEnded}. The progress and
-     * the result of an attempt that resumes a generation cover the whole generation: what it resumed from comes first.
-     * Attempts are numbered over all requests of the node, so that a late result never counts for a newer attempt.
+     * Sends a request to an endpoint; the shell answers with exactly one {@link RequestEvent.AttemptEnded}. The
+     * progress and the result of an attempt that resumes a generation cover the complete generation, beginning with the
+     * part that it resumed from. Attempts are numbered over all requests of the node, so that a late result is never
+     * attributed to a newer attempt.
      *
      * @param request The request.
      * @param attempt The number of the attempt, from one.
      * @param endpoint The endpoint to send to.
      * @param address The endpoint's address.
      * @param deadline The time by which the attempt must have ended.
-     * @param resumeFrom What an earlier attempt generated, from which the engine goes on, or empty to begin anew.
-     * @param inDoubt Whether an endpoint may have ended under the request, such that it needs a connection of its own.
+     * @param resumeFrom The partial generation of an earlier attempt that the engine resumes from, or empty to start
+     *     from the beginning.
+     * @param inDoubt Whether an endpoint may have terminated because of the request, so that the request needs a
+     *     connection of its own.
      */
     record Send(
             Request request,
@@ -46,7 +49,7 @@
     }
 
     /**
-     * Stops an attempt, which still ends by an {@link RequestEvent.AttemptEnded}.
+     * Cancels an attempt; the shell still reports its end with a {@link RequestEvent.AttemptEnded}.
      *
      * @param id The identifier of the request.
      * @param attempt The number of the attempt.
@@ -54,7 +57,7 @@
     record CancelAttempt(RequestId id, int attempt) implements RequestEffect {}
 
     /**
-     * Gives a request's outcome to whoever waits for it.
+     * Delivers the outcome of a request to the local waiter.
      *
      * @param id The identifier of the request.
      * @param outcome The outcome.
@@ -62,20 +65,21 @@
     record Conclude(RequestId id, Outcome outcome) implements RequestEffect {}
 
     /**
-     * Gives the caller of a streaming request what was generated so far. The text of each such effect begins with the
-     * text of the one before, also after a resume at another engine, so that the shell sends on what it has not sent
-     * yet.
+     * Delivers the generation so far to the caller of a streaming request. The text of each such effect begins with the
+     * text of the previous one, also after a resume at another engine, so that the shell sends only the part that it
+     * has not sent yet.
      *
      * @param id The identifier of the request.
-     * @param generated All that was generated so far, over all attempts.
+     * @param generated The generation so far, over all attempts.
      */
     record Stream(RequestId id, Generation generated) implements RequestEffect {}
 
     /**
-     * Asks an endpoint what became of a request, to be answered by exactly one {@link RequestEvent.Settled}.
+     * Queries an endpoint for the outcome of a request; the shell answers with exactly one
+     * {@link RequestEvent.Settled}.
      *
      * @param id The identifier of the request.
-     * @param endpoint The endpoint to ask.
+     * @param endpoint The endpoint to query.
      * @param address The endpoint's address.
      */
     record Settle(RequestId id, EndpointName endpoint, String address) implements RequestEffect {}
@@ -84,7 +88,7 @@
      * Answers a {@link RequestEvent.LookupArrived}.
      *
      * @param id The identifier of the request.
-     * @param outcome What became of the request, as far as it can be told.
+     * @param outcome The outcome of the request, as far as it is known.
      */
     record LookedUp(RequestId id, Outcome outcome) implements RequestEffect {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/RequestEvent.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/RequestEvent.java
@@ -4,7 +4,7 @@
 import io.yuccaswitch.core.identity.CallerName;
 import io.yuccaswitch.core.identity.EndpointName;
 
-/** Something that happened to a request. */
+/** An event that concerns a request. */
 public sealed interface RequestEvent extends Event {
 
     /**
@@ -15,7 +15,7 @@
     RequestId id();
 
     /**
-     * A request arrived from a caller, or was raised by a system that needs samples generated.
+     * A request arrived from a caller, or was created by a system that generates samples.
      *
      * @param request The request.
      */
@@ -36,11 +36,11 @@
     record Cancelled(RequestId id) implements RequestEvent {}
 
     /**
-     * An attempt received a part of a generation.
+     * An attempt received part of a generation.
      *
      * @param id The identifier of the request.
      * @param attempt The number of the attempt, from one.
-     * @param partial What was generated so far, in whole tokens, beginning with what the attempt resumed from.
+     * @param partial The generation so far, in complete tokens, beginning with the part that the attempt resumed from.
      */
     record Progressed(RequestId id, int attempt, Generation partial) implements RequestEvent {}
 
@@ -49,14 +49,14 @@
      *
      * @param id The identifier of the request.
      * @param attempt The number of the attempt, from one.
-     * @param endpoint The endpoint that the attempt went to.
+     * @param endpoint The endpoint that the attempt was sent to.
      * @param result The result of the attempt.
      */
     record AttemptEnded(RequestId id, int attempt, EndpointName endpoint, AttemptResult result)
             implements RequestEvent {}
 
     /**
-     * A request reached its outcome. The request path raises this for the systems that run after it, and emits
+     * A request was concluded. The request path raises this event for the systems that run after it, and emits
      * {@link RequestEffect.Conclude} for the shell.
      *
      * @param id The identifier of the request.
@@ -65,19 +65,19 @@
     record Concluded(RequestId id, Outcome outcome) implements RequestEvent {}
 
     /**
-     * A caller asks what became of a request, to be answered by {@link RequestEffect.LookedUp}.
+     * A caller queries the outcome of a request, which is answered by {@link RequestEffect.LookedUp}.
      *
      * @param id The identifier of the request.
-     * @param caller The caller that asks.
+     * @param caller The caller that queries the outcome.
      */
     record LookupArrived(RequestId id, CallerName caller) implements RequestEvent {}
 
     /**
-     * An endpoint was asked what became of a request.
+     * An endpoint was queried for the outcome of a request.
      *
      * @param id The identifier of the request.
-     * @param endpoint The endpoint that was asked.
-     * @param result What the endpoint said.
+     * @param endpoint The queried endpoint.
+     * @param result The result of the query.
      */
     record Settled(RequestId id, EndpointName endpoint, SettlementResult result) implements RequestEvent {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/RequestMessage.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/RequestMessage.java
@@ -17,15 +17,16 @@
     RequestId id();
 
     /**
-     * Passes a request to its home, which answers by {@link Concluded}. It may be sent repeatedly: the home joins
-     * repetitions to the request in progress, and repeats a refusal, such that a late repetition never runs what was
-     * refused.
+     * Forwards a request to its home, which answers with {@link Concluded}. The message may be sent repeatedly: the
+     * home joins repetitions to the request in progress, and repeats a refusal, so that a late repetition never runs a
+     * refused request.
      *
-     * @param request The request, whose deadline is of no meaning to the receiver.
-     * @param home The life of the node that is the request's home, such that another life does not take it.
+     * @param request The request, whose deadline is meaningless to the receiver.
+     * @param home The incarnation of the node that is the request's home, so that other incarnations do not accept the
+     *     request.
      * @param window The issue window of the request, or a negative number if it has none.
      * @param arrival The random number of the request's arrival at the sender, the same for repetitions.
-     * @param timeLeft The time that is left until the deadline.
+     * @param timeLeft The remaining time until the deadline.
      */
     record Forward(Request request, NodeIdentity home, long window, long arrival, Duration timeLeft)
             implements RequestMessage {
@@ -38,39 +39,39 @@
     }
 
     /**
-     * Tells a node that passed on a request what became of it.
+     * Reports the outcome of a request to a node that forwarded it.
      *
      * @param id The identifier of the request.
-     * @param arrival The number of the arrival that the outcome is for.
+     * @param arrival The number of the arrival that the outcome belongs to.
      * @param outcome The outcome.
      */
     record Concluded(RequestId id, long arrival, RecordedOutcome outcome) implements RequestMessage {}
 
     /**
-     * Asks what the receiver knows of a request, to be answered by {@link LookupAnswer}.
+     * Queries the receiver for the state of a request, which it answers with {@link LookupAnswer}.
      *
      * @param id The identifier of the request.
-     * @param caller The caller that asks, which only learns of its own requests.
+     * @param caller The querying caller, which only receives information about its own requests.
      */
     record Lookup(RequestId id, CallerName caller) implements RequestMessage {}
 
     /**
-     * Tells what the sender knows of a request.
+     * Reports the state of a request at the sender.
      *
      * @param id The identifier of the request.
-     * @param outcome The outcome, or empty if the sender knows none.
+     * @param outcome The outcome, or empty if the sender has none.
      * @param inProgress {@code true} if the sender has the request in progress.
      */
     record LookupAnswer(RequestId id, Optional<RecordedOutcome> outcome, boolean inProgress)
             implements RequestMessage {}
 
     /**
-     * Gives a finished answer to a peer that keeps a copy of it.
+     * Replicates the outcome of a request to a peer.
      *
      * @param id The identifier of the request.
-     * @param caller The caller that made the request.
-     * @param fingerprint The fingerprint of the request, which tells a request that is sent again from another one.
-     * @param outcome The outcome to keep.
+     * @param caller The caller that sent the request.
+     * @param fingerprint The fingerprint of the request, which distinguishes a repeated request from a different one.
+     * @param outcome The outcome to retain.
      */
     record KeepAnswer(RequestId id, CallerName caller, long fingerprint, RecordedOutcome outcome)
             implements RequestMessage {}
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/RequestRow.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/RequestRow.java
@@ -9,12 +9,12 @@
  *
  * @param request The request.
  * @param fingerprint The fingerprint of the request.
- * @param stage Where the request stands.
- * @param stageSince The time since which it stands there.
- * @param waiters Who waits for the outcome.
- * @param home The life of the node that alone may send the request, or empty if any may.
+ * @param stage The stage of the request.
+ * @param stageSince The time at which the request entered the stage.
+ * @param waiters The waiters for the outcome.
+ * @param home The only incarnation of a node that may send the request, or empty if any node may.
  * @param window The issue window of the id, or {@link RequestClock#NO_WINDOW}.
- * @param history What the attempts have brought so far.
+ * @param history The history of the attempts.
  * @param notBefore The time before which the request is not sent again.
  * @param arrival The random number of the request's arrival at this node.
  */
@@ -31,11 +31,11 @@
         long arrival) {
 
     /**
-     * Creates the row of a request that arrived.
+     * Creates the row of an arriving request.
      *
      * @param request The request.
-     * @param waiters Who waits for the outcome.
-     * @param now The time.
+     * @param waiters The waiters for the outcome.
+     * @param now The current time.
      * @param arrival The random number of the arrival.
      * @return The row.
      */
@@ -66,7 +66,7 @@
      * Returns this row at another stage.
      *
      * @param changed The stage.
-     * @param now The time.
+     * @param now The current time.
      * @return The changed row.
      */
     RequestRow withStage(RequestStage changed, MonotonicTime now) {
@@ -137,10 +137,10 @@
     }
 
     /**
-     * Returns this row waiting to be sent again.
+     * Returns this row in the queue, to be sent no earlier than a time.
      *
      * @param earliest The time before which it is not sent.
-     * @param now The time.
+     * @param now The current time.
      * @return The changed row.
      */
     RequestRow queuedUntil(MonotonicTime earliest, MonotonicTime now) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/RequestStage.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/RequestStage.java
@@ -1,15 +1,15 @@
 package io.yuccaswitch.core.request;
 
-/** Where a request stands on its way. */
+/** The stage of a request in progress. */
 enum RequestStage {
-    /** The id that the caller made is being claimed on the platform. */
+    /** The id, which was chosen by the caller, is being claimed on the platform. */
     CLAIMING,
-    /** The request waits to be sent, for the first time or again. */
+    /** The request waits to be sent, for the first time or for a retry. */
     QUEUED,
     /** At least one attempt is in progress. */
     SENT,
-    /** The request was passed on to its home. */
+    /** The request was forwarded to its home. */
     FORWARDED,
-    /** Other nodes and endpoints are asked what became of the request. */
+    /** Other nodes and endpoints are queried for the outcome of the request. */
     RESOLVING
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/RequestSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/RequestSystem.java
@@ -15,21 +15,21 @@
 import java.util.function.Function;
 
 /**
- * The request path: takes in requests, brings each to one outcome, and sends non-idempotent ones at most once.
+ * The request path: accepts requests, concludes each with one outcome, and sends non-idempotent ones at most once.
  *
- * <p>To wire it, create one instance and run it after the systems of configuration, membership and endpoints, after any
- * system that raises {@link RequestEvent.Arrived}, and before any that waits for {@link RequestEvent.Concluded}. It
- * consumes {@link RequestEvent}, {@code PeerEvent.Received} with a {@link RequestMessage}, {@code PlatformEvent} for
- * its own tokens and {@code ConfigurationEvent.InForce}; it emits {@link RequestEffect}, {@code PeerEffect.Send} and
+ * <p>Create one instance and run it after the systems of configuration, membership and endpoints, after any system that
+ * raises {@link RequestEvent.Arrived}, and before any that handles {@link RequestEvent.Concluded}. It consumes
+ * {@link RequestEvent}, {@code PeerEvent.Received} with a {@link RequestMessage}, {@code PlatformEvent} for its own
+ * tokens and {@code ConfigurationEvent.InForce}; it emits {@link RequestEffect}, {@code PeerEffect.Send} and
  * {@code PlatformEffect}.
  */
 public final class RequestSystem implements DecisionSystem {
 
-    /** The multiple of its best latency at which an engine counts as overloaded. */
-    private static final double ENGINE_TOLERANCE = 4;
+    /** The multiple of its best latency above which an engine is treated as overloaded. */
+    private static final double ENGINE_LATENCY_TOLERANCE = 4;
 
-    /** The multiple of its best latency at which a plain service counts as overloaded. */
-    private static final double SERVICE_TOLERANCE = 2;
+    /** The multiple of its best latency above which a plain service is treated as overloaded. */
+    private static final double SERVICE_LATENCY_TOLERANCE = 2;
 
     /** The tables. */
     private final RequestTables tables;
@@ -40,11 +40,12 @@
     /**
      * Creates a new system.
      *
-     * @param membership The members, of which this node's own identity is the home of its requests.
+     * @param membership The members, including this node, whose identity is the home of the requests that it issues ids
+     *     for.
      * @param endpoints The endpoints.
      * @param clock The clock that counts the windows of request ids.
-     * @param tokens The tokens of calls to the platform, which all systems of the core share.
-     * @param quarantine What is known of requests under which endpoints ended.
+     * @param tokens The generator of tokens for platform calls, which all systems of the core share.
+     * @param quarantine The quarantine of requests that made endpoints terminate.
      */
     public RequestSystem(
             MembershipView membership,
@@ -56,14 +57,14 @@
     }
 
     /**
-     * Creates a new system with limits of another kind.
+     * Creates a new system with a custom concurrency limit.
      *
      * @param membership The members.
      * @param endpoints The endpoints.
      * @param clock The clock that counts the windows of request ids.
-     * @param tokens The tokens of calls to the platform.
-     * @param quarantine What is known of requests under which endpoints ended.
-     * @param limits Creates the limit of an endpoint that was not used yet.
+     * @param tokens The generator of tokens for platform calls.
+     * @param quarantine The quarantine of requests that made endpoints terminate.
+     * @param limits The factory for the limit of an endpoint that was not used yet.
      */
     RequestSystem(
             MembershipView membership,
@@ -88,14 +89,15 @@
     }
 
     /**
-     * Creates the limit of an endpoint that was not used yet. Engines are tolerated to slow down by their batching.
+     * Creates the limit of an endpoint that was not used yet. Engines get a higher tolerance, because their latency
+     * grows with the size of the batch.
      *
      * @param settings The settings of the pool.
      * @return The limit.
      */
     static ConcurrencyLimit additiveIncrease(PoolSettings settings) {
         LimitSettings limits = settings.limits();
-        double tolerance = settings.kind() == PoolKind.ENGINE ? ENGINE_TOLERANCE : SERVICE_TOLERANCE;
+        double tolerance = settings.kind() == PoolKind.ENGINE ? ENGINE_LATENCY_TOLERANCE : SERVICE_LATENCY_TOLERANCE;
         return new ConcurrencyLimit.AdditiveIncrease(
                 limits.initialConcurrency(), limits.maximumConcurrency(), tolerance);
     }
@@ -112,7 +114,7 @@
     }
 
     /**
-     * Returns the number of requests in progress on this node, which a node that leaves waits for.
+     * Returns the number of requests in progress on this node. A leaving node waits until it is zero.
      *
      * @return The number of requests in progress.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/RequestTables.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/RequestTables.java
@@ -33,10 +33,10 @@
     /** The clock that counts the windows of ids. */
     final RequestClock clock;
 
-    /** Creates the limit of an endpoint that was not used yet. */
+    /** The factory for the limit of an endpoint that was not used yet. */
     final Function<PoolSettings, ConcurrencyLimit> limits;
 
-    /** Keeps requests under which endpoints ended away from further ones. */
+    /** Checks requests against the quarantine of requests that made endpoints terminate. */
     final QuarantineCheck quarantine;
 
     /** The requests in progress. */
@@ -45,25 +45,25 @@
     /** The attempts in progress. */
     final EntityTable<Integer, Attempt> attempts = new EntityTable<>();
 
-    /** What this node knows of endpoints from its own requests. */
+    /** The load states of endpoints, observed from this node's own requests. */
     final EntityTable<EndpointName, EndpointLoad> loads = new EntityTable<>();
 
-    /** The requests whose outcome is searched. */
+    /** The requests whose outcome is being searched for. */
     final EntityTable<RequestId, Resolution> resolutions = new EntityTable<>();
 
-    /** What is kept for the pools. */
+    /** The states of the pools. */
     final Map<PoolName, PoolState> pools = new HashMap<>();
 
     /** The ids that were sent. */
     final ConcludedIds concluded = new ConcludedIds();
 
-    /** The outcomes that are kept for requests that are sent again, this node's own and those of peers. */
-    final KeptAnswers kept = new KeptAnswers();
+    /** The outcomes that are retained to answer repeated requests, this node's own and those of peers. */
+    final RetainedOutcomes retained = new RetainedOutcomes();
 
-    /** The refusals of requests that peers passed on. */
+    /** The refusals of requests that peers forwarded. */
     final RefusedArrivals refused = new RefusedArrivals();
 
-    /** The configuration in force, or empty before the first one. */
+    /** The active configuration, or empty before the first one. */
     Optional<FleetConfiguration> configuration = Optional.empty();
 
     /** The number of the latest attempt. */
@@ -75,8 +75,8 @@
      * @param membership The members.
      * @param endpoints The endpoints.
      * @param clock The clock that counts the windows of ids.
-     * @param quarantine What is known of requests under which endpoints ended.
-     * @param limits Creates the limit of an endpoint that was not used yet.
+     * @param quarantine The quarantine of requests that made endpoints terminate.
+     * @param limits The factory for the limit of an endpoint that was not used yet.
      */
     RequestTables(
             MembershipView membership,
@@ -92,33 +92,33 @@
     }
 
     /**
-     * Takes over a configuration.
+     * Applies a configuration.
      *
-     * @param changed The configuration in force.
+     * @param changed The new configuration.
      */
     void configure(FleetConfiguration changed) {
         configuration = Optional.of(changed);
         for (Map.Entry<PoolName, PoolSettings> entry : changed.pools().entrySet()) {
-            PoolState known = pools.get(entry.getKey());
-            if (known == null) {
+            PoolState existing = pools.get(entry.getKey());
+            if (existing == null) {
                 pools.put(entry.getKey(), new PoolState(entry.getKey(), entry.getValue()));
             } else {
-                known.configure(entry.getValue());
+                existing.configure(entry.getValue());
             }
         }
     }
 
     /**
-     * Returns this life of this node.
+     * Returns the identity of this node.
      *
-     * @return This life of this node.
+     * @return The name and incarnation of this node.
      */
     NodeIdentity self() {
         return membership.self().identity();
     }
 
     /**
-     * Finds a pool that is configured.
+     * Finds a configured pool.
      *
      * @param pool The name of the pool.
      * @return The pool, or empty if it is not configured.
@@ -130,18 +130,18 @@
     }
 
     /**
-     * Returns what is known of an endpoint.
+     * Returns the load state of an endpoint.
      *
      * @param endpoint The endpoint's name.
      * @param pool The endpoint's pool.
-     * @return The load.
+     * @return The load state, which is that of an unused endpoint if none is recorded.
      */
     EndpointLoad load(EndpointName endpoint, PoolState pool) {
         return loads.find(endpoint).orElseGet(() -> EndpointLoad.unused(limits.apply(pool.settings)));
     }
 
     /**
-     * Returns the number of a new attempt.
+     * Allocates the number of a new attempt.
      *
      * @return The number, from one.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/Resolution.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/Resolution.java
@@ -10,17 +10,17 @@
 import java.util.Set;
 
 /**
- * A row of the table of requests whose outcome is searched at other nodes and at endpoints.
+ * A row of the table of requests whose outcome is being searched for at other nodes and at endpoints.
  *
  * @param id The identifier of the request.
- * @param caller The caller that asks.
- * @param pool The pool of the request, or empty if it is not known.
- * @param fallback The outcome if nobody knows more.
- * @param lookup Whether a look-up waits for the outcome, beside a request that may wait for it.
- * @param phaseSince The time since which the present phase runs.
- * @param peers The nodes that were asked and have not answered yet.
- * @param endpoints The endpoints that were asked and have not answered yet.
- * @param askingEndpoints Whether the endpoints were asked already.
+ * @param caller The caller that queries the outcome.
+ * @param pool The pool of the request, or empty if it is unknown.
+ * @param fallback The outcome if none is found.
+ * @param lookup Whether a look-up waits for the outcome, in addition to a request that may wait for it.
+ * @param phaseSince The time at which the current phase started.
+ * @param peers The queried nodes that have not answered yet.
+ * @param endpoints The queried endpoints that have not answered yet.
+ * @param queryingEndpoints Whether the search has reached the phase that queries endpoints.
  */
 record Resolution(
         RequestId id,
@@ -31,7 +31,7 @@
         MonotonicTime phaseSince,
         Set<NodeName> peers,
         Set<EndpointName> endpoints,
-        boolean askingEndpoints) {
+        boolean queryingEndpoints) {
 
     /** Copies the sets. */
     Resolution {
@@ -45,7 +45,7 @@
      * @return The changed resolution.
      */
     Resolution withLookup() {
-        return new Resolution(id, caller, pool, fallback, true, phaseSince, peers, endpoints, askingEndpoints);
+        return new Resolution(id, caller, pool, fallback, true, phaseSince, peers, endpoints, queryingEndpoints);
     }
 
     /**
@@ -55,20 +55,20 @@
      * @return The changed resolution.
      */
     Resolution withoutPeer(NodeName peer) {
-        Set<NodeName> left = new HashSet<>(peers);
-        left.remove(peer);
-        return new Resolution(id, caller, pool, fallback, lookup, phaseSince, left, endpoints, askingEndpoints);
+        Set<NodeName> remaining = new HashSet<>(peers);
+        remaining.remove(peer);
+        return new Resolution(id, caller, pool, fallback, lookup, phaseSince, remaining, endpoints, queryingEndpoints);
     }
 
     /**
-     * Returns this resolution asking endpoints.
+     * Returns this resolution in the phase that queries endpoints.
      *
-     * @param asked The endpoints that are asked.
-     * @param now The time.
+     * @param queried The queried endpoints.
+     * @param now The current time.
      * @return The changed resolution.
      */
-    Resolution askingEndpoints(Set<EndpointName> asked, MonotonicTime now) {
-        return new Resolution(id, caller, pool, fallback, lookup, now, Set.of(), asked, true);
+    Resolution queryingEndpoints(Set<EndpointName> queried, MonotonicTime now) {
+        return new Resolution(id, caller, pool, fallback, lookup, now, Set.of(), queried, true);
     }
 
     /**
@@ -78,8 +78,8 @@
      * @return The changed resolution.
      */
     Resolution withoutEndpoint(EndpointName endpoint) {
-        Set<EndpointName> left = new HashSet<>(endpoints);
-        left.remove(endpoint);
-        return new Resolution(id, caller, pool, fallback, lookup, phaseSince, peers, left, askingEndpoints);
+        Set<EndpointName> remaining = new HashSet<>(endpoints);
+        remaining.remove(endpoint);
+        return new Resolution(id, caller, pool, fallback, lookup, phaseSince, peers, remaining, queryingEndpoints);
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/ResolutionSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/ResolutionSystem.java
@@ -23,35 +23,35 @@
 import java.util.Set;
 
 /**
- * Searches what became of requests that this node can't send: first at the nodes that may keep a copy of the outcome,
- * then at the endpoints of pools that settle requests. What is found is told; what is not found stays unknown, because
- * a request that nobody has seen may still be on its way.
+ * Searches for the outcomes of requests that this node can't send: first at the nodes that may keep a copy of the
+ * outcome, then at the endpoints of pools that settle requests. An outcome that is found is reported; otherwise it
+ * remains unknown, because a request that no node or endpoint has seen may still be in transit.
  */
 final class ResolutionSystem implements DecisionSystem {
 
-    /** The time that nodes and endpoints have for their answers. */
-    static final Duration PHASE_TIME = Duration.ofSeconds(1);
+    /** The timeout for the answers of nodes, and again for those of endpoints. */
+    static final Duration PHASE_TIMEOUT = Duration.ofSeconds(1);
 
-    /** The number of nodes that are asked besides the home. */
-    private static final int ASKED_PEERS = 3;
+    /** The maximum number of nodes to query from each ranking, in addition to the home. */
+    private static final int MAXIMUM_PEERS_PER_RANKING = 3;
 
-    /** The largest number of endpoints that are asked. */
-    private static final int ASKED_ENDPOINTS = 64;
+    /** The maximum number of endpoints to query. */
+    private static final int MAXIMUM_QUERIED_ENDPOINTS = 64;
 
-    /** The code of a failure whose request surely ran. */
-    private static final String RAN_CODE = "ran-answer-lost";
+    /** The code of a failure whose request is known to have run. */
+    private static final String RAN_ANSWER_LOST_CODE = "ran-answer-lost";
 
     /** The tables. */
     private final RequestTables tables;
 
-    /** What brings requests to their outcome. */
+    /** Concludes requests and notifies their waiters. */
     private final Conclusions conclusions;
 
     /**
      * Creates a new system.
      *
      * @param tables The tables.
-     * @param conclusions What brings requests to their outcome.
+     * @param conclusions Concludes requests and notifies their waiters.
      */
     ResolutionSystem(RequestTables tables, Conclusions conclusions) {
         this.tables = tables;
@@ -68,25 +68,25 @@
             if (event.message() instanceof RequestMessage.Lookup lookup) {
                 answer(tick, event.sender().name(), lookup);
             } else if (event.message() instanceof RequestMessage.LookupAnswer answer) {
-                peerAnswered(tick, event.sender().name(), answer);
+                handlePeerAnswer(tick, event.sender().name(), answer);
             }
         }
         for (RequestEvent.Settled event : tick.events(RequestEvent.Settled.class)) {
-            endpointAnswered(tick, event);
+            handleEndpointAnswer(tick, event);
         }
         for (Resolution resolution : tables.resolutions.rows()) {
-            if (tick.now().since(resolution.phaseSince()).compareTo(PHASE_TIME) >= 0) {
+            if (tick.now().since(resolution.phaseSince()).compareTo(PHASE_TIMEOUT) >= 0) {
                 nextPhase(tick, resolution);
             }
         }
     }
 
     /**
-     * Searches the outcome of a request that must not be sent.
+     * Searches for the outcome of a request that must not be sent.
      *
      * @param tick The tick.
      * @param row The request's row.
-     * @param fallback The outcome if nobody knows more.
+     * @param fallback The outcome if none is found.
      */
     void resolve(Tick tick, RequestRow row, Outcome fallback) {
         tables.requests.put(row.id(), row.withStage(RequestStage.RESOLVING, tick.now()));
@@ -95,12 +95,13 @@
     }
 
     /**
-     * Asks the endpoint that a request was sent to what became of it, if it settles requests, and concludes otherwise.
+     * Queries the endpoint that a request was sent to for its outcome. If the pool does not settle requests, concludes
+     * the request with the fallback.
      *
      * @param tick The tick.
      * @param row The request's row.
      * @param endpoint The endpoint.
-     * @param fallback The outcome if the endpoint does not know.
+     * @param fallback The outcome if the endpoint does not report one.
      */
     void settle(Tick tick, RequestRow row, EndpointName endpoint, Outcome fallback) {
         Request request = row.request();
@@ -128,20 +129,20 @@
     }
 
     /**
-     * Answers a caller that asks what became of a request.
+     * Handles the look-up of a caller.
      *
      * @param tick The tick.
      * @param event The event.
      */
     private void lookup(Tick tick, RequestEvent.LookupArrived event) {
-        Optional<KeptAnswer> kept = tables.kept.find(event.id());
-        if (kept.isPresent() && !kept.get().caller().equals(event.caller())) {
-            tick.emit(new RequestEffect.LookedUp(event.id(), unknown("not-seen", "No such request is known.")));
+        Optional<RetainedOutcome> retained = tables.retained.find(event.id());
+        if (retained.isPresent() && !retained.get().caller().equals(event.caller())) {
+            tick.emit(new RequestEffect.LookedUp(event.id(), unknown("not-seen", "No such request was found.")));
             return;
         }
-        if (kept.isPresent() && kept.get().outcome().kind() == RecordedOutcome.Kind.ANSWERED) {
-            tick.emit(
-                    new RequestEffect.LookedUp(event.id(), kept.get().outcome().outcome()));
+        if (retained.isPresent() && retained.get().outcome().kind() == RecordedOutcome.Kind.ANSWERED) {
+            tick.emit(new RequestEffect.LookedUp(
+                    event.id(), retained.get().outcome().outcome()));
             return;
         }
         Optional<RequestRow> row = tables.requests.find(event.id());
@@ -149,23 +150,23 @@
             tick.emit(new RequestEffect.LookedUp(event.id(), unknown("in-progress", "The request is in progress.")));
             return;
         }
-        Outcome fallback = kept.map(answer -> answer.outcome().outcome())
-                .orElseGet(() -> unknown("not-seen", "No node or endpoint that was asked has seen the request."));
+        Outcome fallback = retained.map(answer -> answer.outcome().outcome())
+                .orElseGet(() -> unknown("not-seen", "No queried node or endpoint has seen the request."));
         start(tick, event.id(), event.caller(), Optional.empty(), fallback, true);
     }
 
     /**
-     * Answers another node that asks for a request.
+     * Answers the look-up of another node.
      *
      * @param tick The tick.
      * @param peer The node.
-     * @param lookup The question.
+     * @param lookup The look-up.
      */
     private void answer(Tick tick, NodeName peer, RequestMessage.Lookup lookup) {
-        Optional<RecordedOutcome> outcome = tables.kept
+        Optional<RecordedOutcome> outcome = tables.retained
                 .find(lookup.id())
-                .filter(kept -> kept.caller().equals(lookup.caller()))
-                .map(KeptAnswer::outcome);
+                .filter(retained -> retained.caller().equals(lookup.caller()))
+                .map(RetainedOutcome::outcome);
         boolean inProgress = tables.requests
                 .find(lookup.id())
                 .map(row -> row.stage() == RequestStage.SENT || row.stage() == RequestStage.QUEUED)
@@ -174,13 +175,13 @@
     }
 
     /**
-     * Begins a search, or joins one that runs.
+     * Starts a search, or joins the one in progress.
      *
      * @param tick The tick.
      * @param id The identifier of the request.
-     * @param caller The caller that asks.
-     * @param pool The pool of the request, or empty if it is not known.
-     * @param fallback The outcome if nobody knows more.
+     * @param caller The caller that queries the outcome.
+     * @param pool The pool of the request, or empty if it is unknown.
+     * @param fallback The outcome if none is found.
      * @param lookup Whether a look-up waits for the outcome.
      */
     private void start(
@@ -190,7 +191,7 @@
             tables.resolutions.put(id, lookup ? running.get().withLookup() : running.get());
             return;
         }
-        Set<NodeName> peers = peersToAsk(id);
+        Set<NodeName> peers = peersToQuery(id);
         for (NodeName peer : peers) {
             tick.emit(new PeerEffect.Send(peer, new RequestMessage.Lookup(id, caller)));
         }
@@ -202,25 +203,26 @@
     }
 
     /**
-     * Picks the nodes that may know of a request: its home, and those that rank highest for keeping a copy.
+     * Selects the nodes that may have the outcome of a request: its home, and those that rank highest for keeping a
+     * copy.
      *
      * @param id The identifier of the request.
      * @return The nodes, without this one.
      */
-    private Set<NodeName> peersToAsk(RequestId id) {
+    private Set<NodeName> peersToQuery(RequestId id) {
         NodeName self = tables.self().name();
         Set<NodeName> peers = new LinkedHashSet<>();
         Optional<Member> home = id.home().map(NodeIdentity::name).flatMap(tables.membership::find);
         home.ifPresent(member -> peers.add(member.identity().name()));
         List<Member> ranked = RendezvousRanking.rank(id.value(), tables.membership.working());
         ranked.stream()
-                .limit(ASKED_PEERS)
+                .limit(MAXIMUM_PEERS_PER_RANKING)
                 .map(member -> member.identity().name())
                 .forEach(peers::add);
         ranked.stream()
                 .filter(member -> home.isEmpty()
                         || !member.availabilityZone().equals(home.get().availabilityZone()))
-                .limit(ASKED_PEERS)
+                .limit(MAXIMUM_PEERS_PER_RANKING)
                 .map(member -> member.identity().name())
                 .forEach(peers::add);
         peers.remove(self);
@@ -228,21 +230,21 @@
     }
 
     /**
-     * Takes in what another node knows.
+     * Handles the answer of another node.
      *
      * @param tick The tick.
      * @param peer The node.
-     * @param answer What the node knows.
+     * @param answer The answer.
      */
-    private void peerAnswered(Tick tick, NodeName peer, RequestMessage.LookupAnswer answer) {
+    private void handlePeerAnswer(Tick tick, NodeName peer, RequestMessage.LookupAnswer answer) {
         Optional<Resolution> found = tables.resolutions.find(answer.id());
         if (found.isEmpty() || !found.get().peers().contains(peer)) {
             return;
         }
-        Optional<RecordedOutcome> whole =
+        Optional<RecordedOutcome> answered =
                 answer.outcome().filter(outcome -> outcome.kind() == RecordedOutcome.Kind.ANSWERED);
-        if (whole.isPresent()) {
-            finish(tick, found.get(), whole.get().outcome());
+        if (answered.isPresent()) {
+            finish(tick, found.get(), answered.get().outcome());
             return;
         }
         if (answer.inProgress() && found.get().lookup()) {
@@ -257,35 +259,35 @@
     }
 
     /**
-     * Goes on from the nodes to the endpoints, or gives up.
+     * Continues with the endpoints after the nodes, or finishes with the fallback after the endpoints.
      *
      * @param tick The tick.
      * @param resolution The search.
      */
     private void nextPhase(Tick tick, Resolution resolution) {
-        if (resolution.askingEndpoints()) {
+        if (resolution.queryingEndpoints()) {
             finish(tick, resolution, resolution.fallback());
             return;
         }
-        Set<EndpointName> asked = new HashSet<>();
-        tables.configuration.ifPresent(configuration -> ask(tick, resolution, configuration, asked));
-        Resolution changed = resolution.askingEndpoints(asked, tick.now());
+        Set<EndpointName> queried = new HashSet<>();
+        tables.configuration.ifPresent(configuration -> queryEndpoints(tick, resolution, configuration, queried));
+        Resolution changed = resolution.queryingEndpoints(queried, tick.now());
         tables.resolutions.put(resolution.id(), changed);
-        if (asked.isEmpty()) {
+        if (queried.isEmpty()) {
             finish(tick, changed, changed.fallback());
         }
     }
 
     /**
-     * Asks the endpoints of the pools that settle requests.
+     * Queries the endpoints of the pools that settle requests.
      *
      * @param tick The tick.
      * @param resolution The search.
-     * @param configuration The configuration in force.
-     * @param asked The endpoints that are asked, to add to.
+     * @param configuration The active configuration.
+     * @param queried The set to which the queried endpoints are added.
      */
-    private static void ask(
-            Tick tick, Resolution resolution, FleetConfiguration configuration, Set<EndpointName> asked) {
+    private static void queryEndpoints(
+            Tick tick, Resolution resolution, FleetConfiguration configuration, Set<EndpointName> queried) {
         for (Map.Entry<PoolName, PoolSettings> pool : configuration.pools().entrySet()) {
             boolean concerned = resolution.pool().map(pool.getKey()::equals).orElse(true);
             if (!concerned || !pool.getValue().settlesRequests()) {
@@ -294,7 +296,7 @@
             for (Map.Entry<String, EndpointSettings> endpoint :
                     pool.getValue().endpoints().entrySet()) {
                 EndpointName name = new EndpointName(pool.getKey(), endpoint.getKey());
-                if (asked.size() < ASKED_ENDPOINTS && asked.add(name)) {
+                if (queried.size() < MAXIMUM_QUERIED_ENDPOINTS && queried.add(name)) {
                     tick.emit(new RequestEffect.Settle(
                             resolution.id(), name, endpoint.getValue().address()));
                 }
@@ -303,12 +305,12 @@
     }
 
     /**
-     * Takes in what an endpoint says.
+     * Handles the answer of an endpoint.
      *
      * @param tick The tick.
      * @param event The event.
      */
-    private void endpointAnswered(Tick tick, RequestEvent.Settled event) {
+    private void handleEndpointAnswer(Tick tick, RequestEvent.Settled event) {
         Optional<Resolution> found = tables.resolutions.find(event.id());
         if (found.isEmpty() || !found.get().endpoints().contains(event.endpoint())) {
             return;
@@ -323,7 +325,8 @@
             finish(
                     tick,
                     found.get(),
-                    new Outcome.FailedAfterSend(RAN_CODE, "The endpoint ran the request, its answer is lost."));
+                    new Outcome.FailedAfterSend(
+                            RAN_ANSWER_LOST_CODE, "The endpoint ran the request, but its answer is lost."));
             return;
         }
         Resolution changed = found.get().withoutEndpoint(event.endpoint());
@@ -334,11 +337,11 @@
     }
 
     /**
-     * Ends a search.
+     * Finishes a search.
      *
      * @param tick The tick.
      * @param resolution The search.
-     * @param outcome What was found, or the fallback.
+     * @param outcome The outcome that was found, or the fallback.
      */
     private void finish(Tick tick, Resolution resolution, Outcome outcome) {
         tables.resolutions.remove(resolution.id());
@@ -352,7 +355,7 @@
     }
 
     /**
-     * Describes a request of which nothing is known.
+     * Creates an unknown outcome.
      *
      * @param code The code of the reason.
      * @param message The explanation for the caller.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/SettlementResult.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/SettlementResult.java
@@ -2,7 +2,7 @@
 
 import io.yuccaswitch.core.value.Bytes;
 
-/** What an endpoint says of a request that it may have run. */
+/** The answer of an endpoint to a query for the outcome of a request that it may have run. */
 public sealed interface SettlementResult {
 
     /**
@@ -17,13 +17,13 @@
     /** The endpoint ran the request, but no longer has its answer. */
     record Ran() implements SettlementResult {}
 
-    /** The endpoint has not seen the request so far, which does not rule out that it arrives later. */
+    /** The endpoint has not seen the request so far; the request may still arrive later. */
     record NotSeen() implements SettlementResult {}
 
     /**
-     * The endpoint did not say.
+     * The endpoint did not answer the query.
      *
-     * @param reason The reason, for logs.
+     * @param reason The reason, for log lines.
      */
     record Unanswered(String reason) implements SettlementResult {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/Waiters.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/Waiters.java
@@ -5,17 +5,17 @@
 import java.util.Set;
 
 /**
- * Who waits for the outcome of a request.
+ * The waiters for the outcome of a request.
  *
  * @param local Whether this node's shell or a system of this node waits.
- * @param peers The nodes that passed on the request.
+ * @param peers The nodes that forwarded the request.
  */
 record Waiters(boolean local, Set<Peer> peers) {
 
-    /** Nobody. */
+    /** No waiters. */
     static final Waiters NONE = new Waiters(false, Set.of());
 
-    /** This node alone. */
+    /** This node as the only waiter. */
     static final Waiters LOCAL = new Waiters(true, Set.of());
 
     /** Copies the set. */
@@ -24,7 +24,7 @@
     }
 
     /**
-     * Returns a peer as the only one that waits.
+     * Creates the waiters with a peer as the only one.
      *
      * @param peer The peer.
      * @param arrival The number of the request's arrival there.
@@ -35,10 +35,10 @@
     }
 
     /**
-     * Returns these waiters and others.
+     * Returns the union of these waiters and others.
      *
      * @param others The others.
-     * @return All of them.
+     * @return The union.
      */
     Waiters and(Waiters others) {
         Set<Peer> all = new HashSet<>(peers);
@@ -49,23 +49,23 @@
     /**
      * Returns these waiters without this node.
      *
-     * @return The peers.
+     * @return The waiters without this node.
      */
     Waiters withoutLocal() {
         return new Waiters(false, peers);
     }
 
     /**
-     * Returns whether nobody waits.
+     * Returns whether there are no waiters.
      *
-     * @return {@code true} if nobody waits.
+     * @return {@code true} if there are no waiters.
      */
     boolean isEmpty() {
         return !local && peers.isEmpty();
     }
 
     /**
-     * A node that passed on the request.
+     * A node that forwarded the request.
      *
      * @param node The node.
      * @param arrival The number of the request's arrival there.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/package-info.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/package-info.java
@@ -1,2 +1,4 @@
-/** Requests from their arrival to their outcome: identifiers, attempts, outcomes and what the shell does for them. */
+/**
+ * The request path, from arrival to outcome: identifiers, attempts, outcomes and the effects that the shell performs.
+ */
 package io.yuccaswitch.core.request;
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/AtMostOncePropertyTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/AtMostOncePropertyTest.java
@@ -21,23 +21,23 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random interleavings of sends, re-sends through any node, lost and repeated messages, the platform's faults, dead and
- * reborn homes, and long pauses. A model of the endpoints counts how often each id ran.
+ * Checks random interleavings of sends, repetitions at any node, lost and duplicated messages, platform faults, dead
+ * and restarted homes, and long pauses. A model of the endpoints counts how often each id ran.
  */
 @Tag("property")
 class AtMostOncePropertyTest {
 
     private static final int STEPS = 120;
 
-    /** A run in which a refusal was once given for an identifier that was about to run. */
+    /** Guards against a refusal of an id for which an attempt is still in progress, which occurred with this seed. */
     @Test
-    void aRefusalIsTrueInTheRunThatOnceBrokeIt() {
-        new Run(3338128568L).play();
+    void aRefusedIdDoesNotRunWithTheRegressionSeed() {
+        new Run(3338128568L).execute();
     }
 
     @Property(tries = 400, seed = "20261202")
-    void anIdRunsAtMostOnceAndNotRunIsTrue(@ForAll long seed) {
-        new Run(seed).play();
+    void anIdRunsAtMostOnceAndARefusedIdDoesNotRun(@ForAll long seed) {
+        new Run(seed).execute();
     }
 
     /** One random run. */
@@ -50,117 +50,120 @@
                 3);
         private final List<String> ids = new ArrayList<>();
         private final Map<RequestId, Integer> runs = new HashMap<>();
-        private final Map<String, Integer> judged = new HashMap<>();
-        private final Set<Ask> asks = new HashSet<>();
-        private final List<TestSite.Node> everyLife = new ArrayList<>(site.nodes.values());
-        private final List<Pending> pending = new ArrayList<>();
-        private final Map<NodeIdentity, Integer> taken = new HashMap<>();
+        private final Map<String, Integer> checkedConclusionCounts = new HashMap<>();
+        private final Set<OpenArrival> openArrivals = new HashSet<>();
+        private final List<TestSite.Node> allNodes = new ArrayList<>(site.nodes.values());
+        private final List<PendingAttempt> pendingAttempts = new ArrayList<>();
+        private final Map<NodeIdentity, Integer> collectedSendCounts = new HashMap<>();
 
         Run(long seed) {
             random = new Random(seed);
         }
 
-        void play() {
+        void execute() {
             for (int step = 0; step < STEPS; step++) {
-                act();
+                performRandomAction();
                 collectSends();
                 check();
             }
         }
 
-        private void act() {
+        private void performRandomAction() {
             TestSite.Node node = site.node("n" + random.nextInt(3));
             switch (random.nextInt(16)) {
                 case 0, 1 -> ids.add(random.nextInt(3) == 0 ? "made-" + ids.size() : node.id("s" + ids.size()));
                 case 2, 3, 4 -> arrive(node);
-                case 5, 6 -> moveLetter(false);
-                case 7 -> moveLetter(true);
-                case 8 -> moveLetters();
+                case 5, 6 -> deliverOrLoseEnvelope(false);
+                case 7 -> deliverOrLoseEnvelope(true);
+                case 8 -> deliverAllEnvelopes();
                 case 9, 10 -> endAttempt();
-                case 11 -> answerCall();
+                case 11 -> answerPlatformCall();
                 case 12 -> site.advance(Duration.ofMillis(random.nextInt(900)));
                 case 13 -> site.advance(Duration.ofMinutes(random.nextInt(8)));
-                case 14 -> changeLife(node);
-                default -> believe(node);
+                case 14 -> changeNodeState(node);
+                default -> changeObservedCondition(node);
             }
         }
 
         private void arrive(TestSite.Node node) {
             if (!ids.isEmpty()) {
                 String id = ids.get(random.nextInt(ids.size()));
-                asks.add(new Ask(node.identity, new RequestId(id)));
+                openArrivals.add(new OpenArrival(node.identity, new RequestId(id)));
                 node.arrive(site.request(id, false));
             }
         }
 
-        private void moveLetters() {
-            while (!site.letters.isEmpty()) {
-                site.deliver(site.letters.remove(0));
+        private void deliverAllEnvelopes() {
+            while (!site.envelopes.isEmpty()) {
+                site.deliver(site.envelopes.remove(0));
                 collectSends();
                 check();
             }
         }
 
-        private void moveLetter(boolean lose) {
-            if (site.letters.isEmpty()) {
+        private void deliverOrLoseEnvelope(boolean lose) {
+            if (site.envelopes.isEmpty()) {
                 return;
             }
-            int index = random.nextInt(site.letters.size());
-            TestSite.Letter letter = site.letters.get(index);
+            int index = random.nextInt(site.envelopes.size());
+            TestSite.Envelope envelope = site.envelopes.get(index);
             if (lose || random.nextInt(4) > 0) {
-                site.letters.remove(index);
+                site.envelopes.remove(index);
             }
             if (!lose) {
-                site.deliver(letter);
+                site.deliver(envelope);
             }
         }
 
-        private void answerCall() {
-            if (site.calls.isEmpty()) {
+        private void answerPlatformCall() {
+            if (site.platformCalls.isEmpty()) {
                 return;
             }
-            TestSite.Call call = site.calls.remove(random.nextInt(site.calls.size()));
+            TestSite.PlatformCall call = site.platformCalls.remove(random.nextInt(site.platformCalls.size()));
             boolean applied = random.nextInt(4) > 0;
             PlatformEvent answer = applied ? site.apply(call.effect()) : null;
             boolean lost = !applied || random.nextInt(3) == 0;
             call.node().tick(lost ? new PlatformEvent.Unavailable(call.effect().token(), true, "lost") : answer);
         }
 
-        private void changeLife(TestSite.Node node) {
+        private void changeNodeState(TestSite.Node node) {
             if (node.alive && random.nextBoolean()) {
                 node.alive = false;
             } else if (random.nextBoolean()) {
                 node.alive = true;
             } else {
                 node.kill();
-                everyLife.add(site.start(node.identity.name().value()));
+                allNodes.add(site.start(node.identity.name().value()));
             }
         }
 
-        private void believe(TestSite.Node node) {
-            TestSite.Node about = site.node("n" + random.nextInt(3));
-            node.beliefs.put(
-                    about.identity.toString(), random.nextBoolean() ? MemberCondition.DEAD : MemberCondition.ALIVE);
+        private void changeObservedCondition(TestSite.Node node) {
+            TestSite.Node observed = site.node("n" + random.nextInt(3));
+            node.observedConditions.put(
+                    observed.identity.toString(), random.nextBoolean() ? MemberCondition.DEAD : MemberCondition.ALIVE);
         }
 
-        /** Attempts run at once, run later or never, and end in any way that is true. */
+        /** Collects new sends as pending attempts, which end later or never, with any possible result. */
         private void collectSends() {
-            for (TestSite.Node node : everyLife) {
-                for (int index = taken.getOrDefault(node.identity, 0); index < node.sends.size(); index++) {
+            for (TestSite.Node node : allNodes) {
+                for (int index = collectedSendCounts.getOrDefault(node.identity, 0);
+                        index < node.sends.size();
+                        index++) {
                     RequestId id = node.sends.get(index).id();
-                    assertThat(asks).as("someone was not refused").anyMatch(ask -> ask.id()
-                            .equals(id));
-                    pending.add(new Pending(node, node.sends.get(index)));
+                    assertThat(openArrivals)
+                            .as("an arrival of the id that was not refused")
+                            .anyMatch(arrival -> arrival.id().equals(id));
+                    pendingAttempts.add(new PendingAttempt(node, node.sends.get(index)));
                 }
-                taken.put(node.identity, node.sends.size());
+                collectedSendCounts.put(node.identity, node.sends.size());
             }
         }
 
         private void endAttempt() {
-            if (pending.isEmpty()) {
+            if (pendingAttempts.isEmpty()) {
                 return;
             }
-            Pending attempt = pending.remove(random.nextInt(pending.size()));
+            PendingAttempt attempt = pendingAttempts.remove(random.nextInt(pendingAttempts.size()));
             AttemptResult result =
                     switch (random.nextInt(3)) {
                         case 0 -> new AttemptResult.NotRun("connect-failed", random.nextBoolean());
@@ -173,38 +176,40 @@
             attempt.node().end(attempt.send(), result);
         }
 
-        /**
-         * Checks the counts, and that no refusal was false when it was given or turned out so later without a re-send.
-         */
+        /** Checks the number of runs, and that no refused id had run or runs later unless it is sent again. */
         private void check() {
             for (Map.Entry<RequestId, Integer> entry : runs.entrySet()) {
-                long open = pending.stream()
+                long open = pendingAttempts.stream()
                         .filter(attempt -> attempt.send().id().equals(entry.getKey()))
                         .count();
                 assertThat(entry.getValue() + open)
                         .as("runs of %s", entry.getKey())
                         .isLessThanOrEqualTo(1);
             }
-            for (TestSite.Node node : everyLife) {
+            for (TestSite.Node node : allNodes) {
                 String key = node.identity.toString();
-                for (int index = judged.getOrDefault(key, 0); index < node.conclusions.size(); index++) {
+                for (int index = checkedConclusionCounts.getOrDefault(key, 0);
+                        index < node.conclusions.size();
+                        index++) {
                     RequestEffect.Conclude conclude = node.conclusions.get(index);
                     if (conclude.outcome() instanceof Outcome.NotRun) {
-                        assertThat(runs).as("not run").doesNotContainKey(conclude.id());
-                        assertThat(pending)
-                                .as("not run, and not about to")
+                        assertThat(runs)
+                                .as("ids that ran although they were refused")
+                                .doesNotContainKey(conclude.id());
+                        assertThat(pendingAttempts)
+                                .as("attempts in progress although their id was refused")
                                 .noneMatch(attempt -> attempt.send().id().equals(conclude.id()));
-                        asks.remove(new Ask(node.identity, conclude.id()));
+                        openArrivals.remove(new OpenArrival(node.identity, conclude.id()));
                     }
                 }
-                judged.put(key, node.conclusions.size());
+                checkedConclusionCounts.put(key, node.conclusions.size());
             }
         }
 
-        /** A caller that sent an id and was not told that it did not run. */
-        private record Ask(NodeIdentity node, RequestId id) {}
+        /** An arrival of an id at a node that was not answered by a refusal. */
+        private record OpenArrival(NodeIdentity node, RequestId id) {}
 
         /** An attempt in progress. */
-        private record Pending(TestSite.Node node, RequestEffect.Send send) {}
+        private record PendingAttempt(TestSite.Node node, RequestEffect.Send send) {}
     }
 }
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/AtMostOnceTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/AtMostOnceTest.java
@@ -29,8 +29,10 @@
         return site.nodes.values().stream().mapToInt(node -> node.sends.size()).sum();
     }
 
-    private void believeDead(TestSite.Node dead) {
-        site.nodes.values().forEach(node -> node.beliefs.put(dead.identity.toString(), MemberCondition.DEAD));
+    private void observeAsDead(TestSite.Node dead) {
+        site.nodes
+                .values()
+                .forEach(node -> node.observedConditions.put(dead.identity.toString(), MemberCondition.DEAD));
     }
 
     private static String text(Outcome outcome) {
@@ -38,7 +40,7 @@
     }
 
     @Test
-    void anotherNodePassesTheRequestToItsHomeAndTheOutcomeBack() {
+    void anotherNodeForwardsTheRequestToItsHomeAndReturnsTheOutcome() {
         other.arrive(site.request(home.id("a"), false));
         site.deliverAll();
         assertThat(other.sends).isEmpty();
@@ -50,7 +52,7 @@
     }
 
     @Test
-    void aRequestSentAgainThroughAnotherNodeJoinsTheOneInProgress() {
+    void aRequestRepeatedAtAnotherNodeJoinsTheOneInProgress() {
         home.arrive(site.request(home.id("a"), false));
         other.arrive(site.request(home.id("a"), false));
         site.deliverAll();
@@ -63,15 +65,15 @@
     }
 
     @Test
-    void aLostMessageIsSentAgainAndTheHomeStillSendsOnce() {
+    void aLostForwardMessageIsRepeatedAndTheHomeSendsTheRequestOnce() {
         other.arrive(site.request(home.id("a"), false));
-        site.letters.clear();
+        site.envelopes.clear();
         site.advance(Duration.ofMillis(600));
         site.advance(Duration.ofMillis(600));
-        assertThat(site.letters).hasSize(2);
+        assertThat(site.envelopes).hasSize(2);
         site.deliverAll();
         home.answer(home.lastSend(), "done");
-        site.letters.clear();
+        site.envelopes.clear();
         site.advance(Duration.ofMillis(600));
         site.deliverAll();
 
@@ -80,13 +82,13 @@
     }
 
     @Test
-    void aHomeKilledBetweenSendAndAnswerLeavesTheRequestUnknownAndUnsent() {
+    void aRequestWhoseHomeIsKilledBeforeTheAnswerIsUnknownAndNotSentAgain() {
         String id = home.id("a");
         home.arrive(site.request(id, false));
         home.kill();
         other.arrive(site.request(id, false));
         site.deliverAll();
-        believeDead(home);
+        observeAsDead(home);
         site.advance(Duration.ofSeconds(1));
         site.deliverAll();
         site.advance(Duration.ofSeconds(2));
@@ -96,24 +98,24 @@
     }
 
     @Test
-    void aHomeThatWasBornAgainDoesNotSendTheIdsOfItsEarlierLife() {
+    void aRestartedHomeDoesNotSendIdsOfItsEarlierIncarnation() {
         String id = home.id("a");
         home.arrive(site.request(id, false));
-        TestSite.Node reborn = site.start("n0");
-        reborn.arrive(site.request(id, false));
+        TestSite.Node restarted = site.start("n0");
+        restarted.arrive(site.request(id, false));
         other.arrive(site.request(id, false));
         site.deliverAll();
         site.advance(Duration.ofSeconds(2));
         site.deliverAll();
 
-        assertThat(reborn.sends).isEmpty();
+        assertThat(restarted.sends).isEmpty();
         assertThat(other.sends).isEmpty();
-        assertThat(reborn.lastOutcome()).isInstanceOf(Outcome.Unknown.class);
+        assertThat(restarted.lastOutcome()).isInstanceOf(Outcome.Unknown.class);
         assertThat(other.lastOutcome()).isInstanceOf(Outcome.Unknown.class);
     }
 
     @Test
-    void aRebornHomeThatAPeerStillTakesForItsEarlierLifeAnswersUnknown() {
+    void aForwardToTheEarlierIncarnationOfARestartedHomeIsUnknown() {
         String id = home.id("a");
         other.arrive(site.request(id, false));
         site.start("n0");
@@ -127,13 +129,13 @@
     }
 
     @Test
-    void theCopyAtAPeerAnswersAfterTheHomeDied() {
+    void aPeerAnswersWithItsCopyOfTheOutcomeAfterTheHomeDied() {
         String id = home.id("a");
         home.arrive(site.request(id, false));
         home.answer(home.lastSend(), "first");
         site.deliverAll();
         home.kill();
-        believeDead(home);
+        observeAsDead(home);
         for (String name : new String[] {"n1", "n2"}) {
             site.node(name).arrive(site.request(id, false));
             site.deliverAll();
@@ -143,55 +145,55 @@
     }
 
     @Test
-    void theEndpointSettlesARequestWhoseHomeDied() {
+    void anEndpointSettlesARequestWhoseHomeDied() {
         TestSite settling = site(true);
         TestSite.Node dead = settling.node("n0");
-        TestSite.Node asking = settling.node("n1");
+        TestSite.Node querying = settling.node("n1");
         String id = dead.id("a");
         dead.arrive(settling.request(id, false));
         dead.kill();
-        asking.beliefs.put(dead.identity.toString(), MemberCondition.DEAD);
-        asking.arrive(settling.request(id, false));
+        querying.observedConditions.put(dead.identity.toString(), MemberCondition.DEAD);
+        querying.arrive(settling.request(id, false));
         settling.deliverAll();
-        settling.advance(ResolutionSystem.PHASE_TIME);
-        assertThat(asking.settles).hasSize(3);
-        asking.tick(new RequestEvent.Settled(
-                new RequestId(id), asking.settles.get(0).endpoint(), new SettlementResult.NotSeen()));
-        assertThat(asking.conclusions).isEmpty();
-        asking.tick(new RequestEvent.Settled(
+        settling.advance(ResolutionSystem.PHASE_TIMEOUT);
+        assertThat(querying.settles).hasSize(3);
+        querying.tick(new RequestEvent.Settled(
+                new RequestId(id), querying.settles.get(0).endpoint(), new SettlementResult.NotSeen()));
+        assertThat(querying.conclusions).isEmpty();
+        querying.tick(new RequestEvent.Settled(
                 new RequestId(id),
-                asking.settles.get(1).endpoint(),
+                querying.settles.get(1).endpoint(),
                 new SettlementResult.Answered(200, "", Bytes.ofUtf8("posted"))));
 
-        assertThat(text(asking.lastOutcome())).isEqualTo("posted");
-        assertThat(asking.sends).isEmpty();
+        assertThat(text(querying.lastOutcome())).isEqualTo("posted");
+        assertThat(querying.sends).isEmpty();
     }
 
     @Test
-    void endpointsThatHaveNotSeenTheRequestDoNotMakeItNotRun() {
+    void aRequestThatNoEndpointHasSeenIsUnknownInsteadOfNotRun() {
         TestSite settling = site(true);
         TestSite.Node dead = settling.node("n0");
-        TestSite.Node asking = settling.node("n1");
+        TestSite.Node querying = settling.node("n1");
         String id = dead.id("a");
         dead.kill();
-        asking.beliefs.put(dead.identity.toString(), MemberCondition.DEAD);
-        asking.arrive(settling.request(id, false));
+        querying.observedConditions.put(dead.identity.toString(), MemberCondition.DEAD);
+        querying.arrive(settling.request(id, false));
         settling.deliverAll();
-        settling.advance(ResolutionSystem.PHASE_TIME);
-        for (RequestEffect.Settle settle : asking.settles) {
-            asking.tick(new RequestEvent.Settled(settle.id(), settle.endpoint(), new SettlementResult.NotSeen()));
+        settling.advance(ResolutionSystem.PHASE_TIMEOUT);
+        for (RequestEffect.Settle settle : querying.settles) {
+            querying.tick(new RequestEvent.Settled(settle.id(), settle.endpoint(), new SettlementResult.NotSeen()));
         }
 
-        assertThat(asking.lastOutcome()).isInstanceOf(Outcome.Unknown.class);
+        assertThat(querying.lastOutcome()).isInstanceOf(Outcome.Unknown.class);
     }
 
     @Test
-    void aPausedHomeThatWakesSendsAtMostOnce() {
+    void aHomeThatResumesAfterAPauseSendsAtMostOnce() {
         String id = home.id("a");
         other.arrive(site.request(id, false, PriorityClass.NORMAL, Duration.ofSeconds(3)));
         home.alive = false;
-        believeDead(home);
-        TestSite.Letter delayed = site.letters.remove(0);
+        observeAsDead(home);
+        TestSite.Envelope delayed = site.envelopes.remove(0);
         site.advance(Duration.ofSeconds(1));
         site.deliverAll();
         site.advance(Duration.ofSeconds(9));
@@ -206,20 +208,20 @@
     }
 
     @Test
-    void anIdThatItsCallerMadeIsClaimedBeforeItIsSent() {
+    void anIdChosenByTheCallerIsClaimedBeforeTheRequestIsSent() {
         home.arrive(site.request("made-by-caller", false));
         assertThat(home.sends).isEmpty();
-        site.answerCalls();
+        site.answerPlatformCalls();
 
         assertThat(home.sends).hasSize(1);
     }
 
     @Test
-    void theSecondNodeThatGetsACallersIdPassesItToTheFirst() {
+    void theSecondNodeThatReceivesACallerChosenIdForwardsItToTheFirst() {
         home.arrive(site.request("made-by-caller", false));
-        site.answerCalls();
+        site.answerPlatformCalls();
         other.arrive(site.request("made-by-caller", false));
-        site.answerCalls();
+        site.answerPlatformCalls();
         site.deliverAll();
         home.answer(home.lastSend(), "done");
         site.deliverAll();
@@ -229,34 +231,35 @@
     }
 
     @Test
-    void aClaimWhoseAnswerWasLostIsSettledByReading() {
+    void aClaimWhoseAnswerWasLostIsReadToDetermineItsOwner() {
         home.arrive(site.request("made-by-caller", false));
-        PlatformEffect write = site.calls.remove(0).effect();
+        PlatformEffect write = site.platformCalls.remove(0).effect();
         site.apply(write);
         home.tick(new PlatformEvent.Unavailable(write.token(), true, "answer lost"));
-        site.answerCalls();
+        site.answerPlatformCalls();
 
         assertThat(home.sends).hasSize(1);
     }
 
     @Test
-    void aClaimThatMayNotHaveBeenWrittenIsWrittenAgainAndNeverAssumed() {
+    void anUnconfirmedClaimIsWrittenAgainInsteadOfAssumed() {
         home.arrive(site.request("made-by-caller", false));
-        PlatformEffect write = site.calls.remove(0).effect();
+        PlatformEffect write = site.platformCalls.remove(0).effect();
         home.tick(new PlatformEvent.Unavailable(write.token(), true, "timeout"));
         other.arrive(site.request("made-by-caller", false));
-        site.answerCalls();
+        site.answerPlatformCalls();
         site.deliverAll();
 
         assertThat(sends()).isOne();
     }
 
     @Test
-    void withoutThePlatformACallersIdIsNotSentAndNotCalledNotRun() {
+    void aCallerChosenIdIsNotSentAndUnknownWhileThePlatformIsUnreachable() {
         home.arrive(site.request("made-by-caller", false));
-        site.answerCalls();
+        site.answerPlatformCalls();
         other.arrive(site.request("made-by-caller", false));
-        other.tick(new PlatformEvent.Unavailable(site.calls.remove(0).effect().token(), false, "down"));
+        other.tick(new PlatformEvent.Unavailable(
+                site.platformCalls.remove(0).effect().token(), false, "down"));
 
         assertThat(other.lastOutcome())
                 .isInstanceOfSatisfying(Outcome.Unknown.class, unknown -> assertThat(unknown.code())
@@ -265,15 +268,15 @@
     }
 
     @Test
-    void idsWithAPrefixWorkWithoutThePlatform() {
+    void idsWithAPrefixAreSentWithoutThePlatform() {
         home.arrive(site.request(home.id("a"), false));
 
         assertThat(home.sends).hasSize(1);
-        assertThat(site.calls).isEmpty();
+        assertThat(site.platformCalls).isEmpty();
     }
 
     @Test
-    void aLookUpThroughAnyNodeFindsTheAnswerButOnlyForItsCaller() {
+    void aLookUpAtAnotherNodeReturnsTheAnswerOnlyToItsCaller() {
         String id = home.id("a");
         home.arrive(site.request(id, false));
         other.tick(new RequestEvent.LookupArrived(new RequestId(id), TestConfigurations.CALLER));
@@ -294,7 +297,7 @@
     }
 
     @Test
-    void aRefusalThatWentToAnotherNodeClosesItsIdAndAnotherIdRuns() {
+    void anIdWhoseRefusalWasSentToAnotherNodeIsNotSentAgainButANewIdIs() {
         String id = home.id("a");
         other.arrive(site.request(id, false));
         site.deliverAll();
@@ -322,32 +325,32 @@
     }
 
     @Test
-    void aRebornHomeDoesNotTakeWhatItsEarlierLifeClaimed() {
+    void aRestartedHomeDoesNotSendRequestsThatItsEarlierIncarnationClaimed() {
         home.arrive(site.request("made-by-caller", false));
-        site.answerCalls();
+        site.answerPlatformCalls();
         other.arrive(site.request("made-by-caller", false));
-        site.answerCalls();
-        TestSite.Node reborn = site.start("n0");
+        site.answerPlatformCalls();
+        TestSite.Node restarted = site.start("n0");
         site.deliverAll();
         site.advance(Duration.ofSeconds(2));
         site.deliverAll();
         site.advance(Duration.ofSeconds(2));
 
-        assertThat(reborn.sends).isEmpty();
+        assertThat(restarted.sends).isEmpty();
         assertThat(other.lastOutcome()).isInstanceOf(Outcome.Unknown.class);
     }
 
     @Test
-    void aRepeatedMessageThatArrivesAfterTheRefusalRunsNothing() {
-        TestConfigurations.endpointNames(3).forEach(name -> home.conditions.put(name, EndpointCondition.DOWN));
+    void aForwardMessageRepeatedAfterTheRefusalDoesNotRunTheRequest() {
+        TestConfigurations.endpointNames(3).forEach(name -> home.endpointConditions.put(name, EndpointCondition.DOWN));
         other.arrive(site.request(home.id("a"), false));
         site.advance(Duration.ofMillis(600));
-        TestSite.Letter repeated = site.letters.remove(1);
+        TestSite.Envelope repeated = site.envelopes.remove(1);
         site.deliverAll();
         site.advance(Duration.ofMillis(600));
         site.deliverAll();
         assertThat(other.lastOutcome()).isInstanceOf(Outcome.NotRun.class);
-        home.conditions.clear();
+        home.endpointConditions.clear();
         site.deliver(repeated);
 
         assertThat(home.sends).isEmpty();
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/BenchmarkResult.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/BenchmarkResult.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What became of the requests of a benchmark's measured time. */
+/** The outcomes of the requests that arrived in the measured time of a benchmark. */
 final class BenchmarkResult {
 
     private final double seconds;
@@ -21,16 +21,16 @@
         this.seconds = seconds;
     }
 
-    void arrived(PriorityClass priority) {
+    void recordArrival(PriorityClass priority) {
         requests++;
         urgent += priority == PriorityClass.URGENT ? 1 : 0;
     }
 
-    void attempt() {
+    void recordAttempt() {
         attempts++;
     }
 
-    void answered(PriorityClass priority, double latency, double firstToken) {
+    void recordAnswer(PriorityClass priority, double latency, double firstToken) {
         latencies.add(latency);
         firstTokens.add(firstToken);
         if (priority == PriorityClass.URGENT) {
@@ -38,11 +38,11 @@
         }
     }
 
-    void refused() {
+    void recordRefusal() {
         refused++;
     }
 
-    void lost() {
+    void recordFailure() {
         failed++;
     }
 
@@ -54,7 +54,7 @@
         return attempts;
     }
 
-    int failed() {
+    int refusedOrFailed() {
         return refused + failed;
     }
 
