--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/BenchmarkSite.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/BenchmarkSite.java
@@ -35,74 +35,78 @@
 import java.util.Random;
 import java.util.function.Function;
 
-/** Nodes with their true cores before eight modelled engines, in simulated time. */
+/** Nodes with real decision cores that send requests to modelled endpoints, in simulated time. */
 final class BenchmarkSite {
 
-    private static final double STEP = 0.005;
+    private static final double STEP_SECONDS = 0.005;
     private static final double WARM_UP_SECONDS = 30;
-    private static final double REPORT_INTERVAL = 0.5;
+    private static final double REPORT_INTERVAL_SECONDS = 0.5;
 
     private final List<EngineModel> engines = new ArrayList<>();
     private final List<BenchmarkNode> nodes = new ArrayList<>();
-    private final Map<RequestId, Asked> asked = new HashMap<>();
+    private final Map<RequestId, OfferedRequest> offered = new HashMap<>();
     private final PoolSettings pool;
-    private final Endpoints kind;
-    private final int size;
-    private final double lag;
+    private final Endpoints endpoints;
+    private final int nodeCount;
+    private final double reportLagSeconds;
     private final Random random;
-    private boolean failing;
+    private boolean refusesConnections;
     private double now;
     private BenchmarkResult result;
 
     BenchmarkSite(
             PoolSettings pool,
             Function<PoolSettings, ConcurrencyLimit> limits,
-            Endpoints kind,
-            int size,
+            Endpoints endpoints,
+            int nodeCount,
             double slowdown,
-            double lag,
+            double reportLagSeconds,
             long seed) {
         this.pool = pool;
-        this.size = size;
-        this.kind = kind;
-        this.lag = lag;
+        this.nodeCount = nodeCount;
+        this.endpoints = endpoints;
+        this.reportLagSeconds = reportLagSeconds;
         random = new Random(seed);
-        for (int index = 0; index < kind.count(); index++) {
+        for (int index = 0; index < endpoints.count(); index++) {
             double factor = index == 0 ? slowdown : 1;
-            engines.add(new EngineModel(kind.baseSeconds() * factor, kind.requestSeconds() * factor, kind.capacity()));
+            engines.add(new EngineModel(
+                    endpoints.baseSeconds() * factor, endpoints.requestSeconds() * factor, endpoints.capacity()));
         }
         FleetConfiguration configuration = TestConfigurations.site(pool);
-        for (int index = 0; index < size; index++) {
+        for (int index = 0; index < nodeCount; index++) {
             nodes.add(new BenchmarkNode(index, configuration, limits));
         }
     }
 
-    /** Makes every endpoint refuse connections. */
-    void fail() {
-        failing = true;
+    /** Makes all endpoints refuse connections. */
+    void refuseConnections() {
+        refusesConnections = true;
     }
 
-    /** Offers a share of the engines' peak for a time, and returns what became of the requests after a warm-up. */
+    /**
+     * Offers a load, as a share of the endpoints' peak throughput, and returns the outcomes of the requests that arrive
+     * after the warm-up.
+     */
     BenchmarkResult run(double load, Duration deadline, double seconds) {
         result = new BenchmarkResult(seconds);
-        double peak = kind.peak();
-        double perStep = load * peak * STEP;
+        double peak = endpoints.peak();
+        double perStep = load * peak * STEP_SECONDS;
         double end = WARM_UP_SECONDS + seconds;
         double next = 0;
-        for (now = 0; now < end + 60; now += STEP) {
+        for (now = 0; now < end + 60; now += STEP_SECONDS) {
             while (next <= now && now < end) {
                 arrive(deadline);
-                next += -Math.log(1 - random.nextDouble()) / (perStep / STEP);
+                next += -Math.log(1 - random.nextDouble()) / (perStep / STEP_SECONDS);
             }
             for (EngineModel engine : engines) {
-                engine.step(now, STEP).forEach(this::finish);
+                engine.step(now, STEP_SECONDS).forEach(this::finish);
             }
             nodes.forEach(BenchmarkNode::tick);
         }
         return result;
     }
 
-    private boolean isMeasured(Asked request) {
+    private boolean isMeasured(OfferedRequest request) {
         return request.at() >= WARM_UP_SECONDS;
     }
 
@@ -110,17 +114,17 @@
         double draw = random.nextDouble();
         PriorityClass priority =
                 draw < 0.1 ? PriorityClass.URGENT : draw < 0.8 ? PriorityClass.NORMAL : PriorityClass.BATCH;
-        double logarithm = Math.log(kind.meanTokens())
-                - 0.5 * kind.spread() * kind.spread()
-                + kind.spread() * random.nextGaussian();
+        double logarithm = Math.log(endpoints.meanTokens())
+                - 0.5 * endpoints.spread() * endpoints.spread()
+                + endpoints.spread() * random.nextGaussian();
         int tokens = (int) Math.max(1, Math.min(3000, Math.exp(logarithm)));
-        RequestId id = new RequestId("r" + asked.size());
-        Asked request = new Asked(now, priority, tokens);
-        asked.put(id, request);
+        RequestId id = new RequestId("r" + offered.size());
+        OfferedRequest request = new OfferedRequest(now, priority, tokens);
+        offered.put(id, request);
         if (isMeasured(request)) {
-            result.arrived(priority);
+            result.recordArrival(priority);
         }
-        nodes.get(random.nextInt(size))
+        nodes.get(random.nextInt(nodeCount))
                 .events
                 .add(new RequestEvent.Arrived(new Request(
                         id,
@@ -142,7 +146,7 @@
     }
 
     private void finish(EngineModel.Job job) {
-        Optional<Generation> generation = kind.kind() == PoolKind.ENGINE
+        Optional<Generation> generation = endpoints.kind() == PoolKind.ENGINE
                 ? Optional.of(new Generation("", List.of(new Generation.Segment(1, job.tokens)), "stop"))
                 : Optional.empty();
         EndpointName endpoint = nodes.get(job.node).sent.get(job.attempt);
@@ -150,7 +154,7 @@
                 .events
                 .add(new RequestEvent.AttemptEnded(
                         job.id, job.attempt, endpoint, new AttemptResult.Whole(200, "", Bytes.EMPTY, generation)));
-        Asked request = asked.get(job.id);
+        OfferedRequest request = offered.get(job.id);
         request.firstToken = job.firstTokenAt - request.at();
     }
 
@@ -158,7 +162,7 @@
         return new MonotonicTime((long) (now * 1e9));
     }
 
-    /** The endpoints of a benchmark. Work is counted in tokens, which for plain services are slices of time. */
+    /** The endpoints of a benchmark. Work is measured in tokens, which for plain services represent time slices. */
     record Endpoints(
             PoolKind kind,
             int count,
@@ -171,21 +175,21 @@
         static final Endpoints ENGINES = new Endpoints(PoolKind.ENGINE, 8, 32, 0.020, 0.001, 100, 1);
         static final Endpoints SERVICES = new Endpoints(PoolKind.SERVICE, 4, 8, 0.010, 0, 10, 0.5);
 
-        /** The number of requests per second that they can serve. */
+        /** Returns the peak throughput of the endpoints, in requests per second. */
         double peak() {
             return count * capacity / (baseSeconds + requestSeconds * capacity) / (meanTokens + 1);
         }
     }
 
-    /** A request that was offered. */
-    private static final class Asked {
+    /** A request that was sent to a node. */
+    private static final class OfferedRequest {
 
         private final double at;
         private final PriorityClass priority;
         private final int tokens;
         private double firstToken;
 
-        Asked(double at, PriorityClass priority, int tokens) {
+        OfferedRequest(double at, PriorityClass priority, int tokens) {
             this.at = at;
             this.priority = priority;
             this.tokens = tokens;
@@ -196,14 +200,14 @@
         }
     }
 
-    /** A node with its true core. */
+    /** A node with a real decision core. */
     private final class BenchmarkNode implements MembershipView, EndpointView {
 
         private final int index;
         private final DecisionCore core;
         private final List<Event> events = new ArrayList<>();
         private final Map<Integer, EndpointName> sent = new HashMap<>();
-        private double reportedAt = -1;
+        private double reportedInterval = -1;
         private List<Endpoint> reported = List.of();
 
         BenchmarkNode(int index, FleetConfiguration configuration, Function<PoolSettings, ConcurrencyLimit> limits) {
@@ -219,10 +223,10 @@
         void tick() {
             List<Event> due = List.copyOf(events);
             events.clear();
-            core.tick(time(), due).effects().forEach(this::take);
+            core.tick(time(), due).effects().forEach(this::handleEffect);
         }
 
-        private void take(Effect effect) {
+        private void handleEffect(Effect effect) {
             if (effect instanceof RequestEffect.Send send) {
                 send(send);
             } else if (effect instanceof RequestEffect.CancelAttempt cancel) {
@@ -239,11 +243,11 @@
 
         private void send(RequestEffect.Send send) {
             sent.put(send.attempt(), send.endpoint());
-            Asked request = asked.get(send.id());
+            OfferedRequest request = offered.get(send.id());
             if (isMeasured(request)) {
-                result.attempt();
+                result.recordAttempt();
             }
-            if (failing) {
+            if (refusesConnections) {
                 events.add(new RequestEvent.AttemptEnded(
                         send.id(), send.attempt(), send.endpoint(), new AttemptResult.NotRun("connect-failed", false)));
                 return;
@@ -255,16 +259,16 @@
         }
 
         private void conclude(RequestEffect.Conclude conclude) {
-            Asked request = asked.get(conclude.id());
+            OfferedRequest request = offered.get(conclude.id());
             if (!isMeasured(request)) {
                 return;
             }
             if (conclude.outcome() instanceof Outcome.Answered) {
-                result.answered(request.priority, now - request.at(), request.firstToken);
+                result.recordAnswer(request.priority, now - request.at(), request.firstToken);
             } else if (conclude.outcome() instanceof Outcome.NotRun) {
-                result.refused();
+                result.recordRefusal();
             } else {
-                result.lost();
+                result.recordFailure();
             }
         }
 
@@ -292,9 +296,9 @@
 
         @Override
         public List<Endpoint> candidates(PoolName name) {
-            double due = Math.floor((now + index * REPORT_INTERVAL / size) / REPORT_INTERVAL);
-            if (due > reportedAt) {
-                reportedAt = due;
+            double due = Math.floor((now + index * REPORT_INTERVAL_SECONDS / nodeCount) / REPORT_INTERVAL_SECONDS);
+            if (due > reportedInterval) {
+                reportedInterval = due;
                 reported = pool.endpoints().entrySet().stream()
                         .map(entry -> endpoint(name, entry.getKey()))
                         .sorted(java.util.Comparator.comparing(Endpoint::name))
@@ -305,7 +309,7 @@
 
         private Endpoint endpoint(PoolName name, String engine) {
             EngineModel model = engines.get(Integer.parseInt(engine.substring(1)));
-            EngineModel.State state = model.stateAt(now - lag);
+            EngineModel.State state = model.stateAt(now - reportLagSeconds);
             return new Endpoint(
                     new EndpointName(name, engine),
                     PoolKind.ENGINE,
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/EngineModel.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/EngineModel.java
@@ -10,8 +10,8 @@
 import java.util.PriorityQueue;
 
 /**
- * A small model of an engine that batches continuously: an iteration takes a fixed time and a further one for each
- * active request, and gives each active request a token. Requests beyond its capacity wait by priority.
+ * A model of an engine with continuous batching: an iteration takes a fixed time plus a time per active request, and
+ * generates one token for each active request. Requests beyond the capacity wait in the order of their priority.
  */
 final class EngineModel {
 
@@ -25,7 +25,8 @@
     private final Deque<State> history = new ArrayDeque<>();
 
     /**
-     * Creates a model; one with a time per request of zero is a plain service, which serves in the order of arrival.
+     * Creates a model. If the time per request is zero, the model is a plain service, which serves requests in the
+     * order of arrival.
      */
     EngineModel(double baseSeconds, double requestSeconds, int capacity) {
         this.baseSeconds = baseSeconds;
@@ -42,7 +43,7 @@
         waiting.removeIf(job -> job.node == node && job.attempt == attempt);
     }
 
-    /** Works for a step and returns the jobs that ended. */
+    /** Advances the model by a step and returns the jobs that finished. */
     List<Job> step(double now, double seconds) {
         while (active.size() < capacity && !waiting.isEmpty()) {
             active.add(waiting.poll());
@@ -67,7 +68,7 @@
         return ended;
     }
 
-    /** The state as it was a while ago. */
+    /** Returns the latest recorded state that is not after a time, or else the oldest one. */
     State stateAt(double time) {
         State found = history.isEmpty() ? new State(0, 0, 0) : history.peekFirst();
         for (Iterator<State> states = history.descendingIterator(); states.hasNext(); ) {
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/HarmfulRequestTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/HarmfulRequestTest.java
@@ -8,13 +8,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A request of the product's own interface that ends each endpoint that runs it was sent to as many endpoints as its
- * pool allows attempts, each time that its caller sent it again: 16 attempts of 8 sends at two nodes.
+ * Guards against a request that makes each endpoint terminate that runs it. Without the quarantine, it was sent to as
+ * many endpoints as its pool allows attempts, each time that its caller repeated it: 16 attempts for 8 sends at two
+ * nodes.
  */
 final class HarmfulRequestTest {
 
     private static final int REPEATS = 8;
-    private static final AttemptResult ENDED =
+    private static final AttemptResult ENDPOINT_TERMINATED =
             new AttemptResult.MaybeRun("connection-lost", Optional.empty(), new Loss(Loss.Cause.ENDPOINT_ENDED, true));
 
     private final TestSite site = new TestSite(
@@ -24,7 +25,7 @@
             true);
 
     @Test
-    void aRequestUnderWhichEndpointsEndSoonReachesNoMoreOfThemAtAnyNode() {
+    void aRequestThatMakesEndpointsTerminateIsQuarantinedAtAllNodes() {
         for (int repeat = 0; repeat < REPEATS; repeat++) {
             arrive(site.node("n" + repeat % 2), "harmful-" + repeat);
         }
@@ -36,7 +37,7 @@
     }
 
     @Test
-    void aRequestThatMetTwoEndsForAnotherReasonIsServedWhenItComesBack() {
+    void aRequestThatLostTwoEndpointsForAnotherReasonIsServedWhenRepeated() {
         TestSite.Node node = site.node("n0");
         arrive(node, "innocent-1");
         assertThat(node.lastOutcome()).isInstanceOf(Outcome.FailedAfterSend.class);
@@ -47,21 +48,23 @@
         site.advance(Duration.ofMillis(200));
         int before = sends();
         arrive(node, "innocent-3");
-        assertThat(sends()).as("nothing is held against it").isEqualTo(before + 2);
+        assertThat(sends())
+                .as("attempts after an answer cleared the crash evidence")
+                .isEqualTo(before + 2);
     }
 
-    /** Sends a request and ends each endpoint that gets it. */
+    /** Sends a request and terminates each endpoint that receives it. */
     private void arrive(TestSite.Node node, String id) {
         int before = node.sends.size();
         node.arrive(site.request(id, true));
         while (node.sends.size() > before) {
             before = node.sends.size();
-            node.end(node.lastSend(), ENDED);
+            node.end(node.lastSend(), ENDPOINT_TERMINATED);
             site.advance(Duration.ofMillis(200));
         }
         site.advance(Duration.ofSeconds(3));
         site.deliverAll();
-        site.answerCalls();
+        site.answerPlatformCalls();
     }
 
     private int sends() {
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/RequestPathBenchmark.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/RequestPathBenchmark.java
@@ -12,12 +12,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Drives the true core of several nodes against a model of endpoints and prints the tables of docs/MEASUREMENTS.md. All
- * times are simulated, so the figures do not depend on the machine.
+ * Runs the real decision cores of several nodes against a model of endpoints and prints the tables of
+ * docs/MEASUREMENTS.md. All times are simulated, so the results do not depend on the speed of the VM.
  */
 final class RequestPathBenchmark {
 
-    private static final double[] LAGS = {0, 0.5, 2};
+    private static final double[] REPORT_LAGS_SECONDS = {0, 0.5, 2};
     private static final double[] LOADS = {0.1, 0.5, 0.8, 1, 1.5, 2, 3};
     private static final int NODES = 7;
     private static final LimitSettings LIMITS = new LimitSettings(8, 64, 256, Duration.ofSeconds(60));
@@ -46,26 +46,26 @@
         print("| policy | report lag s | mean s | p50 s | p99 s | first token p50 s | first token p99 s | failed |%n");
         print("|---|---|---|---|---|---|---|---|%n");
         for (RoutingPolicyKind policy : RoutingPolicyKind.values()) {
-            for (double lag : LAGS) {
+            for (double reportLagSeconds : REPORT_LAGS_SECONDS) {
                 BenchmarkSite site = new BenchmarkSite(
                         pool(Endpoints.ENGINES, policy, LIMITS),
                         RequestPathBenchmark::additive,
                         Endpoints.ENGINES,
                         nodes,
                         slowdown,
-                        lag,
+                        reportLagSeconds,
                         1);
                 BenchmarkResult result = site.run(load, Duration.ofSeconds(60), 120);
                 print(
                         "| %s | %.1f | %.2f | %.2f | %.2f | %.3f | %.3f | %d |%n",
                         policy.name().toLowerCase(Locale.ROOT).replace('_', '-'),
-                        lag,
+                        reportLagSeconds,
                         result.meanLatency(),
                         result.latency(50),
                         result.latency(99),
                         result.firstToken(50),
                         result.firstToken(99),
-                        result.failed());
+                        result.refusedOrFailed());
             }
         }
     }
@@ -107,7 +107,7 @@
         PoolSettings pool = pool(Endpoints.SERVICES, RoutingPolicyKind.ITERATION_TIME_ESTIMATE, LIMITS);
         BenchmarkSite site =
                 new BenchmarkSite(pool, RequestPathBenchmark::additive, Endpoints.SERVICES, NODES, 1, 0.5, 1);
-        site.fail();
+        site.refuseConnections();
         BenchmarkResult result = site.run(0.8, Duration.ofSeconds(20), 120);
         double amplification = (double) result.attempts() / result.requests();
         print("%d requests, %d attempts: %.3f%n", result.requests(), result.attempts(), amplification);
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/RequestSystemTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/RequestSystemTest.java
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void anAnswerGoesToTheOneWhoAsked() {
+    void anAnswerConcludesOnlyItsOwnRequest() {
         node.arrive(site.request(node.id("a"), false));
         node.arrive(site.request(node.id("b"), false));
         node.answer(node.sends.get(1), "answer of b");
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void aRequestThatSurelyDidNotRunIsTriedAtAnotherEndpoint() {
+    void aRequestThatDefinitelyDidNotRunIsRetriedAtAnotherEndpoint() {
         node.arrive(site.request(node.id("a"), false));
         node.end(node.lastSend(), CONNECT_FAILED);
         afterBackoff();
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void aRequestThatNoEndpointTookIsRefusedAtOnceAndMayRunLater() {
+    void aRequestThatNoEndpointAcceptedIsRefusedAndMayBeRepeated() {
         Request request = site.request(node.id("a"), false);
         node.arrive(request);
         for (int attempt = 0; attempt < 3; attempt++) {
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void aLateAnswerOfAGivenUpAttemptIsDropped() {
+    void aLateAnswerOfAnAbandonedAttemptIsDropped() {
         TestSite hedged = site(3, false, TestConfigurations.LIMITS, retry(1, 3, Optional.of(Duration.ofMillis(50)), 5));
         TestSite.Node hedging = hedged.node("n0");
         hedging.arrive(hedged.request("x", true));
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void aLateAnswerNeverCountsForANewerRequestWithTheSameId() {
+    void aLateAnswerIsNotAttributedToANewerRequestWithTheSameId() {
         Request request = site.request("x", true, PriorityClass.NORMAL, Duration.ofSeconds(1));
         node.arrive(request);
         site.advance(Duration.ofSeconds(2));
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void aGenerationGoesOnAtAnotherEngineWithoutARepeatedOrMissingToken() {
+    void aGenerationResumesAtAnotherEngineWithoutRepeatedOrMissingTokens() {
         Request base = site.request("x", true);
         Request streaming = new Request(
                 base.id(),
@@ -172,7 +172,7 @@
     }
 
     @Test
-    void theSameIdJoinsTheRequestInProgressAndLaterGetsItsFirstAnswer() {
+    void aRepeatedIdJoinsTheRequestInProgressAndLaterReceivesItsFirstAnswer() {
         Request request = site.request(node.id("a"), false);
         node.arrive(request);
         node.arrive(request);
@@ -185,34 +185,34 @@
     }
 
     @Test
-    void anIdWhoseAnswerIsNoLongerKeptIsNeverSentAgain() {
+    void anIdWhoseAnswerIsNoLongerRetainedIsNeverSentAgain() {
         String id = node.id("a");
         node.arrive(site.request(id, false));
         node.answer(node.lastSend(), "first");
         for (int minute = 0; minute < 30; minute++) {
             site.advance(Duration.ofMinutes(1));
             node.arrive(site.request(id, false));
-            site.advance(ResolutionSystem.PHASE_TIME);
+            site.advance(ResolutionSystem.PHASE_TIMEOUT);
             assertThat(node.sends).hasSize(1);
         }
         assertThat(node.lastOutcome()).isInstanceOf(Outcome.Unknown.class);
     }
 
     @Test
-    void anIdWithoutAWindowIsNeverSentAgainEither() {
+    void anIdWithoutAWindowIsNeverSentAgain() {
         String id = node.identity + "/plain";
         node.arrive(site.request(id, false));
         node.answer(node.lastSend(), "first");
         site.advance(Duration.ofHours(3));
         node.arrive(site.request(id, false));
-        site.advance(ResolutionSystem.PHASE_TIME);
+        site.advance(ResolutionSystem.PHASE_TIMEOUT);
 
         assertThat(node.sends).hasSize(1);
         assertThat(node.lastOutcome()).isInstanceOf(Outcome.Unknown.class);
     }
 
     @Test
-    void anIdThatBearsAnotherBodyIsRefusedAndGetsNoForeignAnswer() {
+    void anIdReusedForADifferentRequestIsRefused() {
         Request first = site.request(node.id("a"), false);
         node.arrive(first);
         node.answer(node.lastSend(), "first");
@@ -241,7 +241,7 @@
     }
 
     @Test
-    void anAnswerPastTheDeadlineIsKeptForTheSameIdSentAgain() {
+    void anAnswerAfterTheDeadlineIsRetainedForARepeatedId() {
         String id = node.id("a");
         node.arrive(site.request(id, false, PriorityClass.NORMAL, Duration.ofSeconds(1)));
         site.advance(Duration.ofSeconds(2));
@@ -254,7 +254,7 @@
     }
 
     @Test
-    void aCallerThatGoesAwayStopsIdempotentWorkButNotAPost() {
+    void aCancellationStopsAnIdempotentRequestButNotANonIdempotentOne() {
         node.arrive(site.request("x", true));
         node.arrive(site.request(node.id("a"), false));
         node.tick(new RequestEvent.Cancelled(node.sends.get(0).id()));
@@ -265,11 +265,11 @@
     }
 
     @Test
-    void aLeavingEndpointsRefusalIsReroutedWithoutBudget() {
-        TestSite poor = site(3, false, TestConfigurations.LIMITS, retry(0, 3, Optional.empty(), 5));
-        TestSite.Node router = poor.node("n0");
+    void aRefusalOfALeavingEndpointIsRetriedWithoutRetryBudget() {
+        TestSite withoutBudget = site(3, false, TestConfigurations.LIMITS, retry(0, 3, Optional.empty(), 5));
+        TestSite.Node router = withoutBudget.node("n0");
         for (int count = 0; count < 20; count++) {
-            router.arrive(poor.request(router.id("a" + count), false));
+            router.arrive(withoutBudget.request(router.id("a" + count), false));
             router.end(router.lastSend(), new AttemptResult.NotRun("leaving", true));
             router.answer(router.lastSend(), "done");
         }
@@ -297,7 +297,7 @@
     }
 
     @Test
-    void aFailingEndpointIsEjectedButNeverMoreThanTheFloorAllows() {
+    void failingEndpointsAreEjectedDownToTheEjectionFloor() {
         TestSite ejecting = site(4, false, TestConfigurations.LIMITS, retry(1, 1, Optional.empty(), 1));
         TestSite.Node router = ejecting.node("n0");
         for (int count = 0; count < 200; count++) {
@@ -310,7 +310,7 @@
     }
 
     @Test
-    void aFullQueueShedsBatchFirstAndKeepsUrgentWork() {
+    void aFullQueueShedsBatchRequestsFirstAndKeepsUrgentOnes() {
         TestSite small = site(1, false, new LimitSettings(1, 1, 2, Duration.ofSeconds(60)), TestConfigurations.RETRY);
         TestSite.Node router = small.node("n0");
         router.arrive(small.request("running", true));
@@ -329,7 +329,7 @@
     }
 
     @Test
-    void whatCanNotMeetItsDeadlineIsRefusedAtOnceWithATimeToComeBack() {
+    void aRequestThatCanNotMeetItsDeadlineIsRefusedWithARetryDelay() {
         TestSite slow = site(1, false, new LimitSettings(1, 1, 100, Duration.ofSeconds(60)), TestConfigurations.RETRY);
         TestSite.Node router = slow.node("n0");
         for (int count = 0; count < 20; count++) {
@@ -349,8 +349,8 @@
     }
 
     @Test
-    void aPoolWithoutEndpointsIsRefusedSoon() {
-        List.of("e0", "e1", "e2").forEach(name -> node.conditions.put(name, EndpointCondition.DOWN));
+    void aRequestForAPoolWithoutEndpointsIsRefusedAfterTheTimeout() {
+        List.of("e0", "e1", "e2").forEach(name -> node.endpointConditions.put(name, EndpointCondition.DOWN));
         node.arrive(site.request(node.id("a"), false));
         site.advance(Duration.ofMillis(600));
 
@@ -360,7 +360,7 @@
     }
 
     @Test
-    void anEndpointSettlesWhatBecameOfALostAnswer() {
+    void anEndpointReportsTheOutcomeOfARequestWhoseAnswerWasLost() {
         TestSite settling = site(3, true, TestConfigurations.LIMITS, TestConfigurations.RETRY);
         TestSite.Node home = settling.node("n0");
         home.arrive(settling.request(home.id("a"), false));
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/TestConfigurations.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/TestConfigurations.java
@@ -26,7 +26,7 @@
 import java.util.Optional;
 import java.util.stream.IntStream;
 
-/** Configurations of a small site for tests. */
+/** Configurations of a small test site. */
 final class TestConfigurations {
 
     static final PoolName LEDGER = new PoolName("ledger-app");
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/TestSite.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/TestSite.java
@@ -42,33 +42,34 @@
 import java.util.TreeMap;
 
 /**
- * A few cores that are driven by hand: messages, the platform's answers and attempts wait until the test moves them.
+ * A few decision cores that a test controls step by step: messages, platform answers and attempts are held back until
+ * the test processes them.
  */
 final class TestSite {
 
     final Map<String, Node> nodes = new TreeMap<>();
-    final List<Letter> letters = new ArrayList<>();
-    final List<Call> calls = new ArrayList<>();
+    final List<Envelope> envelopes = new ArrayList<>();
+    final List<PlatformCall> platformCalls = new ArrayList<>();
     final Map<ObjectKey, Bytes> platform = new HashMap<>();
     final FleetConfiguration configuration;
     MonotonicTime now = new MonotonicTime(1_000_000_000L);
-    private final boolean quarantines;
+    private final boolean quarantineEnabled;
     private long incarnations = 1;
 
     TestSite(FleetConfiguration configuration, int size) {
         this(configuration, size, false);
     }
 
-    /** Starts nodes that keep requests under which endpoints ended away from further ones, if that is wanted. */
-    TestSite(FleetConfiguration configuration, int size, boolean quarantines) {
+    /** Starts nodes, optionally with the quarantine of requests that make endpoints terminate. */
+    TestSite(FleetConfiguration configuration, int size, boolean quarantineEnabled) {
         this.configuration = configuration;
-        this.quarantines = quarantines;
+        this.quarantineEnabled = quarantineEnabled;
         for (int index = 0; index < size; index++) {
             start("n" + index);
         }
     }
 
-    /** Starts a node, in a new incarnation if it ran before. */
+    /** Starts or restarts a node with a new incarnation. */
     Node start(String name) {
         Node node = new Node(new NodeIdentity(new NodeName(name), incarnations++), "z" + name.charAt(1));
         nodes.put(name, node);
@@ -89,24 +90,24 @@
         List.copyOf(nodes.values()).forEach(Node::tick);
     }
 
-    /** Delivers all messages and those that they bring about. */
+    /** Delivers all messages, including those that result from the delivery. */
     void deliverAll() {
-        while (!letters.isEmpty()) {
-            deliver(letters.remove(0));
+        while (!envelopes.isEmpty()) {
+            deliver(envelopes.remove(0));
         }
     }
 
-    void deliver(Letter letter) {
-        Node target = nodes.get(letter.target().value());
+    void deliver(Envelope envelope) {
+        Node target = nodes.get(envelope.target().value());
         if (target != null && target.alive) {
-            target.tick(new PeerEvent.Received(letter.sender(), letter.message()));
+            target.tick(new PeerEvent.Received(envelope.sender(), envelope.message()));
         }
     }
 
-    /** Carries out the waiting calls to the platform and returns their answers. */
-    void answerCalls() {
-        while (!calls.isEmpty()) {
-            Call call = calls.remove(0);
+    /** Executes the pending platform calls and delivers their answers. */
+    void answerPlatformCalls() {
+        while (!platformCalls.isEmpty()) {
+            PlatformCall call = platformCalls.remove(0);
             call.node().tick(apply(call.effect()));
         }
     }
@@ -150,15 +151,15 @@
                 0);
     }
 
-    record Letter(NodeIdentity sender, NodeName target, PeerMessage message) {}
+    record Envelope(NodeIdentity sender, NodeName target, PeerMessage message) {}
 
-    record Call(Node node, PlatformEffect effect) {}
+    record PlatformCall(Node node, PlatformEffect effect) {}
 
-    /** A node with its core. */
+    /** A node with its decision core. */
     final class Node implements MembershipView, EndpointView {
 
         final NodeIdentity identity;
-        final AvailabilityZone zone;
+        final AvailabilityZone availabilityZone;
         final DecisionCore core;
         final RequestSystem system;
         final List<RequestEffect.Send> sends = new ArrayList<>();
@@ -167,13 +168,13 @@
         final List<RequestEffect.CancelAttempt> cancels = new ArrayList<>();
         final List<RequestEffect.LookedUp> lookups = new ArrayList<>();
         final List<RequestEffect.Conclude> conclusions = new ArrayList<>();
-        final Map<String, MemberCondition> beliefs = new HashMap<>();
-        final Map<String, EndpointCondition> conditions = new LinkedHashMap<>();
+        final Map<String, MemberCondition> observedConditions = new HashMap<>();
+        final Map<String, EndpointCondition> endpointConditions = new LinkedHashMap<>();
         boolean alive = true;
 
-        Node(NodeIdentity identity, String zone) {
+        Node(NodeIdentity identity, String availabilityZone) {
             this.identity = identity;
-            this.zone = new AvailabilityZone(zone);
+            this.availabilityZone = new AvailabilityZone(availabilityZone);
             PlatformTokens tokens = new PlatformTokens();
             QuarantineSystem quarantine = new QuarantineSystem(
                     this, tokens, EndpointStandings.Untold.INSTANCE, () -> now.nanoseconds() / 1_000_000);
@@ -182,18 +183,18 @@
                     this,
                     new RequestClock(now, 60_000_000),
                     tokens,
-                    quarantines ? quarantine : Quarantine.NoOp.INSTANCE);
+                    quarantineEnabled ? quarantine : Quarantine.NoOp.INSTANCE);
             core = new DecisionCore(
-                    quarantines ? List.of(quarantine, system) : List.of(system), identity.incarnation());
+                    quarantineEnabled ? List.of(quarantine, system) : List.of(system), identity.incarnation());
         }
 
         void tick(Event... events) {
             if (alive) {
-                core.tick(now, List.of(events)).effects().forEach(this::take);
+                core.tick(now, List.of(events)).effects().forEach(this::handleEffect);
             }
         }
 
-        private void take(Effect effect) {
+        private void handleEffect(Effect effect) {
             if (effect instanceof RequestEffect.Send send) {
                 sends.add(send);
             } else if (effect instanceof RequestEffect.Stream stream) {
@@ -207,9 +208,9 @@
             } else if (effect instanceof RequestEffect.Conclude conclude) {
                 conclusions.add(conclude);
             } else if (effect instanceof PeerEffect.Send send) {
-                letters.add(new Letter(identity, send.target(), send.message()));
+                envelopes.add(new Envelope(identity, send.target(), send.message()));
             } else if (effect instanceof PlatformEffect call) {
-                calls.add(new Call(this, call));
+                platformCalls.add(new PlatformCall(this, call));
             }
         }
 
@@ -233,7 +234,7 @@
             end(send, new AttemptResult.Whole(200, "text/plain", Bytes.ofUtf8(text), Optional.empty()));
         }
 
-        /** An id with the prefix that this node gives. */
+        /** Returns an id with a prefix that this node issues. */
         String id(String suffix) {
             return system.clock().prefix(identity, now) + suffix;
         }
@@ -244,13 +245,13 @@
 
         @Override
         public Member self() {
-            return member(identity, zone, MemberCondition.ALIVE);
+            return member(identity, availabilityZone, MemberCondition.ALIVE);
         }
 
         @Override
         public Collection<Member> working() {
             return nodes.values().stream()
-                    .map(node -> member(node.identity, node.zone, belief(node)))
+                    .map(node -> member(node.identity, node.availabilityZone, observedCondition(node)))
                     .filter(Member::takesWork)
                     .toList();
         }
@@ -258,11 +259,11 @@
         @Override
         public Optional<Member> find(NodeName name) {
             return Optional.ofNullable(nodes.get(name.value()))
-                    .map(node -> member(node.identity, node.zone, belief(node)));
+                    .map(node -> member(node.identity, node.availabilityZone, observedCondition(node)));
         }
 
-        private MemberCondition belief(Node node) {
-            return beliefs.getOrDefault(node.identity.toString(), MemberCondition.ALIVE);
+        private MemberCondition observedCondition(Node node) {
+            return observedConditions.getOrDefault(node.identity.toString(), MemberCondition.ALIVE);
         }
 
         private Member member(NodeIdentity name, AvailabilityZone availabilityZone, MemberCondition condition) {
@@ -272,8 +273,8 @@
         @Override
         public List<Endpoint> candidates(PoolName pool) {
             return configuration.pools().get(pool).endpoints().entrySet().stream()
-                    .filter(entry ->
-                            conditions.getOrDefault(entry.getKey(), EndpointCondition.LIVE) == EndpointCondition.LIVE)
+                    .filter(entry -> endpointConditions.getOrDefault(entry.getKey(), EndpointCondition.LIVE)
+                            == EndpointCondition.LIVE)
                     .map(entry -> new Endpoint(
                             new EndpointName(pool, entry.getKey()),
                             PoolKind.SERVICE,
