--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/AccountCheck.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/AccountCheck.java
@@ -13,10 +13,10 @@
 import java.util.Optional;
 import org.jboss.logging.Logger;
 
-/** Finds out whose requests are, and turns away those that bear no key of an account. */
+/** Determines the accounts of requests, and rejects requests without a valid account key. */
 final class AccountCheck {
 
-    /** The status of a request without a known key. */
+    /** The status of a request without a valid key. */
     private static final int UNAUTHORIZED = 401;
 
     /** The logger. */
@@ -35,65 +35,66 @@
     }
 
     /**
-     * Finds out whose a request on a route is, and answers it if it is turned away.
+     * Determines the account of a request on a route, and answers the request if it is rejected.
      *
      * @param context The request.
      * @param caller The caller.
-     * @param configuration The configuration in force.
+     * @param configuration The active configuration.
      * @param route The route.
-     * @return Whose it is, or empty if it was turned away.
+     * @return The account, or empty if the caller was rejected.
      * @throws IOException If the caller can't be answered.
      */
     Optional<ClientAccount> admit(Context context, CallerResponse caller, RouteConfiguration configuration, Route route)
             throws IOException {
         Credential credential = credential(context);
-        return orTurnAway(configuration.authenticate(credential, route), caller, credential, configuration.version());
+        return orReject(configuration.authenticate(credential, route), caller, credential, configuration.version());
     }
 
     /**
-     * Finds out whose a call about a batch job is, and answers it if it is turned away.
+     * Determines the account of a call about a batch job, and answers the call if it is rejected.
      *
      * @param context The call.
      * @param caller The caller.
-     * @param configuration The configuration in force.
-     * @return Whose it is, or empty if it was turned away.
+     * @param configuration The active configuration.
+     * @return The account, or empty if the caller was rejected.
      * @throws IOException If the caller can't be answered.
      */
     Optional<ClientAccount> admitBatchCall(Context context, CallerResponse caller, RouteConfiguration configuration)
             throws IOException {
         Credential credential = credential(context);
         String host = Optional.ofNullable(context.header("Host")).orElse("");
-        return orTurnAway(
+        return orReject(
                 configuration.authenticateBatchCall(credential, host), caller, credential, configuration.version());
     }
 
     /**
-     * Answers a request that is turned away.
+     * Answers a request without an account as rejected.
      *
-     * @param account Whose the request is, or empty.
+     * @param account The account of the request, or empty to reject it.
      * @param caller The caller.
-     * @param credential What the request presented.
-     * @param version The version of the configuration that decided.
+     * @param credential The credential that the request presented.
+     * @param version The version of the configuration that was applied.
      * @return The account.
      * @throws IOException If the caller can't be answered.
      */
-    private Optional<ClientAccount> orTurnAway(
+    private Optional<ClientAccount> orReject(
             Optional<ClientAccount> account, CallerResponse caller, Credential credential, long version)
             throws IOException {
         if (account.isEmpty()) {
             String presented = credential.getClass().getSimpleName().toLowerCase(Locale.ROOT);
             metrics.counter("gateway.unauthorized." + presented).inc();
             LOGGER.infof("event=unauthorized credential=%s configuration=%d", presented, version);
-            caller.answerText(UNAUTHORIZED, "the request has not run: it bears no key of an account", Optional.empty());
+            caller.answerText(
+                    UNAUTHORIZED, "the request has not run: it carries no valid account key", Optional.empty());
         }
         return account;
     }
 
     /**
-     * Reads what a request presents.
+     * Reads the credential of a request.
      *
      * @param context The request.
-     * @return What it presents.
+     * @return The credential.
      */
     private static Credential credential(Context context) {
         return BearerCredential.read(Collections.list(context.req().getHeaders(BearerCredential.HEADER)));
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/AttemptResult.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/AttemptResult.java
@@ -4,48 +4,48 @@
 import io.yuccaswitch.core.value.Bytes;
 import okhttp3.Headers;
 
-/** What became of one attempt to have a plain request answered by an endpoint. */
+/** The result of one attempt to have a plain request answered by an endpoint. */
 sealed interface AttemptResult {
 
     /**
-     * The endpoint answered, and the answer is whole.
+     * The endpoint answered completely.
      *
      * @param status The status.
      * @param headers The headers.
      * @param body The body.
      */
-    record Whole(int status, Headers headers, Bytes body) implements AttemptResult {}
+    record Complete(int status, Headers headers, Bytes body) implements AttemptResult {}
 
     /**
-     * The answer was a stream, which was passed on to its end or broken off for good.
+     * The answer was a stream, which was forwarded to its end or aborted because the caller disconnected.
      *
-     * @param whole Whether it was passed on to its end.
+     * @param complete Whether the stream was forwarded to its end.
      */
-    record Relayed(boolean whole) implements AttemptResult {}
+    record Relayed(boolean complete) implements AttemptResult {}
 
     /**
-     * The request was surely not run.
+     * The request definitely did not run.
      *
-     * @param cause Why not.
+     * @param cause Why it did not run.
      * @param reason The reason, for logs.
      */
     record NotRun(NotRunCause cause, String reason) implements AttemptResult {}
 
     /**
-     * The request may have run, and there is no answer that can be passed on.
+     * The request may have run, and there is no answer that can be forwarded.
      *
-     * @param loss What the loss of the answer says of the endpoint.
+     * @param loss The state of the endpoint that follows from the loss of the answer.
      * @param reason The reason, for logs.
      */
     record MayHaveRun(Loss loss, String reason) implements AttemptResult {}
 
     /** Why a request was not run. */
     enum NotRunCause {
-        /** The endpoint refused it, or it could not be sent. */
+        /** The endpoint rejected it, or it could not be sent. */
         REFUSED,
         /** Nothing listens at the endpoint's address. */
         UNREACHABLE,
-        /** The endpoint has left, or what is known of it has grown too old, since it was chosen. */
+        /** Since the endpoint was chosen, it has left or its state has become stale. */
         WITHHELD
     }
 }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/BatchHandler.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/BatchHandler.java
@@ -19,41 +19,41 @@
 /** Serves calls about batch jobs. */
 final class BatchHandler {
 
-    /** The status of a job that is accepted. */
+    /** The status of an accepted job. */
     private static final int ACCEPTED = 202;
 
-    /** The status of an identifier that belongs to other work. */
+    /** The status of an identifier that belongs to another job. */
     private static final int CONFLICT = 409;
 
     /** The status of a job or item that does not exist. */
     private static final int NOT_FOUND = 404;
 
-    /** The status of a call of which the node can't be sure; it promises that nothing ran. */
+    /** The status of a call whose result is unknown to the node. It guarantees that nothing ran. */
     private static final int UNAVAILABLE = 503;
 
     /** The status of a submission or an end that may have taken effect. */
     private static final int GATEWAY_TIMEOUT = 504;
 
     /**
-     * The longest time for a call that does not wait for results. Callers repeat what is not answered at another node,
-     * so they have to be told soon.
+     * The timeout of a call that does not wait for results. Callers repeat an unanswered call at another node, so they
+     * must be answered early.
      */
-    private static final Duration CALL_TIME = Duration.ofSeconds(2);
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(2);
 
-    /** How long a call for results may take beyond the time for which it waits for them. */
-    private static final Duration READ_TIME = Duration.ofSeconds(1);
+    /** The time that a call for results may take in addition to its wait for results. */
+    private static final Duration READ_MARGIN = Duration.ofSeconds(1);
 
-    /** How late the core may be in answering at the deadline: its longest pause between two ticks, and some. */
-    private static final Duration CORE_DELAY = Duration.ofMillis(150);
+    /** The margin for the core to answer at the deadline: its maximum pause between two ticks and some more. */
+    private static final Duration CORE_DELAY_MARGIN = Duration.ofMillis(150);
 
-    /** When a caller should retry whose call may have taken effect. */
+    /** The delay before a caller retries a call that may have taken effect. */
     private static final Duration RETRY_AFTER = Duration.ofMillis(300);
 
     /** The type of JSON bodies. */
-    private static final String JSON = "application/json";
+    private static final String JSON_TYPE = "application/json";
 
     /** The type of bodies of items. */
-    private static final String BYTES = "application/octet-stream";
+    private static final String BYTES_TYPE = "application/octet-stream";
 
     /** The logger. */
     private static final Logger LOGGER = Logger.getLogger("io.yuccaswitch.batch");
@@ -61,7 +61,7 @@
     /** The calls that wait for the core. */
     private final PendingReplies replies;
 
-    /** How callers speak. */
+    /** The dialect of callers. */
     private final CallerDialect dialect;
 
     /** The metrics. */
@@ -71,7 +71,7 @@
      * Creates a handler.
      *
      * @param replies The calls that wait for the core.
-     * @param dialect How callers speak.
+     * @param dialect The dialect of callers.
      * @param metrics The metrics.
      */
     BatchHandler(PendingReplies replies, CallerDialect dialect, MetricRegistry metrics) {
@@ -87,82 +87,82 @@
      * @param caller Writes the answer.
      * @param job The job.
      * @param times When the submission arrived, and how long it may take.
-     * @param done What follows the answer.
+     * @param onDone Runs after the answer.
      */
-    void submit(Context context, CallerResponse caller, BatchJob job, CallTimes times, Runnable done) {
+    void submit(Context context, CallerResponse caller, BatchJob job, CallTimes times, Runnable onDone) {
         LOGGER.infof(
                 "event=batch-submitted job=%s items=%d readMicros=%d",
                 job.id(),
                 job.items().size(),
-                DecisionLoop.now().since(times.arrived()).toNanos() / 1000);
-        MonotonicTime deadline = times.deadline(CALL_TIME);
-        Asked asked = new Asked("submit", job.id().value(), deadline, done);
-        ask(context, caller, asked, ticket -> new BatchEvent.Submitted(ticket, job, deadline));
+                DecisionLoop.now().since(times.arrivedAt()).toNanos() / 1000);
+        MonotonicTime deadline = times.deadline(CALL_TIMEOUT);
+        PendingCall pending = new PendingCall("submit", job.id().value(), deadline, onDone);
+        request(context, caller, pending, ticket -> new BatchEvent.Submitted(ticket, job, deadline));
     }
 
     /**
-     * Serves a call about a job that is accepted.
+     * Serves a call about an accepted job.
      *
      * @param context The request.
      * @param caller Writes the answer.
      * @param call The call.
      * @param times When the call arrived, and how long it may take.
-     * @param done What follows the answer.
+     * @param onDone Runs after the answer.
      */
-    void serve(Context context, CallerResponse caller, CallerDialect.BatchCall call, CallTimes times, Runnable done) {
+    void serve(Context context, CallerResponse caller, CallerDialect.BatchCall call, CallTimes times, Runnable onDone) {
         if (call instanceof CallerDialect.BatchCall.ReadResults read) {
-            MonotonicTime until = times.arrived().plus(read.waitTime());
-            MonotonicTime deadline = times.deadline(read.waitTime().plus(READ_TIME));
-            Asked asked = new Asked("read", read.id().value(), deadline, done);
-            ask(
+            MonotonicTime until = times.arrivedAt().plus(read.waitTime());
+            MonotonicTime deadline = times.deadline(read.waitTime().plus(READ_MARGIN));
+            PendingCall pending = new PendingCall("read", read.id().value(), deadline, onDone);
+            request(
                     context,
                     caller,
-                    asked,
+                    pending,
                     ticket -> new BatchEvent.ResultsRequested(ticket, read.id(), read.position(), until, deadline));
         } else if (call instanceof CallerDialect.BatchCall.ReadBody body) {
-            MonotonicTime deadline = times.deadline(CALL_TIME);
-            Asked asked = new Asked("body", body.id().value(), deadline, done);
-            ask(
+            MonotonicTime deadline = times.deadline(CALL_TIMEOUT);
+            PendingCall pending = new PendingCall("body", body.id().value(), deadline, onDone);
+            request(
                     context,
                     caller,
-                    asked,
+                    pending,
                     ticket -> new BatchEvent.BodyRequested(ticket, body.id(), body.item(), deadline));
         } else if (call instanceof CallerDialect.BatchCall.End end) {
-            MonotonicTime deadline = times.deadline(CALL_TIME);
-            Asked asked = new Asked("end", end.id().value(), deadline, done);
-            ask(context, caller, asked, ticket -> new BatchEvent.EndRequested(ticket, end.id(), deadline));
+            MonotonicTime deadline = times.deadline(CALL_TIMEOUT);
+            PendingCall pending = new PendingCall("end", end.id().value(), deadline, onDone);
+            request(context, caller, pending, ticket -> new BatchEvent.EndRequested(ticket, end.id(), deadline));
         }
     }
 
     /**
-     * Asks the core, and answers when it has.
+     * Sends a call to the core, and writes the answer of the core when it is there.
      *
      * @param context The request.
      * @param caller Writes the answer.
-     * @param asked What is asked.
+     * @param pending The call.
      * @param call Builds the call from its ticket.
      */
-    private void ask(Context context, CallerResponse caller, Asked asked, LongFunction<Event> call) {
-        long begun = System.nanoTime();
-        Duration limit = asked.deadline().since(DecisionLoop.now()).plus(CORE_DELAY);
-        CompletableFuture<Void> done = replies.ask(call, limit)
+    private void request(Context context, CallerResponse caller, PendingCall pending, LongFunction<Event> call) {
+        long startedAt = System.nanoTime();
+        Duration timeout = pending.deadline().since(DecisionLoop.now()).plus(CORE_DELAY_MARGIN);
+        CompletableFuture<Void> written = replies.request(call, timeout)
                 .thenAccept(answer -> {
-                    long micros = (System.nanoTime() - begun) / 1000;
-                    metrics.timer("gateway.batch." + asked.kind()).update(micros, TimeUnit.MICROSECONDS);
+                    long micros = (System.nanoTime() - startedAt) / 1000;
+                    metrics.timer("gateway.batch." + pending.kind()).update(micros, TimeUnit.MICROSECONDS);
                     LOGGER.infof(
                             "event=batch-call kind=%s job=%s outcome=%s micros=%d",
-                            asked.kind(), asked.id(), describe(answer), micros);
-                    write(caller, asked.kind(), answer);
+                            pending.kind(), pending.id(), describe(answer), micros);
+                    write(caller, pending.kind(), answer);
                 })
-                .whenComplete((_result, _failure) -> asked.done().run());
-        context.future(() -> done);
+                .whenComplete((_result, _failure) -> pending.onDone().run());
+        context.future(() -> written);
     }
 
     /**
      * Writes an answer.
      *
      * @param caller Writes the answer.
-     * @param kind What was asked.
+     * @param kind The kind of call.
      * @param answer The answer.
      */
     private void write(CallerResponse caller, String kind, BatchAnswer answer) {
@@ -180,11 +180,11 @@
             } else if (answer instanceof BatchAnswer.Unknown) {
                 caller.answerText(NOT_FOUND, "there is no such job or item", Optional.empty());
             } else if (answer instanceof BatchAnswer.Results results) {
-                caller.answer(JSON, dialect.writeResults(results));
+                caller.answer(JSON_TYPE, dialect.writeResults(results));
             } else if (answer instanceof BatchAnswer.Body body) {
-                caller.answer(BYTES, body.body().unsafeArray());
+                caller.answer(BYTES_TYPE, body.body().unsafeArray());
             } else {
-                caller.answer(JSON, new byte[0]);
+                caller.answer(JSON_TYPE, new byte[0]);
             }
         } catch (IOException exception) {
             LOGGER.infof("event=caller-gone reason=\"%s\"", exception.getMessage());
@@ -205,31 +205,31 @@
     }
 
     /**
-     * What is asked.
+     * A call that waits for an answer of the core.
      *
      * @param kind The kind of call, for logs and metrics.
      * @param id The job's identifier.
-     * @param deadline By when the call has to be answered.
-     * @param done What follows the answer.
+     * @param deadline The time by which the call must be answered.
+     * @param onDone Runs after the answer.
      */
-    private record Asked(String kind, String id, MonotonicTime deadline, Runnable done) {}
+    private record PendingCall(String kind, String id, MonotonicTime deadline, Runnable onDone) {}
 
     /**
      * When a call arrived, and how long it may take.
      *
-     * @param arrived When the node began to read the call.
-     * @param allowed How long its caller waits, as far as that is known.
+     * @param arrivedAt When the node started to read the call.
+     * @param allowed How long the caller waits, as far as this is known.
      */
-    record CallTimes(MonotonicTime arrived, Duration allowed) {
+    record CallTimes(MonotonicTime arrivedAt, Duration allowed) {
 
         /**
-         * Returns by when the call has to be answered.
+         * Returns the time by which the call must be answered.
          *
-         * @param longest The longest time that the node takes for such a call.
+         * @param maximum The maximum time that the node takes for such a call.
          * @return The deadline.
          */
-        private MonotonicTime deadline(Duration longest) {
-            return arrived.plus(allowed.compareTo(longest) < 0 ? allowed : longest);
+        private MonotonicTime deadline(Duration maximum) {
+            return arrivedAt.plus(allowed.compareTo(maximum) < 0 ? allowed : maximum);
         }
     }
 }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/CallerDialect.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/CallerDialect.java
@@ -9,42 +9,45 @@
 import java.util.Optional;
 import java.util.function.Function;
 
-/** How callers, trainers and the platform's checks speak to a node. It decides nothing. */
+/**
+ * Decodes the requests of callers, trainers and the platform's health checks, and encodes the answers. It makes no
+ * decisions.
+ */
 public interface CallerDialect {
 
     /**
-     * Returns the header that bears the identifier of a request.
+     * Returns the header that carries the identifier of a request.
      *
      * @return The header's name.
      */
     String requestIdHeader();
 
     /**
-     * Reads how long a caller will wait.
+     * Reads how long a caller waits for its answer.
      *
      * @param headers Returns the value of a header, or {@code null}.
-     * @return The time, or empty if the caller does not tell.
+     * @return The time, or empty if the caller does not state it.
      */
     Optional<Duration> timeLeft(Function<String, String> headers);
 
     /**
-     * Recognises the question whether the node is ready.
+     * Returns whether a request queries the readiness of the node.
      *
      * @param path The path.
-     * @return {@code true} if it is that question.
+     * @return {@code true} if it does.
      */
     boolean asksForReadiness(String path);
 
     /**
-     * Recognises the question which entry addresses to use.
+     * Returns whether a request queries the entry addresses.
      *
      * @param path The path.
-     * @return {@code true} if it is that question.
+     * @return {@code true} if it does.
      */
     boolean asksForAddresses(String path);
 
     /**
-     * Writes the answer to the question which entry addresses to use.
+     * Writes the answer to a query of the entry addresses.
      *
      * @param addresses The addresses.
      * @param validity How long the answer may be used.
@@ -53,24 +56,24 @@
     byte[] writeAddresses(List<String> addresses, Duration validity);
 
     /**
-     * Recognises a call about a batch job that is accepted.
+     * Reads a call about an accepted batch job.
      *
      * @param method The method.
      * @param path The path.
      * @param query Returns the value of a parameter, or {@code null}.
      * @param headers Returns the value of a header, or {@code null}.
-     * @return The call, or empty if it is none.
+     * @return The call, or empty if the request is not such a call.
      */
     Optional<BatchCall> batchCall(
             String method, String path, Function<String, String> query, Function<String, String> headers);
 
     /**
-     * Reads a batch job that is submitted.
+     * Reads a submitted batch job.
      *
-     * @param envelope What the call says beside its body.
+     * @param envelope The properties of the submission outside its body.
      * @param body The body.
      * @return The job.
-     * @throws MalformedCallException If it is no batch job. The message names the item and the field.
+     * @throws MalformedCallException If the body is not a valid batch job. The message names the item and the field.
      */
     BatchJob readJob(Envelope envelope, byte[] body);
 
@@ -83,23 +86,23 @@
     byte[] writeResults(BatchAnswer.Results results);
 
     /**
-     * What a submission says beside its body.
+     * The properties of a submission outside its body.
      *
      * @param id The text of the job's identifier.
-     * @param account Whose the job is.
+     * @param account The account of the job.
      * @param host The host.
      * @param path The path.
      * @param submittedAt When it arrived, in milliseconds since the epoch.
      */
     record Envelope(String id, ClientAccount account, String host, String path, long submittedAt) {}
 
-    /** A call about a batch job that is accepted. */
+    /** A call about an accepted batch job. */
     sealed interface BatchCall {
 
         /**
-         * Returns the call with the job that an account means by it.
+         * Returns the call with the job identifier qualified by an account.
          *
-         * @param account Whose the call is.
+         * @param account The account of the call.
          * @return The call.
          */
         BatchCall ownedBy(ClientAccount account);
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/CallerResponse.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/CallerResponse.java
@@ -12,30 +12,30 @@
 /** Writes the answer to one caller. */
 final class CallerResponse {
 
-    /** The header that tells when to come back, in seconds with fractions. */
+    /** The header that states the delay before a retry, in seconds with fractions. */
     private static final String RETRY_AFTER = "Retry-After";
 
-    /** The header that asks the caller to close its connection. */
+    /** The header that requests the caller to close its connection. */
     private static final String CONNECTION = "Connection";
 
-    /** The milliseconds of a second. */
-    private static final double MILLIS = 1000;
+    /** The number of milliseconds in a second. */
+    private static final double MILLIS_PER_SECOND = 1000;
 
     /** The server's response. */
     private final HttpServletResponse response;
 
-    /** The caller's connection. */
+    /** The connection of the caller. */
     private final ClientConnection connection;
 
-    /** Whether the node is about to stop, such that connections are not kept. */
+    /** Whether the node is about to stop, so that connections are not kept alive. */
     private final boolean closing;
 
     /**
      * Creates a writer.
      *
      * @param context The request.
-     * @param connection The caller's connection.
-     * @param closing Whether connections are not kept.
+     * @param connection The connection of the caller.
+     * @param closing Whether the node is about to stop, so that connections are not kept alive.
      */
     CallerResponse(Context context, ClientConnection connection, boolean closing) {
         response = context.res();
@@ -44,14 +44,14 @@
     }
 
     /**
-     * Passes a whole answer on.
+     * Forwards a complete answer.
      *
      * @param answer The answer.
-     * @param passes Whether a header is passed on.
-     * @throws IOException If the caller has gone.
+     * @param headerFilter Selects the headers that are forwarded.
+     * @throws IOException If the caller has disconnected.
      */
-    void pass(AttemptResult.Whole answer, Predicate<String> passes) throws IOException {
-        begin(answer.status(), answer.headers(), passes);
+    void forward(AttemptResult.Complete answer, Predicate<String> headerFilter) throws IOException {
+        begin(answer.status(), answer.headers(), headerFilter);
         response.setContentLength(answer.body().size());
         connection.release();
         response.getOutputStream().write(answer.body().unsafeArray());
@@ -59,16 +59,16 @@
     }
 
     /**
-     * Begins to pass a stream on.
+     * Starts to forward a stream.
      *
      * @param status The status.
      * @param headers The headers.
-     * @param passes Whether a header is passed on.
+     * @param headerFilter Selects the headers that are forwarded.
      */
-    void begin(int status, Headers headers, Predicate<String> passes) {
+    void begin(int status, Headers headers, Predicate<String> headerFilter) {
         response.setStatus(status);
         headers.forEach(header -> {
-            if (passes.test(header.getFirst())) {
+            if (headerFilter.test(header.getFirst())) {
                 response.addHeader(header.getFirst(), header.getSecond());
             }
         });
@@ -76,10 +76,10 @@
     }
 
     /**
-     * Passes bytes of a stream on at once.
+     * Forwards bytes of a stream and flushes them.
      *
      * @param bytes The bytes.
-     * @throws IOException If the caller has gone.
+     * @throws IOException If the caller has disconnected.
      */
     void write(byte[] bytes) throws IOException {
         response.getOutputStream().write(bytes);
@@ -87,42 +87,42 @@
     }
 
     /**
-     * Ends a stream that is whole.
+     * Ends a complete stream.
      *
-     * @throws IOException If the caller has gone.
+     * @throws IOException If the caller has disconnected.
      */
     void end() throws IOException {
         connection.release();
         response.getOutputStream().close();
     }
 
-    /** Breaks the answer off, such that it does not look whole. */
+    /** Closes the connection before the end of the answer, so that the caller sees that the answer is incomplete. */
     void abort() {
         connection.abort();
     }
 
     /**
-     * Answers with a status and a text of the node's own.
+     * Answers with a status and a text that the node produces itself.
      *
      * @param status The status.
-     * @param text The body, which tells the reason.
-     * @param retryAfter When to come back, if that helps.
-     * @throws IOException If the caller has gone.
+     * @param text The body, which states the reason.
+     * @param retryAfter The delay before a retry, if a retry can succeed.
+     * @throws IOException If the caller has disconnected.
      */
     void answerText(int status, String text, Optional<Duration> retryAfter) throws IOException {
         byte[] body = text.getBytes(java.nio.charset.StandardCharsets.UTF_8);
         response.setStatus(status);
-        retryAfter.ifPresent(
-                time -> response.setHeader(RETRY_AFTER, String.format(Locale.ROOT, "%.2f", time.toMillis() / MILLIS)));
+        retryAfter.ifPresent(delay -> response.setHeader(
+                RETRY_AFTER, String.format(Locale.ROOT, "%.2f", delay.toMillis() / MILLIS_PER_SECOND)));
         answer("text/plain", body);
     }
 
     /**
-     * Answers with a body of the node's own.
+     * Answers with a body that the node produces itself.
      *
      * @param contentType The type of the body.
      * @param body The body.
-     * @throws IOException If the caller has gone.
+     * @throws IOException If the caller has disconnected.
      */
     void answer(String contentType, byte[] body) throws IOException {
         closeIfLeaving();
@@ -133,7 +133,10 @@
         response.getOutputStream().close();
     }
 
-    /** Asks the caller to use another node for its next request, if this one is about to stop. */
+    /**
+     * Requests that the caller closes its connection, if this node is about to stop, so that its next request goes to
+     * another node.
+     */
     private void closeIfLeaving() {
         if (closing) {
             response.setHeader(CONNECTION, "close");
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/ClientConnection.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/ClientConnection.java
@@ -7,22 +7,25 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /**
- * The connection of a caller whose request is being served. The server does not read from it meanwhile, so this class
- * looks whether the caller has closed it.
+ * The connection of a caller whose request is being served. The server does not read from it during that time, so this
+ * class detects whether the caller has closed it.
  */
 final class ClientConnection {
 
     /** The connection. */
     private final EndPoint endPoint;
 
-    /** Whether the answer may have ended, after which the server reads from the connection again. */
+    /** Whether the answer may have ended, so that the server reads from the connection again. */
     private boolean released;
 
     /** Whether the caller has closed the connection. */
-    private boolean gone;
+    private boolean disconnected;
 
-    /** Whether the caller sent bytes ahead, which can't be served any more. */
-    private boolean spoiled;
+    /**
+     * Whether the caller sent bytes early. They were consumed by the check, so the connection can't serve further
+     * requests.
+     */
+    private boolean receivedEarlyBytes;
 
     /**
      * Creates a view of a connection.
@@ -34,7 +37,7 @@
     }
 
     /**
-     * Returns the connection of a request whose body was read whole.
+     * Returns the connection of a request whose body was read completely.
      *
      * @param request The request.
      * @return The connection.
@@ -47,35 +50,35 @@
     }
 
     /**
-     * Looks whether the caller has closed the connection.
+     * Checks whether the caller has closed the connection.
      *
      * @return {@code true} if it has.
      */
-    synchronized boolean isGone() {
-        if (released || gone || spoiled) {
-            return gone;
+    synchronized boolean isDisconnected() {
+        if (released || disconnected || receivedEarlyBytes) {
+            return disconnected;
         }
         try {
             int read = endPoint.fill(BufferUtil.allocate(1));
-            gone = read < 0;
-            spoiled = read > 0;
+            disconnected = read < 0;
+            receivedEarlyBytes = read > 0;
         } catch (IOException _exception) {
-            gone = true;
+            disconnected = true;
         }
-        return gone;
+        return disconnected;
     }
 
     /**
-     * Notes that the answer is about to end, after which this class must not read any more.
+     * Records that the answer is about to end, after which this class must not read from the connection.
      *
      * @return {@code true} if the connection can serve further requests.
      */
     synchronized boolean release() {
         released = true;
-        return !gone && !spoiled;
+        return !disconnected && !receivedEarlyBytes;
     }
 
-    /** Closes the connection at once, such that an answer that has begun looks broken off. */
+    /** Closes the connection at once, so that the caller sees that a started answer is incomplete. */
     void abort() {
         synchronized (this) {
             released = true;
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/CloudCaller.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/CloudCaller.java
@@ -18,11 +18,11 @@
 import okhttp3.Response;
 import org.jboss.logging.Logger;
 
-/** Calls the cloud, and tells the core what became of it. */
+/** Calls the cloud and reports the outcomes to the core. */
 final class CloudCaller implements AutoCloseable {
 
-    /** How long the cloud may take. It is slow at times, and a call that is given up is sent again. */
-    private static final Duration TIMEOUT = Duration.ofSeconds(3);
+    /** The timeout of a call to the cloud. The cloud is slow at times, and a call that timed out is sent again. */
+    private static final Duration CLOUD_TIMEOUT = Duration.ofSeconds(3);
 
     /** The logger. */
     private static final Logger LOGGER = Logger.getLogger(CloudCaller.class);
@@ -30,7 +30,7 @@
     /** The connections. */
     private final EndpointHttp http;
 
-    /** How the cloud speaks. */
+    /** The dialect of the cloud. */
     private final CloudDialect dialect;
 
     /** The address of the cloud. */
@@ -43,10 +43,10 @@
     private final CompositeDisposable subscriptions = new CompositeDisposable();
 
     /**
-     * Creates a caller that has called nothing.
+     * Creates a caller and connects it to the core.
      *
      * @param http The connections.
-     * @param dialect How the cloud speaks.
+     * @param dialect The dialect of the cloud.
      * @param address The address of the cloud.
      * @param loop The core.
      */
@@ -90,22 +90,22 @@
      * Sends a call.
      *
      * @param request The call.
-     * @param then Takes what became of it.
+     * @param onOutcome Receives the outcome.
      */
-    private void send(Request.Builder request, Consumer<DutyOutcome> then) {
-        http.call(request, new Transmission(), TIMEOUT).enqueue(new Callback() {
+    private void send(Request.Builder request, Consumer<DutyOutcome> onOutcome) {
+        http.call(request, new Transmission(), CLOUD_TIMEOUT).enqueue(new Callback() {
             @Override
             public void onFailure(Call call, IOException exception) {
                 LOGGER.infof(
                         "event=cloud-call-failed path=%s reason=\"%s\"",
                         call.request().url().encodedPath(), EndpointAttempts.describe(exception));
-                then.accept(DutyOutcome.UNANSWERED);
+                onOutcome.accept(DutyOutcome.UNANSWERED);
             }
 
             @Override
             public void onResponse(Call _call, Response response) {
                 try (response) {
-                    then.accept(dialect.outcome(response.code()));
+                    onOutcome.accept(dialect.outcome(response.code()));
                 }
             }
         });
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/CloudDialect.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/CloudDialect.java
@@ -5,7 +5,7 @@
 import io.yuccaswitch.core.usage.UsageEffect;
 import okhttp3.Request;
 
-/** How calls to the cloud are written, and what their answers say. It decides nothing. */
+/** Encodes calls to the cloud and decodes the answers. It makes no decisions. */
 public interface CloudDialect {
 
     /**
@@ -27,7 +27,7 @@
     Request.Builder order(String address, ScalingEffect.Order order);
 
     /**
-     * Reads what became of a call.
+     * Decodes the outcome of a call.
      *
      * @param status The status of the answer.
      * @return The outcome.
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/CloudSettings.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/CloudSettings.java
@@ -6,16 +6,16 @@
 import java.util.Locale;
 
 /**
- * How the cloud is called, which takes reports of usage and orders of endpoints.
+ * The settings of calls to the cloud, which receives usage reports and orders of endpoints.
  *
  * @param address The address as host:port.
- * @param duties The names of what the site's nodes have to do there. Those that this release does not know are not
- *     done.
+ * @param duties The names of the duties that the site's nodes perform there. Names that this release does not support
+ *     are ignored.
  * @param usageWindowSeconds The length of the windows for which usage is reported, in seconds.
  */
 public record CloudSettings(
         @Setting(description = "The address of the cloud as host:port.") String address,
-        @Setting(description = "What is to be done at the cloud: usage, scale.") List<String> duties,
+        @Setting(description = "The duties to perform at the cloud: usage, scale.") List<String> duties,
         @Setting(
                         description = "The length of the windows for which usage is reported, in seconds.",
                         defaultValue = "60",
@@ -23,8 +23,8 @@
                         maximum = "86400")
                 double usageWindowSeconds) {
 
-    /** The milliseconds of a second. */
-    private static final double MILLIS = 1000;
+    /** The number of milliseconds in a second. */
+    private static final double MILLIS_PER_SECOND = 1000;
 
     /** Copies the duties. */
     public CloudSettings {
@@ -32,10 +32,10 @@
     }
 
     /**
-     * Returns whether a duty is to be done.
+     * Returns whether the settings include a duty.
      *
      * @param duty The duty.
-     * @return {@code true} if it is.
+     * @return {@code true} if they do.
      */
     boolean includes(Duty duty) {
         return duties.contains(duty.name().toLowerCase(Locale.ROOT));
@@ -47,14 +47,14 @@
      * @return The length.
      */
     Duration usageWindow() {
-        return Duration.ofMillis(Math.round(usageWindowSeconds * MILLIS));
+        return Duration.ofMillis(Math.round(usageWindowSeconds * MILLIS_PER_SECOND));
     }
 
-    /** What one node at a time does at the cloud. */
+    /** A duty that one node at a time performs at the cloud. */
     enum Duty {
-        /** It reports how much each client account uses. */
+        /** Reports the usage of each client account. */
         USAGE,
-        /** It orders endpoints. */
+        /** Orders endpoints. */
         SCALE
     }
 }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/DisconnectWatch.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/DisconnectWatch.java
@@ -10,17 +10,17 @@
 import java.util.concurrent.TimeUnit;
 import okhttp3.Call;
 
-/** Looks at regular intervals whether callers have gone, and then breaks off what is done for them. */
+/** Checks at regular intervals whether callers have disconnected, and cancels their calls to endpoints. */
 final class DisconnectWatch implements AutoCloseable {
 
-    /** The interval, well below the half second after which an endpoint should be idle again. */
-    private static final Duration INTERVAL = Duration.ofMillis(120);
+    /** The interval of the checks, well below the half second within which an endpoint should be idle again. */
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(120);
 
     /** The requests in progress. */
-    private final Set<Watched> watched =
+    private final Set<WatchedRequest> watched =
             Collections.newSetFromMap(Collections.synchronizedMap(new IdentityHashMap<>()));
 
-    /** The timer, which runs only while there are requests: an idle process should not wake for nothing. */
+    /** The timer, which runs only while there are requests, so that an idle process does not wake up needlessly. */
     private Disposable timer = Disposable.disposed();
 
     /**
@@ -29,13 +29,13 @@
      * @param connection The caller's connection.
      * @return The watched request.
      */
-    Watched watch(ClientConnection connection) {
-        Watched added = new Watched(connection);
+    WatchedRequest watch(ClientConnection connection) {
+        WatchedRequest added = new WatchedRequest(connection);
         synchronized (watched) {
             watched.add(added);
             if (timer.isDisposed()) {
-                timer = Observable.interval(INTERVAL.toMillis(), TimeUnit.MILLISECONDS)
-                        .subscribe(_tick -> look());
+                timer = Observable.interval(POLL_INTERVAL.toMillis(), TimeUnit.MILLISECONDS)
+                        .subscribe(_tick -> poll());
             }
         }
         return added;
@@ -48,20 +48,20 @@
         }
     }
 
-    /** Looks at all requests in progress. */
-    private void look() {
-        List<Watched> current;
+    /** Checks all requests in progress. */
+    private void poll() {
+        List<WatchedRequest> current;
         synchronized (watched) {
             current = List.copyOf(watched);
             if (current.isEmpty()) {
                 timer.dispose();
             }
         }
-        current.forEach(Watched::look);
+        current.forEach(WatchedRequest::poll);
     }
 
-    /** A request whose caller is watched. */
-    final class Watched implements AutoCloseable {
+    /** A request whose caller is checked for disconnection. */
+    final class WatchedRequest implements AutoCloseable {
 
         /** The caller's connection. */
         private final ClientConnection connection;
@@ -69,43 +69,43 @@
         /** The call to an endpoint in progress, if any. */
         private volatile Call call;
 
-        /** Whether the caller has gone. */
-        private volatile boolean gone;
+        /** Whether the caller has disconnected. */
+        private volatile boolean disconnected;
 
         /**
          * Creates a watched request.
          *
          * @param connection The caller's connection.
          */
-        Watched(ClientConnection connection) {
+        WatchedRequest(ClientConnection connection) {
             this.connection = connection;
         }
 
         /**
-         * Notes the call that is to be broken off when the caller goes.
+         * Records the call to cancel when the caller disconnects.
          *
          * @param current The call.
          */
         void attach(Call current) {
             call = current;
-            if (gone) {
+            if (disconnected) {
                 current.cancel();
             }
         }
 
         /**
-         * Returns whether the caller has gone.
+         * Returns whether the caller has disconnected.
          *
          * @return {@code true} if it has.
          */
-        boolean isGone() {
-            return gone;
+        boolean isDisconnected() {
+            return disconnected;
         }
 
-        /** Looks whether the caller has gone. */
-        void look() {
-            if (!gone && connection.isGone()) {
-                gone = true;
+        /** Checks whether the caller has disconnected. */
+        void poll() {
+            if (!disconnected && connection.isDisconnected()) {
+                disconnected = true;
                 Call current = call;
                 if (current != null) {
                     current.cancel();
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/DispatchCheck.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/DispatchCheck.java
@@ -11,27 +11,28 @@
 import org.jboss.logging.Logger;
 
 /**
- * Looks at an endpoint again right before the first byte of a request is written. Since it was chosen, a connection may
- * have been waited for or the machine may have stood still, while the endpoint said that it leaves.
+ * Checks an endpoint again right before the first byte of a request is written. After the endpoint was chosen, the
+ * request may have waited for a connection or the VM may have been suspended, while the endpoint announced that it
+ * leaves.
  */
 final class DispatchCheck {
 
     /** The logger. */
     private static final Logger LOGGER = Logger.getLogger(DispatchCheck.class);
 
-    /** What the core knows. */
+    /** The view of the core. */
     private final GatewayView view;
 
-    /** The ages of what was known of endpoints at each dispatch, in milliseconds. */
+    /** The age of the endpoints' state at each dispatch, in milliseconds. */
     private final Histogram ages;
 
-    /** The requests that were not sent. */
+    /** The requests that were withheld. */
     private final Meter withheld;
 
     /**
      * Creates a check.
      *
-     * @param view What the core knows.
+     * @param view The view of the core.
      * @param metrics The metrics.
      */
     DispatchCheck(GatewayView view, MetricRegistry metrics) {
@@ -45,7 +46,7 @@
      *
      * @param endpoint The endpoint.
      * @param request The identifier of the request.
-     * @return {@code false} if the endpoint has left, or may have left without this node knowing.
+     * @return {@code false} if the endpoint has left, or may have left without an update to this node.
      */
     boolean maySend(EndpointName endpoint, String request) {
         MonotonicTime now = DecisionLoop.now();
@@ -64,7 +65,7 @@
         if (!freshness.isWithinLimit(now)) {
             LOGGER.warnf(
                     "event=dispatch-late id=%s endpoint=%s registryAgeMillis=%d limitMillis=%d reason=\"the platform is"
-                            + " away\"",
+                            + " unreachable\"",
                     request, endpoint, age, RegistryFreshness.LIMIT.toMillis());
         }
         return true;
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/EndpointAttempts.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/EndpointAttempts.java
@@ -27,46 +27,49 @@
 import okhttp3.Response;
 import org.jboss.logging.Logger;
 
-/** Sends plain requests to endpoints and judges whether an answer is whole and belongs to its request. */
+/** Sends plain requests to endpoints, and validates that answers are complete and belong to their requests. */
 final class EndpointAttempts {
 
     /** The logger. */
     private static final Logger LOGGER = Logger.getLogger(EndpointAttempts.class);
 
-    /** The largest answer that is passed on, in bytes. */
+    /** The maximum size of an answer that is forwarded, in bytes. */
     private static final long MAXIMUM_ANSWER_BYTES = 16L << 20;
 
-    /** The status of an endpoint that has too much to do, and of one that runs nothing now. */
-    private static final java.util.Set<Integer> PROMISING = java.util.Set.of(408, 421, 429, 503);
+    /**
+     * The statuses of overloaded and unavailable endpoints. Unless the endpoint also guarantees that the request was
+     * not run, it may have run.
+     */
+    private static final java.util.Set<Integer> AMBIGUOUS_STATUSES = java.util.Set.of(408, 421, 429, 503);
 
-    /** The class of statuses that mean success. */
+    /** The first digit of the statuses of success. */
     private static final int SUCCESS_CLASS = 2;
 
-    /** The methods whose requests bear no body. */
-    private static final java.util.Set<String> BODILESS = java.util.Set.of("GET", "HEAD");
+    /** The methods whose requests have no body. */
+    private static final java.util.Set<String> BODILESS_METHODS = java.util.Set.of("GET", "HEAD");
 
     /** The connections to endpoints. */
     private final EndpointHttp http;
 
-    /** How endpoints speak. */
+    /** The dialect of endpoints. */
     private final EndpointDialect dialect;
 
-    /** Finds out whether endpoints have ended. */
+    /** Checks whether endpoints have ended. */
     private final EndpointChecks checks;
 
-    /** Looks at endpoints again before requests are written. */
+    /** Checks endpoints again right before requests are sent. */
     private final DispatchCheck dispatch;
 
-    /** The calls in progress, by the start of the endpoint that they were sent to. */
-    private final Map<Call, EndpointName> running = new ConcurrentHashMap<>();
+    /** The calls in progress, with the endpoint incarnations that they were sent to. */
+    private final Map<Call, EndpointName> callsInProgress = new ConcurrentHashMap<>();
 
     /**
      * Creates a sender.
      *
      * @param http The connections to endpoints.
-     * @param dialect How endpoints speak.
-     * @param checks Finds out whether endpoints have ended.
-     * @param dispatch Looks at endpoints again before requests are written.
+     * @param dialect The dialect of endpoints.
+     * @param checks Checks whether endpoints have ended.
+     * @param dispatch Checks endpoints again right before requests are sent.
      */
     EndpointAttempts(EndpointHttp http, EndpointDialect dialect, EndpointChecks checks, DispatchCheck dispatch) {
         this.http = http;
@@ -76,27 +79,27 @@
     }
 
     /**
-     * Sends a request and waits for the head of the answer.
+     * Sends a request and waits for the status and headers of the answer.
      *
      * @param request The request.
      * @param endpoint The endpoint.
-     * @param times The times that the attempt may take.
-     * @param connection Which connection it goes over.
-     * @param lastEventId The event behind which a stream goes on, or empty to begin anew.
-     * @param begun Takes the call, to break it off.
+     * @param timeouts The timeouts of the attempt.
+     * @param connection Whether a new connection is required.
+     * @param lastEventId The event after which a stream resumes, or empty to start from the beginning.
+     * @param onCall Receives the call, so that it can be cancelled.
      * @return The attempt in progress.
      */
-    Opened open(
+    OpenedAttempt open(
             OutgoingRequest request,
             RegisteredEndpoint endpoint,
-            Times times,
+            Timeouts timeouts,
             EndpointHttp.ConnectionUse connection,
             Optional<Long> lastEventId,
-            Consumer<Call> begun) {
+            Consumer<Call> onCall) {
         Transmission transmission = new Transmission(() -> dispatch.maySend(endpoint.name(), request.id()));
         HttpUrl url = HttpUrl.parse("http://" + endpoint.address() + request.target());
         if (url == null) {
-            return Opened.failed(
+            return OpenedAttempt.failed(
                     endpoint, new AttemptResult.NotRun(AttemptResult.NotRunCause.REFUSED, "the path can't be sent"));
         }
         Request.Builder builder = new Request.Builder().url(url).method(request.method(), bodyOf(request));
@@ -104,32 +107,33 @@
             builder.addHeader(header.getKey(), header.getValue());
         }
         request.account().ifPresent(account -> dialect.identify(builder, account));
-        dialect.address(builder, endpoint.name(), times.whole());
+        dialect.address(builder, endpoint.name(), timeouts.total());
         lastEventId.ifPresent(id -> dialect.resume(builder, id));
-        Call call = http.call(builder, transmission, times.whole(), connection);
+        Call call = http.call(builder, transmission, timeouts.total(), connection);
         track(call, endpoint.name());
-        begun.accept(call);
+        onCall.accept(call);
         Disposable watchdog = Schedulers.computation()
-                .scheduleDirect(call::cancel, times.untilHead().toNanos(), TimeUnit.NANOSECONDS);
+                .scheduleDirect(call::cancel, timeouts.head().toNanos(), TimeUnit.NANOSECONDS);
         try {
             Response response = call.execute();
             watchdog.dispose();
-            return judge(request, new Opened(endpoint, Optional.of(response), Optional.empty(), transmission, call));
+            return validate(
+                    request, new OpenedAttempt(endpoint, Optional.of(response), Optional.empty(), transmission, call));
         } catch (IOException exception) {
             watchdog.dispose();
-            Opened failed = new Opened(endpoint, Optional.empty(), Optional.empty(), transmission, call);
+            OpenedAttempt failed = new OpenedAttempt(endpoint, Optional.empty(), Optional.empty(), transmission, call);
             return failed.withFailure(
                     transmission.begun()
-                            ? lost(failed, describe(exception))
+                            ? lostAnswer(failed, describe(exception))
                             : new AttemptResult.NotRun(causeOf(transmission, exception), describe(exception)));
         }
     }
 
     /**
-     * Returns why a request of which nothing was written was not run.
+     * Returns why a request was not run that was never written.
      *
-     * @param transmission The watcher of the call.
-     * @param exception What ended the call.
+     * @param transmission Records how far the call was transmitted.
+     * @param exception The failure of the call.
      * @return The cause.
      */
     private static AttemptResult.NotRunCause causeOf(Transmission transmission, IOException exception) {
@@ -142,18 +146,18 @@
     }
 
     /**
-     * Breaks off the calls to starts of endpoints that are followed by later ones. Such an endpoint answers no more,
-     * and where its connections fell silent the call would wait for its time-out.
+     * Cancels the calls to incarnations of endpoints that were superseded by later ones. Such an incarnation no longer
+     * answers, and a call whose connection was not closed would wait for its timeout.
      *
      * @param working The working endpoints.
      */
-    void breakOffEarlierStarts(List<RegisteredEndpoint> working) {
-        if (running.isEmpty()) {
+    void cancelSupersededCalls(List<RegisteredEndpoint> working) {
+        if (callsInProgress.isEmpty()) {
             return;
         }
         Map<String, EndpointName> current = new HashMap<>();
         working.forEach(endpoint -> current.put(endpoint.name().value(), endpoint.name()));
-        running.forEach((call, endpoint) -> {
+        callsInProgress.forEach((call, endpoint) -> {
             if (endpoint.isBefore(current.getOrDefault(endpoint.value(), endpoint))) {
                 LOGGER.infof("event=attempt-broken-off endpoint=%s reason=\"it has started again\"", endpoint);
                 call.cancel();
@@ -162,33 +166,33 @@
     }
 
     /**
-     * Remembers a call until it ends.
+     * Tracks a call until it ends.
      *
      * @param call The call.
      * @param endpoint The endpoint.
      */
     private void track(Call call, EndpointName endpoint) {
-        running.put(call, endpoint);
+        callsInProgress.put(call, endpoint);
         call.addEventListener(new EventListener() {
             @Override
             public void callEnd(Call ended) {
-                running.remove(ended);
+                callsInProgress.remove(ended);
             }
 
             @Override
             public void callFailed(Call ended, IOException _exception) {
-                running.remove(ended);
+                callsInProgress.remove(ended);
             }
         });
     }
 
     /**
-     * Reads an answer that is passed on as a whole.
+     * Reads an answer completely.
      *
      * @param opened The attempt in progress.
-     * @return The answer, or why there is none.
+     * @return The answer, or the reason for its absence.
      */
-    AttemptResult readWhole(Opened opened) {
+    AttemptResult readComplete(OpenedAttempt opened) {
         Response response = opened.response().orElseThrow();
         try (response) {
             byte[] body = response.body().source().request(MAXIMUM_ANSWER_BYTES + 1)
@@ -196,24 +200,24 @@
                     : response.body().source().readByteArray();
             if (body.length == 0 && !response.body().source().exhausted()) {
                 opened.discard();
-                return unusable("the answer is too large");
+                return unusableAnswer("the answer is too large");
             }
-            return new AttemptResult.Whole(response.code(), response.headers(), Bytes.wrap(body));
+            return new AttemptResult.Complete(response.code(), response.headers(), Bytes.wrap(body));
         } catch (IOException exception) {
-            AttemptResult result = lost(opened, "the answer broke off: " + describe(exception));
+            AttemptResult result = lostAnswer(opened, "the answer broke off: " + describe(exception));
             opened.discard();
             return result;
         }
     }
 
     /**
-     * Returns the result of an attempt whose answer did not come, or broke off.
+     * Returns the result of an attempt whose answer was not received or was interrupted.
      *
-     * @param opened The attempt, which is not discarded yet.
+     * @param opened The attempt, which must not be discarded before.
      * @param reason The reason, for logs.
      * @return The result.
      */
-    AttemptResult lost(Opened opened, String reason) {
+    AttemptResult lostAnswer(OpenedAttempt opened, String reason) {
         Transmission transmission = opened.transmission();
         String described = reason + " " + transmission.describe();
         RegisteredEndpoint endpoint = opened.endpoint();
@@ -223,12 +227,12 @@
     }
 
     /**
-     * Returns the result of an attempt whose answer can't be passed on.
+     * Returns the result of an attempt whose answer can't be forwarded.
      *
      * @param reason The reason, for logs.
      * @return The result.
      */
-    static AttemptResult unusable(String reason) {
+    static AttemptResult unusableAnswer(String reason) {
         return new AttemptResult.MayHaveRun(Loss.UNUSABLE, reason);
     }
 
@@ -243,36 +247,37 @@
     }
 
     /**
-     * Judges the head of an answer.
+     * Validates the status and headers of an answer.
      *
      * @param request The request.
      * @param opened The attempt in progress.
-     * @return The attempt, which has failed if the answer can't be passed on.
+     * @return The attempt, which has failed if the answer can't be forwarded.
      */
-    private Opened judge(OutgoingRequest request, Opened opened) {
+    private OpenedAttempt validate(OutgoingRequest request, OpenedAttempt opened) {
         Response response = opened.response().orElseThrow();
         String echoed = response.header(dialect.requestIdHeader());
         if (!request.id().isEmpty() && echoed != null && !echoed.equals(request.id())) {
             opened.discard();
-            return opened.withFailure(unusable("the answer belongs to another request"));
+            return opened.withFailure(unusableAnswer("the answer belongs to another request"));
         }
         if (dialect.saysNotRun(response.code(), response.headers()) || dialect.isMisdirected(response.code())) {
             response.close();
             return opened.withFailure(new AttemptResult.NotRun(
                     AttemptResult.NotRunCause.REFUSED, "refused with status " + response.code()));
         }
-        if (PROMISING.contains(response.code())) {
+        if (AMBIGUOUS_STATUSES.contains(response.code())) {
             response.close();
-            return opened.withFailure(unusable("status " + response.code() + " without a promise"));
+            return opened.withFailure(
+                    unusableAnswer("status " + response.code() + " does not state that the request was not run"));
         }
         boolean success = response.code() / 100 == SUCCESS_CLASS;
         if (success && !dialect.isSigned(response.headers())) {
             opened.discard();
-            return opened.withFailure(unusable("the answer is not signed"));
+            return opened.withFailure(unusableAnswer("the answer is not signed"));
         }
         if (success && echoed == null) {
             opened.discard();
-            return opened.withFailure(unusable("the answer names no request"));
+            return opened.withFailure(unusableAnswer("the answer echoes no request identifier"));
         }
         return opened;
     }
@@ -284,30 +289,30 @@
      * @return The body, or {@code null} where the method allows none.
      */
     private static OneShotBody bodyOf(OutgoingRequest request) {
-        if (BODILESS.contains(request.method()) && request.body().size() == 0) {
+        if (BODILESS_METHODS.contains(request.method()) && request.body().size() == 0) {
             return null;
         }
         return new OneShotBody("", request.body());
     }
 
     /**
-     * The times that an attempt may take.
+     * The timeouts of an attempt.
      *
-     * @param untilHead The time until the head of the answer is there.
-     * @param whole The time until the answer is whole.
+     * @param head The maximum time until the status and headers of the answer are received.
+     * @param total The maximum time until the answer is complete.
      */
-    record Times(Duration untilHead, Duration whole) {}
+    record Timeouts(Duration head, Duration total) {}
 
     /**
-     * An attempt whose answer has begun, or has failed to.
+     * An attempt whose answer has started, or which has failed.
      *
      * @param endpoint The endpoint.
      * @param response The answer, unless the attempt failed.
-     * @param failure Why the attempt failed, if it did.
-     * @param transmission The watcher of the call.
+     * @param failure The result of the attempt if it failed.
+     * @param transmission Records how far the call was transmitted.
      * @param call The call.
      */
-    record Opened(
+    record OpenedAttempt(
             RegisteredEndpoint endpoint,
             Optional<Response> response,
             Optional<AttemptResult> failure,
@@ -315,27 +320,27 @@
             Call call) {
 
         /**
-         * Returns this attempt as one whose answer can't be passed on.
+         * Returns this attempt as a failed one.
          *
-         * @param why Why.
-         * @return The attempt, without its answer.
+         * @param result The result of the attempt.
+         * @return The failed attempt, without its answer.
          */
-        Opened withFailure(AttemptResult why) {
-            return new Opened(endpoint, Optional.empty(), Optional.of(why), transmission, call);
+        OpenedAttempt withFailure(AttemptResult result) {
+            return new OpenedAttempt(endpoint, Optional.empty(), Optional.of(result), transmission, call);
         }
 
         /**
-         * Creates an attempt that was never begun.
+         * Creates an attempt that failed before its call was created.
          *
          * @param endpoint The endpoint.
-         * @param failure Why.
+         * @param failure The result of the attempt.
          * @return The attempt.
          */
-        static Opened failed(RegisteredEndpoint endpoint, AttemptResult failure) {
-            return new Opened(endpoint, Optional.empty(), Optional.of(failure), new Transmission(), null);
+        static OpenedAttempt failed(RegisteredEndpoint endpoint, AttemptResult failure) {
+            return new OpenedAttempt(endpoint, Optional.empty(), Optional.of(failure), new Transmission(), null);
         }
 
-        /** Breaks the answer off, and closes its connection. */
+        /** Cancels the call, and closes its connection and answer. */
         void discard() {
             call.cancel();
             transmission.closeConnection();
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/EndpointDialect.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/EndpointDialect.java
@@ -13,27 +13,27 @@
 import okhttp3.Headers;
 import okhttp3.Request;
 
-/** How requests, reports and orders are written for endpoints, and what their answers say. It decides nothing. */
+/** Encodes requests, report queries and orders for endpoints, and decodes their answers. It makes no decisions. */
 public interface EndpointDialect {
 
     /**
-     * Returns the header that bears the identifier of a request, which endpoints echo.
+     * Returns the header that carries the identifier of a request, which endpoints echo.
      *
      * @return The header's name.
      */
     String requestIdHeader();
 
     /**
-     * Returns whether a caller's header is passed on to endpoints.
+     * Returns whether a header of a caller is forwarded to endpoints.
      *
      * @param name The header's name.
-     * @return {@code false} for headers that concern one connection only or that the node sets itself.
+     * @return {@code false} for hop-by-hop headers and for headers that the node sets itself.
      */
     boolean passesOn(String name);
 
     /**
-     * Returns whether a caller's header presents a key or names an account. At a site with accounts the node removes
-     * it.
+     * Returns whether a header of a caller carries a key or names an account. At a site with accounts the node removes
+     * such headers.
      *
      * @param name The header's name.
      * @return {@code true} if it does.
@@ -41,7 +41,7 @@
     boolean concernsAccount(String name);
 
     /**
-     * Tells the endpoint whose a request is.
+     * Adds the account of a request to it.
      *
      * @param request The request.
      * @param account The account.
@@ -49,7 +49,7 @@
     void identify(Request.Builder request, AccountName account);
 
     /**
-     * Addresses a request to one start of an endpoint, which others must refuse.
+     * Addresses a request to one incarnation of an endpoint. Other endpoints and incarnations must reject it.
      *
      * @param request The request.
      * @param endpoint The endpoint.
@@ -58,7 +58,7 @@
     void address(Request.Builder request, EndpointName endpoint, Duration timeLeft);
 
     /**
-     * Asks for the events of a stream behind the last one that arrived.
+     * Requests that a stream resumes after the last event that was received.
      *
      * @param request The request.
      * @param lastEventId The identifier of that event.
@@ -66,11 +66,11 @@
     void resume(Request.Builder request, long lastEventId);
 
     /**
-     * Returns whether an answer says that the request was not run.
+     * Returns whether an answer states that the request was not run.
      *
      * @param status The status.
      * @param headers The headers.
-     * @return {@code true} if the endpoint promises it.
+     * @return {@code true} if the endpoint guarantees that it was not run.
      */
     boolean saysNotRun(int status, Headers headers);
 
@@ -83,7 +83,7 @@
     boolean isMisdirected(int status);
 
     /**
-     * Returns the signature of an answer by its endpoint.
+     * Returns the signature that the endpoint added to its answer.
      *
      * @param headers The headers.
      * @return The signature, or empty if there is none.
@@ -101,31 +101,31 @@
     }
 
     /**
-     * Returns the number of requests that an endpoint runs or that wait there.
+     * Returns the number of requests that an endpoint runs or has queued.
      *
      * @param headers The headers of an answer.
-     * @return The number, or empty if the endpoint does not tell.
+     * @return The number, or empty if the endpoint does not report it.
      */
     OptionalInt load(Headers headers);
 
     /**
-     * Returns the version of the weights under which an answer begins.
+     * Returns the version of the weights that produced the start of an answer.
      *
      * @param headers The headers.
-     * @return The version, or empty if they don't tell.
+     * @return The version, or empty if the headers don't state it.
      */
     OptionalLong version(Headers headers);
 
     /**
-     * Reads a line of an event that tells the version from that event on.
+     * Reads a line of an event that states the version of the weights from that event on.
      *
      * @param line The line.
-     * @return The version, or empty if the line tells something else.
+     * @return The version, or empty if the line has another field.
      */
     OptionalLong versionLine(String line);
 
     /**
-     * Returns whether a status says that an item of a batch job can never be run.
+     * Returns whether a status means that an item of a batch job can never be run.
      *
      * @param status The status.
      * @return {@code true} if it does.
@@ -133,10 +133,10 @@
     boolean isImpossible(int status);
 
     /**
-     * Builds a call for an engine's report.
+     * Builds a request for the report of an engine.
      *
      * @param address The engine's host and port.
-     * @return The call.
+     * @return The request.
      */
     Request.Builder report(String address);
 
@@ -150,10 +150,10 @@
     EngineReport readReport(byte[] body) throws IOException;
 
     /**
-     * Builds an order.
+     * Builds the request of an order.
      *
      * @param order The order.
-     * @return The call.
+     * @return The request.
      */
     Request.Builder order(OrderEffect.LoadVersion order);
 
@@ -161,7 +161,7 @@
      * Reads the answer to an order.
      *
      * @param status The status.
-     * @return The outcome, or empty if the status means none.
+     * @return The outcome, or empty if the status has no defined outcome.
      */
     Optional<OrderOutcome> orderOutcome(int status);
 }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/EventRelay.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/EventRelay.java
@@ -5,48 +5,48 @@
 import java.util.function.Predicate;
 import okhttp3.Response;
 
-/** Passes the events of a stream on to a caller, each only when it is whole, across several attempts. */
+/** Forwards the events of a stream to a caller across several attempts, each event only when it is complete. */
 final class EventRelay {
 
-    /** How endpoints speak. */
+    /** The dialect of endpoints. */
     private final EndpointDialect dialect;
 
     /** The caller. */
     private final CallerResponse caller;
 
-    /** Whether a header is passed on. */
-    private final Predicate<String> passes;
+    /** Selects the headers that are forwarded. */
+    private final Predicate<String> headerFilter;
 
-    /** Whether the answer has begun. */
+    /** Whether the answer has started. */
     private boolean begun;
 
-    /** The identifier of the last event that was passed on, if any. */
+    /** The identifier of the last forwarded event, if any. */
     private Optional<Long> lastEventId = Optional.empty();
 
     /**
      * Creates a relay.
      *
-     * @param dialect How endpoints speak.
+     * @param dialect The dialect of endpoints.
      * @param caller The caller.
-     * @param passes Whether a header is passed on.
+     * @param headerFilter Selects the headers that are forwarded.
      */
-    EventRelay(EndpointDialect dialect, CallerResponse caller, Predicate<String> passes) {
+    EventRelay(EndpointDialect dialect, CallerResponse caller, Predicate<String> headerFilter) {
         this.dialect = dialect;
         this.caller = caller;
-        this.passes = passes;
+        this.headerFilter = headerFilter;
     }
 
     /**
-     * Returns whether the answer has begun.
+     * Returns whether the answer has started.
      *
-     * @return {@code true} if the caller has seen its head.
+     * @return {@code true} if its status and headers were sent to the caller.
      */
     boolean hasBegun() {
         return begun;
     }
 
     /**
-     * Returns the identifier of the last event that was passed on.
+     * Returns the identifier of the last forwarded event.
      *
      * @return The identifier, or empty before the first event.
      */
@@ -55,11 +55,11 @@
     }
 
     /**
-     * Passes the events of an attempt on.
+     * Forwards the events of an attempt.
      *
      * @param response The attempt's answer.
-     * @return Whether the stream ended whole.
-     * @throws CallerGoneException If the caller has gone.
+     * @return {@code true} if the stream was complete.
+     * @throws CallerGoneException If the caller has disconnected.
      */
     boolean relay(Response response) throws CallerGoneException {
         ServerSentEvents events = new ServerSentEvents(response.body().source(), dialect);
@@ -89,28 +89,28 @@
     }
 
     /**
-     * Begins the answer, with the head of the first attempt.
+     * Starts the answer with the status and headers of the first attempt.
      *
      * @param response The attempt's answer.
      */
     private void begin(Response response) {
         if (!begun) {
             begun = true;
-            caller.begin(response.code(), response.headers(), passes);
+            caller.begin(response.code(), response.headers(), headerFilter);
         }
     }
 
     /**
-     * Returns whether an event goes on where the last one ended.
+     * Returns whether an event directly follows the last one.
      *
      * @param event The event.
-     * @return {@code false} if an event is missing or comes twice.
+     * @return {@code false} if an event is missing or repeated.
      */
     private boolean isNext(ServerSentEvents.Event event) {
         return lastEventId.isEmpty() || event.id().isEmpty() || event.id().getAsLong() == lastEventId.get() + 1;
     }
 
-    /** Tells that the caller has gone. */
+    /** Indicates that the caller has disconnected. */
     static final class CallerGoneException extends Exception {
 
         /** The version of the serialised form. */
@@ -119,7 +119,7 @@
         /**
          * Creates the exception.
          *
-         * @param cause What writing to the caller met.
+         * @param cause The failure of writing to the caller.
          */
         CallerGoneException(IOException cause) {
             super(cause);
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/Gateway.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/Gateway.java
@@ -40,40 +40,42 @@
 import java.util.function.LongSupplier;
 import org.jboss.logging.Logger;
 
-/** A node that serves as a gateway: the core, and the shell around it. */
+/** A node that serves as a gateway: the decision core and the I/O around it. */
 public final class Gateway {
 
     /** The exit status after a broken invariant. */
     private static final int EXIT_BROKEN_INVARIANT = 70;
 
-    /** How long a call to the platform may take. A slow platform answers within a quarter of it. */
+    /** The timeout of a call to the platform. A slow platform answers within a quarter of it. */
     private static final Duration PLATFORM_TIMEOUT = Duration.ofMillis(1200);
 
-    /** How long a watch waits at the platform. */
-    private static final Duration WATCH_TIME = Duration.ofSeconds(20);
+    /** The maximum wait of a watch at the platform. */
+    private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(20);
 
-    /** When the platform is tried again after failures: within a second of its return. */
-    private static final CircuitSettings CIRCUIT =
+    /** When the platform is retried after failures: within a second after it is reachable again. */
+    private static final CircuitSettings CIRCUIT_SETTINGS =
             new CircuitSettings(4, Duration.ofMillis(150), Duration.ofMillis(700), Duration.ofMillis(500));
 
-    /** How connections to endpoints behave. They are in the same region, and close idle connections after seconds. */
-    private static final EndpointClientSettings ENDPOINTS = new EndpointClientSettings(
+    /**
+     * The settings of connections to endpoints, which are in the same region and close idle connections after seconds.
+     */
+    private static final EndpointClientSettings ENDPOINT_CLIENT_SETTINGS = new EndpointClientSettings(
             Duration.ofMillis(300), Duration.ofMillis(500), Duration.ofSeconds(5), 192, 16L << 20, 1L << 20);
 
-    /** How long callers may still come to a stopping node: three times the validity of the directory's answers. */
-    private static final Duration LINGERING_TIME = Duration.ofMillis(3300);
+    /** How long a stopping node keeps accepting requests: three times the validity of the directory's answers. */
+    private static final Duration LINGER_DURATION = Duration.ofMillis(3300);
 
-    /** The time before the end of a planned stop at which the process ends whatever is in progress. */
+    /** The margin before the end of a planned stop, at which the process ends all work in progress. */
     private static final Duration STOP_MARGIN = Duration.ofMillis(900);
 
-    /** The interval at which a stopping node looks whether it is done. */
-    private static final Duration STOP_INTERVAL = Duration.ofMillis(50);
+    /** The interval at which a stopping node checks whether it is idle. */
+    private static final Duration IDLE_POLL_INTERVAL = Duration.ofMillis(50);
 
-    /** How long the last messages to other nodes may take. */
-    private static final Duration DEPARTURE_TIME = Duration.ofMillis(150);
+    /** The delay for the last messages to other nodes to be sent. */
+    private static final Duration DEPARTURE_DELAY = Duration.ofMillis(150);
 
-    /** The window of counts that nobody asks for. */
-    private static final Duration UNREPORTED_WINDOW = Duration.ofMinutes(1);
+    /** The usage window of a site without a cloud, whose counts are not reported. */
+    private static final Duration DEFAULT_USAGE_WINDOW = Duration.ofMinutes(1);
 
     /** The logger. */
     private static final Logger LOGGER = Logger.getLogger(Gateway.class);
@@ -81,7 +83,7 @@
     /** The settings. */
     private final GatewaySettings settings;
 
-    /** What the threads that serve callers see of the core. */
+    /** The view of the core for the threads that serve callers. */
     private final GatewayView view = new GatewayView();
 
     /** The core's systems. */
@@ -93,7 +95,7 @@
     /** The client of the platform. */
     private final PlatformClient platform;
 
-    /** Writes how many calls to the platform were sent. */
+    /** Logs the number of calls sent to the platform. */
     private final PlatformCallLog callLog;
 
     /** The connections to other nodes. */
@@ -103,12 +105,12 @@
     private final MembershipService membership;
 
     /** The connections to endpoints. */
-    private final EndpointHttp http = new EndpointHttp(ENDPOINTS);
+    private final EndpointHttp http = new EndpointHttp(ENDPOINT_CLIENT_SETTINGS);
 
     /** Chooses endpoints for plain requests. */
     private final EndpointSelection selection;
 
-    /** Keeps requests under which endpoints ended away from further ones. */
+    /** Withholds requests on which endpoints crashed. */
     private final QuarantineGate gate;
 
     /** Sends requests to endpoints. */
@@ -117,29 +119,29 @@
     /** Runs items. */
     private final ItemRunner items;
 
-    /** Has outputs scored. */
-    private final ScoringRunner scorings;
+    /** Runs scoring requests. */
+    private final ScoringRunner scoring;
 
-    /** Gives orders. */
+    /** Sends orders to engines. */
     private final OrderCaller orders;
 
-    /** Calls the cloud, where there is one. */
+    /** Calls the cloud, if one is configured. */
     private final Optional<CloudCaller> cloud;
 
-    /** Counts the requests that begin to run. */
+    /** Counts the requests that start to run. */
     private final UsageMeter usage;
 
-    /** The calls about batch jobs that wait. */
+    /** The calls about batch jobs that wait for an answer. */
     private final PendingReplies replies;
 
     /** Serves callers. */
     private final GatewayServer server;
 
     /**
-     * Creates a node that does not run yet.
+     * Creates a node without starting it.
      *
      * @param settings The settings.
-     * @param dialects How others speak.
+     * @param dialects The wire dialects.
      */
     public Gateway(GatewaySettings settings, GatewayDialects dialects) {
         this.settings = settings;
@@ -150,15 +152,15 @@
         loop = new DecisionLoop(
                 core.core(),
                 () -> Runtime.getRuntime().halt(EXIT_BROKEN_INVARIANT),
-                core::pace,
+                core::maximumTickInterval,
                 new TickMetrics(metrics));
-        NodeSettings.PlatformSettings limits = settings.platform();
+        NodeSettings.PlatformSettings platformSettings = settings.platform();
         platform = new PlatformClient(
-                PlatformClientSettings.of("http://" + limits.address())
-                        .withToken(limits.token())
-                        .withTimes(PLATFORM_TIMEOUT, WATCH_TIME)
-                        .withCircuit(CIRCUIT)
-                        .withRates(new CallRates(limits.writesPerSecond(), limits.readsPerSecond())
+                PlatformClientSettings.of("http://" + platformSettings.address())
+                        .withToken(platformSettings.token())
+                        .withTimes(PLATFORM_TIMEOUT, WATCH_TIMEOUT)
+                        .withCircuit(CIRCUIT_SETTINGS)
+                        .withRates(new CallRates(platformSettings.writesPerSecond(), platformSettings.readsPerSecond())
                                 .shareOf(settings.nodes())),
                 metrics,
                 dialects.platform());
@@ -182,12 +184,12 @@
         cloud = settings.cloud().map(found -> new CloudCaller(http, dialects.cloud(), found.address(), loop));
         usage = new UsageMeter(
                 new UsageWindows(
-                        settings.cloud().map(CloudSettings::usageWindow).orElse(UNREPORTED_WINDOW)),
+                        settings.cloud().map(CloudSettings::usageWindow).orElse(DEFAULT_USAGE_WINDOW)),
                 timeOfDay,
                 settings.cloud().isPresent() ? loop : _event -> {});
         replies = new PendingReplies(loop);
         attempts = new EndpointAttempts(http, dialects.endpoints(), checks, dispatch);
-        scorings = new ScoringRunner(attempts, dialects.endpoints(), loop, metrics);
+        scoring = new ScoringRunner(attempts, dialects.endpoints(), loop, metrics);
         server = new GatewayServer(
                 settings,
                 dialects,
@@ -204,7 +206,7 @@
 
     /** Starts the node. */
     public void start() {
-        RxJavaPlugins.setErrorHandler(Gateway::unhandled);
+        RxJavaPlugins.setErrorHandler(Gateway::handleUncaught);
         subscribe();
         membership.start();
         transport.start();
@@ -220,21 +222,21 @@
     }
 
     /**
-     * Stops the node as planned: leaves the directory, serves those who still come, lets requests and items end, and
-     * hands what is left to other nodes.
+     * Stops the node gracefully: leaves the directory, serves callers that still use an earlier answer of the
+     * directory, waits for requests and items in progress, and hands the remaining jobs over to other nodes.
      */
     public void stopGracefully() {
-        long begun = System.nanoTime();
+        long startedAt = System.nanoTime();
         LOGGER.infof("event=stop-begun node=%s", settings.name());
-        view.leave();
+        view.markLeaving();
         loop.accept(new MembershipEvent.LeaveRequested());
         loop.accept(new BatchEvent.Leaving());
         try {
-            sleepUntil(begun, LINGERING_TIME);
-            awaitIdle(begun);
+            sleepUntil(startedAt, LINGER_DURATION);
+            awaitIdle(startedAt);
             server.stopAccepting();
             loop.accept(new MembershipEvent.Departing());
-            TimeUnit.MILLISECONDS.sleep(DEPARTURE_TIME.toMillis());
+            TimeUnit.MILLISECONDS.sleep(DEPARTURE_DELAY.toMillis());
         } catch (InterruptedException exception) {
             Thread.currentThread().interrupt();
             LOGGER.warn("event=stop-interrupted", exception);
@@ -243,10 +245,10 @@
         LOGGER.infof("event=node-stopped node=%s", settings.name());
     }
 
-    /** Ends everything at once. */
+    /** Closes all parts of the node at once. */
     public void close() {
         items.close();
-        scorings.close();
+        scoring.close();
         orders.close();
         cloud.ifPresent(CloudCaller::close);
         usage.close();
@@ -259,7 +261,7 @@
         loop.close();
     }
 
-    /** Connects the core to the shell. */
+    /** Subscribes to the effects and decisions of the core. */
     @SuppressWarnings("CheckReturnValue")
     private void subscribe() {
         loop.decisions().subscribe(DecisionLog::write);
@@ -269,51 +271,51 @@
             view.replace(effect.configuration());
             server.apply(effect.configuration());
         });
-        loop.effects(RegistryEffect.Confirmed.class).subscribe(effect -> view.confirm(effect.freshness()));
+        loop.effects(RegistryEffect.Confirmed.class).subscribe(effect -> view.updateFreshness(effect.freshness()));
         loop.effects(QuarantineEffect.Changed.class).subscribe(effect -> gate.replace(effect.view()));
         loop.effects(RegistryEffect.Changed.class).subscribe(effect -> {
             view.replace(effect.working());
             synchronized (selection) {
                 selection.retain(effect.working());
             }
-            attempts.breakOffEarlierStarts(effect.working());
+            attempts.cancelSupersededCalls(effect.working());
         });
     }
 
     /**
-     * Waits until a moment of a planned stop.
+     * Waits until a given time after the start of a planned stop.
      *
-     * @param begun When the stop began, in nanoseconds.
-     * @param time The time from then on.
+     * @param startedAt When the stop started, in nanoseconds.
+     * @param delay The time after the start.
      * @throws InterruptedException If the thread is interrupted.
      */
-    private static void sleepUntil(long begun, Duration time) throws InterruptedException {
-        long left = begun + time.toNanos() - System.nanoTime();
+    private static void sleepUntil(long startedAt, Duration delay) throws InterruptedException {
+        long left = startedAt + delay.toNanos() - System.nanoTime();
         if (left > 0) {
             TimeUnit.NANOSECONDS.sleep(left);
         }
     }
 
     /**
-     * Waits until no request and no batch job is in progress, or the time of a planned stop is nearly up.
+     * Waits until no request and no batch job is in progress, or the time for a planned stop has nearly elapsed.
      *
-     * @param begun When the stop began, in nanoseconds.
+     * @param startedAt When the stop started, in nanoseconds.
      * @throws InterruptedException If the thread is interrupted.
      */
-    private void awaitIdle(long begun) throws InterruptedException {
-        long end = begun + settings.stopTime().minus(STOP_MARGIN).toNanos();
+    private void awaitIdle(long startedAt) throws InterruptedException {
+        long end = startedAt + settings.stopTime().minus(STOP_MARGIN).toNanos();
         while (System.nanoTime() < end
                 && (server.inProgress() > 0 || core.batches().runningJobs() > 0)) {
-            TimeUnit.MILLISECONDS.sleep(STOP_INTERVAL.toMillis());
+            TimeUnit.MILLISECONDS.sleep(IDLE_POLL_INTERVAL.toMillis());
         }
     }
 
     /**
-     * Ends the process after an exception that nothing handled.
+     * Ends the process after an unhandled exception.
      *
      * @param exception The exception.
      */
-    private static void unhandled(Throwable exception) {
+    private static void handleUncaught(Throwable exception) {
         if (exception instanceof UndeliverableException) {
             LOGGER.warn("event=late-exception", exception);
             return;
@@ -323,7 +325,7 @@
     }
 
     /**
-     * Describes this node to the others.
+     * Returns the description of this node for the other nodes.
      *
      * @param settings The settings.
      * @return The node.
@@ -341,13 +343,13 @@
     }
 
     /**
-     * Returns the address for other nodes.
+     * Returns the peer address of this node.
      *
      * @param settings The settings.
      * @return The address.
      */
     private static InetSocketAddress peerAddress(GatewaySettings settings) {
         return PeerAddresses.parse(settings.peerAddress())
-                .orElseThrow(() -> new IllegalArgumentException("Not an address: " + settings.peerAddress()));
+                .orElseThrow(() -> new IllegalArgumentException("Invalid peer address: " + settings.peerAddress()));
     }
 }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/GatewayCore.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/GatewayCore.java
@@ -39,14 +39,14 @@
 final class GatewayCore {
 
     /**
-     * The times of the membership. A VM that is gone has to be known within about two seconds, as callers are sent to
-     * it and its batch jobs wait meanwhile.
+     * The timeouts and intervals of the membership. A failed VM must be detected within about two seconds, because
+     * callers are still sent to it and its batch jobs wait until then.
      */
-    private static final MembershipSettings MEMBERSHIP =
+    private static final MembershipSettings MEMBERSHIP_SETTINGS =
             new MembershipSettings(Duration.ofMillis(400), Duration.ofMillis(700), Duration.ofSeconds(5));
 
-    /** The times of the membership that depend on how long a healthy node may take to answer. */
-    private static final MembershipOptions OPTIONS = new MembershipOptions(
+    /** The timeouts of the membership that depend on the response time of a healthy node. */
+    private static final MembershipOptions MEMBERSHIP_OPTIONS = new MembershipOptions(
             Duration.ofMillis(250),
             Duration.ofMillis(700),
             3,
@@ -58,22 +58,22 @@
             Duration.ofHours(1),
             512);
 
-    /** The nodes of the site. */
+    /** The membership of the site. */
     private final MembershipSystem membership;
 
-    /** The endpoints. */
+    /** The registry of endpoints. */
     private final EndpointRegistrySystem registry;
 
-    /** Keeps requests under which endpoints ended away from further ones. */
+    /** Withholds requests on which endpoints crashed. */
     private final QuarantineSystem quarantine;
 
     /** The batch jobs. */
     private final BatchSystem batches;
 
-    /** The lease of the node that has the duties. */
+    /** The lease of the node that holds the duties. */
     private final DutyLease lease;
 
-    /** The core. */
+    /** The decision core. */
     private final DecisionCore core;
 
     /**
@@ -81,14 +81,15 @@
      *
      * @param self This node.
      * @param settings The settings.
-     * @param dialects How others speak.
-     * @param view What the threads that serve callers see.
-     * @param timeOfDay Tells the time of day, in milliseconds since the epoch.
+     * @param dialects The wire dialects.
+     * @param view The view of the core for the threads that serve callers.
+     * @param timeOfDay Supplies the time of day, in milliseconds since the epoch.
      */
     GatewayCore(
             Member self, GatewaySettings settings, GatewayDialects dialects, GatewayView view, LongSupplier timeOfDay) {
         PlatformTokens tokens = new PlatformTokens();
-        membership = new MembershipSystem(self, settings.seeds(), view, tokens, OPTIONS, MEMBERSHIP);
+        membership =
+                new MembershipSystem(self, settings.seeds(), view, tokens, MEMBERSHIP_OPTIONS, MEMBERSHIP_SETTINGS);
         SharedWatches watches = new SharedWatches(membership);
         registry = new EndpointRegistrySystem(watches, tokens, dialects.endpointEntries());
         RouteConfigurationSystem routes = new RouteConfigurationSystem(watches, tokens, dialects.routeConfigurations());
@@ -105,7 +106,7 @@
                 tokens,
                 quarantine,
                 System::currentTimeMillis);
-        List<DecisionSystem> others = new ArrayList<>(List.of(
+        List<DecisionSystem> pacedSystems = new ArrayList<>(List.of(
                 routes,
                 registry,
                 lease,
@@ -115,22 +116,24 @@
                 quarantine,
                 batches,
                 view.observer(membership)));
-        settings.cloud().ifPresent(cloud -> others.addAll(duties(cloud, routes, tokens, timeOfDay)));
+        settings.cloud().ifPresent(cloud -> pacedSystems.addAll(cloudSystems(cloud, routes, tokens, timeOfDay)));
         core = new DecisionCore(
-                List.of(membership, new PacedSystem(others, GatewayCore::concernsMembershipOnly, this::pace)),
+                List.of(
+                        membership,
+                        new PacedSystem(pacedSystems, GatewayCore::concernsMembershipOnly, this::maximumTickInterval)),
                 self.identity().hashCode());
     }
 
     /**
-     * Creates the systems of what is to be done at the cloud.
+     * Creates the systems that perform the duties at the cloud.
      *
-     * @param cloud How the cloud is called.
-     * @param routes The configuration.
-     * @param tokens Hands out the tokens of calls.
-     * @param timeOfDay Tells the time of day, in milliseconds since the epoch.
+     * @param cloud The settings of the cloud.
+     * @param routes The system that holds the route configuration.
+     * @param tokens Allocates the tokens of calls.
+     * @param timeOfDay Supplies the time of day, in milliseconds since the epoch.
      * @return The systems.
      */
-    private List<DecisionSystem> duties(
+    private List<DecisionSystem> cloudSystems(
             CloudSettings cloud, RouteConfigurationSystem routes, PlatformTokens tokens, LongSupplier timeOfDay) {
         List<DecisionSystem> systems = new ArrayList<>();
         if (cloud.includes(CloudSettings.Duty.USAGE)) {
@@ -140,8 +143,9 @@
             systems.add(new UsageReportSystem(membership, lease, counts, windows, timeOfDay, tokens));
         }
         if (cloud.includes(CloudSettings.Duty.SCALE)) {
-            ToIntFunction<PoolName> demand = pool -> batches.openItems(
-                    routes.inForce().map(found -> found.models().get(pool)).orElseGet(Set::of));
+            ToIntFunction<PoolName> demand = pool -> batches.openItems(routes.inForce()
+                    .map(configuration -> configuration.models().get(pool))
+                    .orElseGet(Set::of));
             systems.add(new ScalingSystem(lease, registry, routes, demand));
         }
         return systems;
@@ -157,7 +161,7 @@
     }
 
     /**
-     * Returns the nodes of the site.
+     * Returns the membership of the site.
      *
      * @return The membership.
      */
@@ -175,23 +179,23 @@
     }
 
     /**
-     * Returns how long the core may be left alone while no event arrives. A node that runs jobs or gives orders has
-     * timers that count in tens of milliseconds. All others watch the membership and the platform, whose timers are
-     * longer.
+     * Returns the maximum pause between two ticks while no event arrives. A node that runs jobs or sends orders has
+     * timers in the range of tens of milliseconds. All other nodes only follow the membership and the platform, whose
+     * timers are longer.
      *
-     * @return The longest pause between two ticks.
+     * @return The maximum pause between two ticks.
      */
-    Duration pace() {
+    Duration maximumTickInterval() {
         boolean busy = batches.runningJobs() > 0 || lease.isHeld() || quarantine.isBusy();
         return busy ? DecisionLoop.BUSY_INTERVAL : DecisionLoop.IDLE_INTERVAL;
     }
 
     /**
-     * Returns whether an event concerns nothing but the exchange between members. What the membership learns from it is
-     * raised as further events.
+     * Returns whether an event concerns only the exchange between members. The membership publishes the resulting
+     * changes as further events.
      *
      * @param event The event.
-     * @return {@code true} if only the membership looks at it.
+     * @return {@code true} if only the membership processes it.
      */
     private static boolean concernsMembershipOnly(Event event) {
         return event instanceof MembershipEvent.PeerReported
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/GatewayDialects.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/GatewayDialects.java
@@ -9,14 +9,14 @@
 import java.util.function.Function;
 
 /**
- * Everything that is written on the wire or kept on the platform by others.
+ * The dialects of messages on the wire, and the readers of objects that others store on the platform.
  *
- * @param callers How callers speak.
- * @param endpoints How endpoints speak.
- * @param platform How the platform speaks.
- * @param cloud How the cloud speaks.
+ * @param callers The dialect of callers.
+ * @param endpoints The dialect of endpoints.
+ * @param platform The dialect of the platform.
+ * @param cloud The dialect of the cloud.
  * @param endpointEntries Reads an endpoint's entry in the registry.
- * @param routeConfigurations Reads a configuration of routes.
+ * @param routeConfigurations Reads a route configuration.
  * @param namedVersions Reads a version that a trainer named.
  */
 public record GatewayDialects(
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/GatewayServer.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/GatewayServer.java
@@ -33,29 +33,29 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.jboss.logging.Logger;
 
-/** The HTTP server of a gateway, with one address for requests, one for readiness and one for the directory. */
+/** The HTTP server of a gateway, with separate addresses for requests, readiness, the directory and metrics. */
 final class GatewayServer implements AutoCloseable {
 
-    /** The largest number of threads. A thread serves one plain request at a time. */
-    private static final int THREADS = 96;
+    /** The maximum number of threads. Each thread serves one plain request at a time. */
+    private static final int MAXIMUM_THREADS = 96;
 
-    /** The number of threads that are kept when idle. */
+    /** The number of idle threads that are kept. */
     private static final int IDLE_THREADS = 6;
 
-    /** The largest size of a request's headers, in bytes, until a configuration tells one. */
-    private static final int HEADER_BYTES = 16 * 1024;
+    /** The maximum size of a request's headers, until a configuration sets one. */
+    private static final int DEFAULT_MAXIMUM_HEADER_BYTES = 16 * 1024;
 
-    /** The time after which an idle connection is closed, until a configuration tells one. */
-    private static final Duration IDLE_TIMEOUT = Duration.ofSeconds(15);
+    /** The time after which an idle connection is closed, until a configuration sets one. */
+    private static final Duration DEFAULT_IDLE_TIMEOUT = Duration.ofSeconds(15);
 
-    /** How long an answer of the directory may be used: a VM that stops serves at least three times as long. */
+    /** The validity of an answer of the directory. A stopping VM keeps serving at least three times as long. */
     private static final Duration ADDRESS_VALIDITY = Duration.ofSeconds(1);
 
-    /** When to retry at a node that has no configuration yet. */
+    /** The delay before a retry at a node that has no configuration yet. */
     private static final Duration NOT_READY_RETRY_AFTER = Duration.ofMillis(300);
 
-    /** The time that a caller waits if it does not tell. */
-    private static final Duration DEFAULT_TIME = Duration.ofSeconds(30);
+    /** The time that a caller waits if it does not state one. */
+    private static final Duration DEFAULT_TIMEOUT = Duration.ofSeconds(30);
 
     /** The path of the metrics. */
     private static final String METRICS_PATH = "/metrics";
@@ -66,11 +66,11 @@
     /** The status of a malformed call. */
     private static final int BAD_REQUEST = 400;
 
-    /** The status of a request that no route serves. */
+    /** The status of a request without a route. */
     private static final int NOT_FOUND = 404;
 
     /** The status of a body that is too large. */
-    private static final int TOO_LARGE = 413;
+    private static final int CONTENT_TOO_LARGE = 413;
 
     /** The status of a node that has no configuration yet. */
     private static final int UNAVAILABLE = 503;
@@ -81,16 +81,16 @@
     /** The settings. */
     private final GatewaySettings settings;
 
-    /** How callers speak. */
+    /** The dialect of callers. */
     private final CallerDialect callers;
 
-    /** How endpoints speak. */
+    /** The dialect of endpoints. */
     private final EndpointDialect endpoints;
 
-    /** What the core knows. */
+    /** The view of the core. */
     private final GatewayView view;
 
-    /** Finds out whose requests are. */
+    /** Determines the accounts of requests. */
     private final AccountCheck accounts;
 
     /** Serves plain requests. */
@@ -102,10 +102,10 @@
     /** Writes the metrics. */
     private final MetricsText metrics;
 
-    /** Shows requests under which endpoints ended. */
+    /** Lists requests on which endpoints crashed. */
     private final QuarantineRoutes quarantine;
 
-    /** Tells when callers go. */
+    /** Detects that callers disconnect. */
     private final DisconnectWatch disconnects = new DisconnectWatch();
 
     /** The number of requests in progress at the address for requests. */
@@ -118,16 +118,16 @@
     private final Javalin server;
 
     /**
-     * Creates a server that does not listen yet.
+     * Creates a server that is not listening.
      *
      * @param settings The settings.
-     * @param dialects How others speak.
-     * @param view What the core knows.
-     * @param accounts Finds out whose requests are.
+     * @param dialects The wire dialects.
+     * @param view The view of the core.
+     * @param accounts Determines the accounts of requests.
      * @param plain Serves plain requests.
      * @param batches Serves calls about batch jobs.
      * @param metrics Writes the metrics.
-     * @param quarantine Shows requests under which endpoints ended.
+     * @param quarantine Lists requests on which endpoints crashed.
      */
     GatewayServer(
             GatewaySettings settings,
@@ -150,7 +150,7 @@
         server = Javalin.create(this::configure);
     }
 
-    /** Starts to listen. */
+    /** Starts listening. */
     void start() {
         server.start();
     }
@@ -164,7 +164,7 @@
         return inProgress.get();
     }
 
-    /** Accepts no further connections, and keeps serving those that there are. */
+    /** Stops accepting connections, and keeps serving the existing ones. */
     void stopAccepting() {
         connectors.forEach(ServerConnector::close);
     }
@@ -199,12 +199,12 @@
     private void configure(JavalinConfig config) {
         config.startup.showJavalinBanner = false;
         config.http.compressionStrategy = io.javalin.compression.CompressionStrategy.NONE;
-        config.jetty.threadPool = new QueuedThreadPool(THREADS, IDLE_THREADS);
+        config.jetty.threadPool = new QueuedThreadPool(MAXIMUM_THREADS, IDLE_THREADS);
         config.jetty.modifyHttpConfiguration(http -> {
             http.setUriCompliance(UriCompliance.UNSAFE);
             http.setSendServerVersion(false);
             http.setSendDateHeader(false);
-            http.setRequestHeaderSize(HEADER_BYTES);
+            http.setRequestHeaderSize(DEFAULT_MAXIMUM_HEADER_BYTES);
         });
         for (String address : Set.of(
                 settings.entryAddress(),
@@ -233,13 +233,13 @@
         ServerConnector connector = new ServerConnector(jetty, 1, 1, new HttpConnectionFactory(http));
         connector.setHost(address.host());
         connector.setPort(address.port());
-        connector.setIdleTimeout(IDLE_TIMEOUT.toMillis());
+        connector.setIdleTimeout(DEFAULT_IDLE_TIMEOUT.toMillis());
         connectors.add(connector);
         return connector;
     }
 
     /**
-     * Routes all methods of a path to this server.
+     * Registers a handler for all methods of a path.
      *
      * @param routes The library's routes.
      * @param path The path.
@@ -258,7 +258,7 @@
      * Serves a request at any address.
      *
      * @param context The request.
-     * @throws IOException If the caller has gone.
+     * @throws IOException If the caller has disconnected.
      */
     private void handle(Context context) throws IOException {
         int port = context.req().getLocalPort();
@@ -279,14 +279,14 @@
     }
 
     /**
-     * Shows an operator the requests under which endpoints ended, or lets one go.
+     * Lists the requests on which endpoints crashed, or releases one from quarantine.
      *
      * @param context The request.
      * @param path The path.
      */
     private void handleQuarantine(Context context, String path) {
-        boolean releases = context.req().getMethod().equals("DELETE");
-        if (releases) {
+        boolean isRelease = context.req().getMethod().equals("DELETE");
+        if (isRelease) {
             quarantine.release(context, path.substring(path.lastIndexOf('/') + 1));
         } else {
             quarantine.list(context);
@@ -294,7 +294,7 @@
     }
 
     /**
-     * Answers which entry addresses to use.
+     * Answers with the entry addresses to use.
      *
      * @param context The request.
      */
@@ -313,34 +313,35 @@
      *
      * @param context The request.
      * @param path The path.
-     * @throws IOException If the caller has gone.
+     * @throws IOException If the caller has disconnected.
      */
     private void serve(Context context, String path) throws IOException {
         inProgress.incrementAndGet();
-        boolean answersLater = false;
+        boolean answeredAsynchronously = false;
         try {
-            answersLater = dispatch(context, path);
+            answeredAsynchronously = dispatch(context, path);
         } finally {
-            if (!answersLater) {
+            if (!answeredAsynchronously) {
                 inProgress.decrementAndGet();
             }
         }
     }
 
     /**
-     * Finds out what a request asks for, and serves it.
+     * Determines the kind of a request, and serves it.
      *
      * @param context The request.
      * @param path The path.
-     * @return Whether the answer follows later, on another thread.
-     * @throws IOException If the caller has gone.
+     * @return {@code true} if the answer is written later, on another thread.
+     * @throws IOException If the caller has disconnected.
      */
     private boolean dispatch(Context context, String path) throws IOException {
-        MonotonicTime arrived = DecisionLoop.now();
+        MonotonicTime arrivedAt = DecisionLoop.now();
         Optional<RouteConfiguration> routes = view.routes();
-        long maximumBody =
-                routes.map(found -> found.limits().maximumBodyBytes()).orElse(Long.MAX_VALUE);
-        Optional<Bytes> body = readBody(context, maximumBody);
+        long maximumBodyBytes = routes.map(
+                        configuration -> configuration.limits().maximumBodyBytes())
+                .orElse(Long.MAX_VALUE);
+        Optional<Bytes> body = readBody(context, maximumBodyBytes);
         ClientConnection connection = ClientConnection.of(context.req());
         CallerResponse caller = new CallerResponse(context, connection, view.isLeaving());
         if (routes.isEmpty() || !view.hasEndpoints()) {
@@ -348,13 +349,13 @@
             return false;
         }
         if (body.isEmpty()) {
-            caller.answerText(TOO_LARGE, "the body is too large", Optional.empty());
+            caller.answerText(CONTENT_TOO_LARGE, "the body is too large", Optional.empty());
             return false;
         }
         Optional<CallerDialect.BatchCall> call =
                 callers.batchCall(context.req().getMethod(), path, context::queryParam, context::header);
         if (call.isPresent()) {
-            BatchHandler.CallTimes times = new BatchHandler.CallTimes(arrived, timeTold(context));
+            BatchHandler.CallTimes times = new BatchHandler.CallTimes(arrivedAt, callerTimeout(context));
             Optional<ClientAccount> account = accounts.admitBatchCall(context, caller, routes.get());
             account.ifPresent(owner ->
                     batches.serve(context, caller, call.get().ownedBy(owner), times, inProgress::decrementAndGet));
@@ -374,12 +375,12 @@
             return false;
         }
         if (route.get().kind() == RequestKind.BATCH) {
-            BatchHandler.CallTimes times = new BatchHandler.CallTimes(arrived, timeAllowed(context, route.get()));
+            BatchHandler.CallTimes times = new BatchHandler.CallTimes(arrivedAt, requestTimeout(context, route.get()));
             submit(context, caller, account.get(), path, body.get(), times);
             return true;
         }
-        PlainRequest request = plainRequest(context, route.get(), account.get(), body.get(), arrived);
-        try (DisconnectWatch.Watched watched = disconnects.watch(connection)) {
+        PlainRequest request = plainRequest(context, route.get(), account.get(), body.get(), arrivedAt);
+        try (DisconnectWatch.WatchedRequest watched = disconnects.watch(connection)) {
             plain.serve(request, caller, watched);
         }
         return false;
@@ -390,7 +391,7 @@
      *
      * @param context The request.
      * @param caller Writes the answer.
-     * @param account Whose the job is.
+     * @param account The account of the job.
      * @param path The path.
      * @param body The body.
      * @param times When the submission arrived, and how long it may take.
@@ -415,13 +416,13 @@
      *
      * @param context The request.
      * @param route The route.
-     * @param account Whose the request is.
+     * @param account The account of the request.
      * @param body The body.
-     * @param arrived When the request arrived.
+     * @param arrivedAt When the request arrived.
      * @return The request.
      */
     private PlainRequest plainRequest(
-            Context context, Route route, ClientAccount account, Bytes body, MonotonicTime arrived) {
+            Context context, Route route, ClientAccount account, Bytes body, MonotonicTime arrivedAt) {
         String query = context.req().getQueryString();
         String target = context.req().getRequestURI() + (query == null ? "" : "?" + query);
         OutgoingRequest outgoing = new OutgoingRequest(
@@ -431,36 +432,36 @@
                 headersOf(context, account),
                 account.name(),
                 body);
-        return new PlainRequest(outgoing, route, arrived.plus(timeAllowed(context, route)));
+        return new PlainRequest(outgoing, route, arrivedAt.plus(requestTimeout(context, route)));
     }
 
     /**
-     * Returns how long a request may take.
+     * Returns the timeout of a request: that of its caller or that of its route, whichever is shorter.
      *
      * @param context The request.
      * @param route The route.
-     * @return The time, from the request's arrival on.
+     * @return The timeout, counted from the request's arrival.
      */
-    private Duration timeAllowed(Context context, Route route) {
-        Duration told = timeTold(context);
-        return told.compareTo(route.timeout()) < 0 ? told : route.timeout();
+    private Duration requestTimeout(Context context, Route route) {
+        Duration requested = callerTimeout(context);
+        return requested.compareTo(route.timeout()) < 0 ? requested : route.timeout();
     }
 
     /**
-     * Returns how long a caller waits.
+     * Returns the timeout of a caller.
      *
      * @param context The request.
-     * @return The time, from the request's arrival on.
+     * @return The timeout, counted from the request's arrival.
      */
-    private Duration timeTold(Context context) {
-        return callers.timeLeft(context::header).orElse(DEFAULT_TIME);
+    private Duration callerTimeout(Context context) {
+        return callers.timeLeft(context::header).orElse(DEFAULT_TIMEOUT);
     }
 
     /**
-     * Returns the headers that are passed on.
+     * Returns the headers that are forwarded.
      *
      * @param context The request.
-     * @param account Whose the request is.
+     * @param account The account of the request.
      * @return The headers, in order.
      */
     private List<Map.Entry<String, String>> headersOf(Context context, ClientAccount account) {
@@ -477,13 +478,13 @@
      * Reads the body of a request.
      *
      * @param context The request.
-     * @param maximum The largest size in bytes.
+     * @param maximumBytes The maximum size in bytes.
      * @return The body, or empty if it is too large.
-     * @throws IOException If it breaks off.
+     * @throws IOException If the connection of the caller fails.
      */
-    private static Optional<Bytes> readBody(Context context, long maximum) throws IOException {
+    private static Optional<Bytes> readBody(Context context, long maximumBytes) throws IOException {
         InputStream input = context.req().getInputStream();
-        byte[] body = input.readNBytes((int) Math.min(Integer.MAX_VALUE - 8, maximum));
+        byte[] body = input.readNBytes((int) Math.min(Integer.MAX_VALUE - 8, maximumBytes));
         return input.read() < 0 ? Optional.of(Bytes.wrap(body)) : Optional.empty();
     }
 
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/GatewaySettings.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/GatewaySettings.java
@@ -17,35 +17,34 @@
  * @param availabilityZone The availability zone.
  * @param region The region.
  * @param entryAddress The address for requests and batch jobs.
- * @param readinessAddress The address for the question whether the node is ready.
- * @param directoryAddress The address for the question which entry addresses to use.
+ * @param readinessAddress The address for readiness queries.
+ * @param directoryAddress The address for queries of the entry addresses.
  * @param peerAddress The address for other nodes.
  * @param metricsAddress The address that serves metrics.
- * @param seeds The peer addresses to ask first.
- * @param platform How the platform is reached.
+ * @param seeds The peer addresses to contact first.
+ * @param platform The settings of the connection to the platform.
  * @param nodes The number of nodes that share the platform's rates.
- * @param orderSafetyTime The least time between orders of two nodes.
- * @param stopTime The time in which a planned stop must be done.
+ * @param orderSafetyTime The minimum time between orders of two nodes to engines.
+ * @param stopTime The time after which a planned stop is ended by force.
  * @param processorShare The share of each core that the node may use.
  * @param cores How many times as fast as one core the node's processor is.
- * @param cloud How the cloud is called, where there is one.
- * @param log How the node writes its logs.
+ * @param cloud The settings of calls to the cloud, if one is configured.
+ * @param log The settings of logging.
  */
 public record GatewaySettings(
         @Setting(description = "The node's name, unique within the site.") NodeName name,
         @Setting(description = "The name of the site, which all nodes of the site share.", defaultValue = "default")
                 String site,
-        @Setting(description = "The availability zone that the VM lies in.") AvailabilityZone availabilityZone,
-        @Setting(description = "The region that the VM lies in.", defaultValue = "local") String region,
+        @Setting(description = "The availability zone of the VM.") AvailabilityZone availabilityZone,
+        @Setting(description = "The region of the VM.", defaultValue = "local") String region,
         @Setting(description = "The address for requests and batch jobs as host:port.") String entryAddress,
-        @Setting(description = "The address that tells whether the node is ready, as host:port.")
-                String readinessAddress,
-        @Setting(description = "The address that tells which entry addresses to use, as host:port.")
-                String directoryAddress,
+        @Setting(description = "The address for readiness queries as host:port.") String readinessAddress,
+        @Setting(description = "The address for queries of the entry addresses as host:port.") String directoryAddress,
         @Setting(description = "The address for other nodes as host:port.") String peerAddress,
         @Setting(description = "The address that serves metrics as host:port.") String metricsAddress,
-        @Setting(description = "The peer addresses of nodes to ask first.") List<String> seeds,
-        @Setting(description = "How the platform is reached.") NodeSettings.PlatformSettings platform,
+        @Setting(description = "The peer addresses of nodes to contact first.") List<String> seeds,
+        @Setting(description = "The settings of the connection to the platform.")
+                NodeSettings.PlatformSettings platform,
         @Setting(
                         description = "The number of nodes that share the platform's rates.",
                         defaultValue = "10",
@@ -53,7 +52,7 @@
                         maximum = "10000")
                 int nodes,
         @Setting(
-                        description = "The least time between orders of two nodes to engines.",
+                        description = "The minimum time between orders of two nodes to engines.",
                         defaultValue = "3s",
                         minimum = "0s",
                         maximum = "10m")
@@ -76,8 +75,9 @@
                         minimum = "0.01",
                         maximum = "1024")
                 double cores,
-        @Setting(description = "How the cloud is called, where there is one.") Optional<CloudSettings> cloud,
-        @Setting(description = "How the node writes its logs.") LogSettings log) {
+        @Setting(description = "The settings of calls to the cloud, if one is configured.")
+                Optional<CloudSettings> cloud,
+        @Setting(description = "The settings of logging.") LogSettings log) {
 
     /** Copies the seeds. */
     public GatewaySettings {
@@ -85,7 +85,7 @@
     }
 
     /**
-     * Returns what the node's processors can do.
+     * Returns the processing capacity of the node.
      *
      * @return The number of hundredths of a core.
      */
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/GatewayView.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/GatewayView.java
@@ -20,30 +20,30 @@
 import java.util.Optional;
 
 /**
- * What the threads that serve callers see of the core: the configuration in force, the working endpoints, and the nodes
- * that take requests. All of it is replaced as a whole, never changed.
+ * A view of the core for the threads that serve callers: the active configuration, the working endpoints, and the nodes
+ * that accept requests. Each value is immutable and is replaced as a whole.
  */
 final class GatewayView implements ConfigurationView {
 
-    /** The configuration in force, if any. */
+    /** The active configuration, if any. */
     private volatile Optional<RouteConfiguration> routes = Optional.empty();
 
-    /** The working endpoints, or empty before the registry was read. */
+    /** The working endpoints, or empty until the registry was read. */
     private volatile Optional<List<RegisteredEndpoint>> endpoints = Optional.empty();
 
-    /** How old what is known of the endpoints is. */
+    /** The freshness of the endpoints' state. */
     private volatile RegistryFreshness freshness = RegistryFreshness.UNKNOWN;
 
-    /** The entry addresses of the nodes that take requests. */
+    /** The entry addresses of the nodes that accept requests. */
     private volatile List<String> addresses = List.of();
 
     /** Whether this node is about to stop. */
     private volatile boolean leaving;
 
     /**
-     * Returns a system that keeps the entry addresses of the nodes that take requests.
+     * Returns a system that updates the entry addresses of the nodes that accept requests.
      *
-     * @param membership The nodes of the site.
+     * @param membership The membership of the site.
      * @return The system.
      */
     DecisionSystem observer(MembershipSystem membership) {
@@ -63,7 +63,7 @@
     }
 
     /**
-     * Brings a configuration into force.
+     * Replaces the active configuration.
      *
      * @param configuration The configuration.
      */
@@ -81,37 +81,37 @@
     }
 
     /**
-     * Notes how old what is known of the endpoints is, and wakes the requests that wait for it.
+     * Replaces the freshness of the endpoints' state, and wakes the requests that wait for it.
      *
-     * @param confirmed How old it is.
+     * @param current The new freshness.
      */
-    synchronized void confirm(RegistryFreshness confirmed) {
-        freshness = confirmed;
+    synchronized void updateFreshness(RegistryFreshness current) {
+        freshness = current;
         notifyAll();
     }
 
     /**
-     * Returns how old what is known of the endpoints is.
+     * Returns the freshness of the endpoints' state.
      *
-     * @return How old it is.
+     * @return The freshness.
      */
     RegistryFreshness freshness() {
         return freshness;
     }
 
     /**
-     * Waits until what is known of the endpoints is recent enough for a request to be sent, which it nearly always is.
+     * Waits until the endpoints' state is fresh enough for a request to be sent. Usually it already is.
      *
-     * @param patience The longest time to wait.
-     * @return Whether it is.
+     * @param timeout The maximum time to wait.
+     * @return {@code true} if it is.
      */
-    boolean awaitFreshness(Duration patience) {
-        MonotonicTime end = DecisionLoop.now().plus(patience);
+    boolean awaitFreshness(Duration timeout) {
+        MonotonicTime end = DecisionLoop.now().plus(timeout);
         if (freshness.allowsDispatch(DecisionLoop.now())) {
             return true;
         }
         synchronized (this) {
-            long left = patience.toMillis();
+            long left = timeout.toMillis();
             while (left > 0 && !freshness.allowsDispatch(DecisionLoop.now())) {
                 try {
                     wait(left);
@@ -126,9 +126,9 @@
     }
 
     /**
-     * Returns whether an endpoint is known to work.
+     * Returns whether an endpoint is among the working ones.
      *
-     * @param name The name of its start.
+     * @param name The name of its incarnation.
      * @return {@code true} if it is.
      */
     boolean isWorking(EndpointName name) {
@@ -136,8 +136,8 @@
                 .anyMatch(endpoint -> endpoint.name().equals(name));
     }
 
-    /** Notes that this node is about to stop. */
-    void leave() {
+    /** Marks this node as about to stop. */
+    void markLeaving() {
         leaving = true;
     }
 
@@ -151,7 +151,7 @@
     }
 
     /**
-     * Returns the configuration in force.
+     * Returns the active configuration.
      *
      * @return The configuration, or empty if there is none.
      */
@@ -181,7 +181,7 @@
     }
 
     /**
-     * Returns the entry addresses of the nodes that take requests.
+     * Returns the entry addresses of the nodes that accept requests.
      *
      * @return The addresses.
      */
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/ItemRunner.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/ItemRunner.java
@@ -31,47 +31,47 @@
 import okhttp3.Request;
 import okhttp3.Response;
 
-/** Runs the items of batch jobs at engines, and tells the core what became of each attempt. */
+/** Runs the items of batch jobs at engines and reports the outcome of each attempt to the core. */
 final class ItemRunner implements AutoCloseable {
 
-    /** How long an engine may be silent before its answer begins, as the item may wait there. */
-    private static final Duration HEAD_SILENCE = Duration.ofSeconds(3);
+    /** The maximum wait for the start of an answer, which includes the time that the item is queued at the engine. */
+    private static final Duration HEAD_TIMEOUT = Duration.ofSeconds(3);
 
-    /** How long an engine may be silent between events. The loading of a version takes about half of it. */
-    private static final Duration EVENT_SILENCE = Duration.ofMillis(2200);
+    /** The maximum wait between two events. Loading a version of the weights takes about half of it. */
+    private static final Duration EVENT_TIMEOUT = Duration.ofMillis(2200);
 
-    /** The interval at which silence is looked for. */
-    private static final Duration LOOK_INTERVAL = Duration.ofMillis(250);
+    /** The interval at which timeouts are checked and progress is reported. */
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(250);
 
     /**
-     * How long an attempt must have lasted before its text is copied to another node. Most items are whole by then, and
-     * cost less to make again than to copy.
+     * The minimum age of an answer before its text is copied to another node. Most items are complete by then, and
+     * repeating them takes less work than copying them.
      */
-    private static final Duration COPIED_AGE = Duration.ofSeconds(1);
+    private static final Duration MINIMUM_COPY_AGE = Duration.ofSeconds(1);
 
     /** The status of success. */
     private static final int OK = 200;
 
-    /** The status of an engine that failed. */
-    private static final int FAILED = 500;
+    /** The status of an engine that failed while it ran the request. */
+    private static final int INTERNAL_SERVER_ERROR = 500;
 
     /** The connections to engines. */
     private final EndpointHttp http;
 
-    /** How engines speak. */
+    /** The dialect of engines. */
     private final EndpointDialect dialect;
 
-    /** Finds out whether engines have ended. */
+    /** Checks whether engines have ended. */
     private final EndpointChecks checks;
 
-    /** Looks at engines again before items are written. */
+    /** Checks engines again right before items are sent. */
     private final DispatchCheck dispatch;
 
     /** The core. */
     private final DecisionLoop loop;
 
     /** The attempts in progress. */
-    private final Map<Key, Running> running = new ConcurrentHashMap<>();
+    private final Map<Key, Attempt> running = new ConcurrentHashMap<>();
 
     /** The subscriptions. */
     private final CompositeDisposable subscriptions = new CompositeDisposable();
@@ -80,9 +80,9 @@
      * Creates a runner and connects it to the core.
      *
      * @param http The connections to engines.
-     * @param dialect How engines speak.
-     * @param checks Finds out whether engines have ended.
-     * @param dispatch Looks at engines again before items are written.
+     * @param dialect The dialect of engines.
+     * @param checks Checks whether engines have ended.
+     * @param dispatch Checks engines again right before items are sent.
      * @param loop The core.
      */
     ItemRunner(
@@ -98,8 +98,8 @@
         this.loop = loop;
         subscriptions.add(loop.effects(BatchEffect.Run.class).subscribe(this::start));
         subscriptions.add(loop.effects(BatchEffect.Cancel.class).subscribe(this::cancel));
-        subscriptions.add(Observable.interval(LOOK_INTERVAL.toMillis(), TimeUnit.MILLISECONDS)
-                .subscribe(_tick -> look()));
+        subscriptions.add(Observable.interval(POLL_INTERVAL.toMillis(), TimeUnit.MILLISECONDS)
+                .subscribe(_tick -> poll()));
     }
 
     @Override
@@ -108,13 +108,13 @@
         running.values().forEach(attempt -> attempt.call.cancel());
     }
 
-    /** Breaks silent attempts off, and tells the core how far the others are. */
-    private void look() {
+    /** Cancels attempts that timed out, and reports the progress of the others to the core. */
+    private void poll() {
         List<BatchEvent.Progress> progress = new ArrayList<>();
-        for (Running attempt : running.values()) {
-            attempt.endSilence();
+        for (Attempt attempt : running.values()) {
+            attempt.cancelIfSilent();
             attempt.progress().ifPresent(progress::add);
-            attempt.grown().ifPresent(loop::accept);
+            attempt.newEvents().ifPresent(loop::accept);
         }
         if (!progress.isEmpty()) {
             loop.accept(new BatchEvent.Progressed(progress));
@@ -124,7 +124,7 @@
     /**
      * Starts an attempt.
      *
-     * @param run What to run.
+     * @param run The item to run.
      */
     private void start(BatchEffect.Run run) {
         BatchItem item = run.item();
@@ -151,30 +151,30 @@
         EndpointHttp.ConnectionUse connection =
                 run.inDoubt() ? EndpointHttp.ConnectionUse.NEW : EndpointHttp.ConnectionUse.KEPT;
         Call call = http.call(request, transmission, run.timeLeft(), connection);
-        Running attempt = new Running(run, call, transmission);
+        Attempt attempt = new Attempt(run, call, transmission);
         running.put(Key.of(run), attempt);
         call.enqueue(attempt);
     }
 
     /**
-     * Breaks an attempt off.
+     * Cancels an attempt.
      *
-     * @param cancel The attempt.
+     * @param cancel The attempt to cancel.
      */
     private void cancel(BatchEffect.Cancel cancel) {
-        Running attempt = running.remove(new Key(cancel.id(), cancel.item(), cancel.attempt()));
+        Attempt attempt = running.remove(new Key(cancel.id(), cancel.item(), cancel.attempt()));
         if (attempt != null) {
-            attempt.brokenOff = true;
+            attempt.cancelled = true;
             attempt.call.cancel();
         }
     }
 
     /**
-     * Tells the core what became of an attempt.
+     * Reports the outcome of an attempt to the core.
      *
-     * @param run What was run.
-     * @param outcome What became of it.
-     * @param text The events that arrived.
+     * @param run The attempt.
+     * @param outcome The outcome.
+     * @param text The events that were received.
      */
     private void end(BatchEffect.Run run, AttemptOutcome outcome, ItemText text) {
         running.remove(Key.of(run));
@@ -193,7 +193,7 @@
         /**
          * Returns the key of an attempt.
          *
-         * @param run What is run.
+         * @param run The attempt.
          * @return The key.
          */
         static Key of(BatchEffect.Run run) {
@@ -202,55 +202,55 @@
     }
 
     /** An attempt in progress. */
-    private final class Running implements Callback {
+    private final class Attempt implements Callback {
 
-        /** What is run. */
+        /** The item to run. */
         private final BatchEffect.Run run;
 
         /** The call. */
         private final Call call;
 
-        /** The watcher of the call. */
+        /** Records how far the call was transmitted. */
         private final Transmission transmission;
 
-        /** The data of the events that arrived. */
+        /** The data of the received events. */
         private final List<Bytes> events = new ArrayList<>();
 
-        /** The version under which each event was made. */
+        /** The version of the weights that produced each event. */
         private final List<Long> versions = new ArrayList<>();
 
         /** The number of events that were copied to another node. */
-        private int copied;
+        private int copiedEvents;
 
         /** The identifier of the last event. */
         private long lastEventId;
 
-        /** When the engine was last heard, in nanoseconds. */
-        private volatile long heardAt = System.nanoTime();
+        /** When data was last received from the engine, in nanoseconds. */
+        private volatile long lastReceivedAt = System.nanoTime();
 
-        /** When the answer began, in nanoseconds. */
-        private volatile long begunAt;
+        /** When the answer started, in nanoseconds. */
+        private volatile long answerStartedAt;
 
-        /** The number of events that have arrived. */
-        private volatile long received;
+        /** The number of received events. */
+        private volatile long receivedEvents;
 
-        /** Whether the answer has begun. */
-        private volatile boolean begun;
+        /** Whether the answer has started. */
+        private volatile boolean answerStarted;
 
-        /** Whether the call was broken off because the engine was silent. */
-        private volatile boolean silent;
+        /** Whether the call was cancelled because the engine sent no data in time. */
+        private volatile boolean timedOut;
 
-        /** Whether the call was broken off because the core wanted so. */
-        private volatile boolean brokenOff;
+        /** Whether the call was cancelled by the core. */
+        private volatile boolean cancelled;
 
         /**
          * Creates an attempt.
          *
-         * @param run What is run.
+         * @param run The attempt.
          * @param call The call.
-         * @param transmission The watcher of the call.
+         * @param transmission Records how far the call was transmitted.
          */
-        Running(BatchEffect.Run run, Call call, Transmission transmission) {
+        Attempt(BatchEffect.Run run, Call call, Transmission transmission) {
             this.run = run;
             this.call = call;
             this.transmission = transmission;
@@ -258,49 +258,52 @@
         }
 
         /**
-         * Returns how far the attempt is.
+         * Returns the progress of the attempt.
          *
-         * @return The progress, or empty before the answer has begun.
+         * @return The progress, or empty before the answer has started.
          */
         Optional<BatchEvent.Progress> progress() {
-            if (!begun) {
+            if (!answerStarted) {
                 return Optional.empty();
             }
-            Duration since = Duration.ofNanos(System.nanoTime() - begunAt);
-            return Optional.of(new BatchEvent.Progress(run.id(), run.item().id(), run.attempt(), received, since));
+            Duration elapsed = Duration.ofNanos(System.nanoTime() - answerStartedAt);
+            return Optional.of(
+                    new BatchEvent.Progress(run.id(), run.item().id(), run.attempt(), receivedEvents, elapsed));
         }
 
         /**
-         * Returns the events that have arrived since the last time, of an attempt that has lasted for long.
+         * Returns the events received since the last call, if the answer has reached the minimum age for copies.
          *
          * @return The events, or empty if there are none.
          */
-        synchronized Optional<BatchEvent.TextGrown> grown() {
-            if (!begun || System.nanoTime() - begunAt < COPIED_AGE.toNanos() || copied == events.size()) {
+        synchronized Optional<BatchEvent.TextGrown> newEvents() {
+            if (!answerStarted
+                    || System.nanoTime() - answerStartedAt < MINIMUM_COPY_AGE.toNanos()
+                    || copiedEvents == events.size()) {
                 return Optional.empty();
             }
-            long after = run.lastEventId() + copied;
-            ItemText part = part(copied);
-            copied = events.size();
+            long after = run.lastEventId() + copiedEvents;
+            ItemText part = eventsFrom(copiedEvents);
+            copiedEvents = events.size();
             return Optional.of(new BatchEvent.TextGrown(run.id(), run.item().id(), run.attempt(), after, part));
         }
 
         /**
-         * Returns the events from a position on.
+         * Returns the received events from a position on.
          *
-         * @param from The number of events before them.
-         * @return The events with the versions under which they were made.
+         * @param position The number of events before them.
+         * @return The events with the versions that produced them.
          */
-        private ItemText part(int from) {
-            TreeSet<Long> under = new TreeSet<>(versions.subList(from, versions.size()));
-            return new ItemText(lastEventId, events.subList(from, events.size()), List.copyOf(under));
+        private ItemText eventsFrom(int position) {
+            TreeSet<Long> distinctVersions = new TreeSet<>(versions.subList(position, versions.size()));
+            return new ItemText(lastEventId, events.subList(position, events.size()), List.copyOf(distinctVersions));
         }
 
-        /** Breaks the call off if the engine has been silent for too long. */
-        void endSilence() {
-            Duration allowed = begun ? EVENT_SILENCE : HEAD_SILENCE;
-            if (System.nanoTime() - heardAt > allowed.toNanos()) {
-                silent = true;
+        /** Cancels the call if the engine sent no data within the timeout. */
+        void cancelIfSilent() {
+            Duration timeout = answerStarted ? EVENT_TIMEOUT : HEAD_TIMEOUT;
+            if (System.nanoTime() - lastReceivedAt > timeout.toNanos()) {
+                timedOut = true;
                 call.cancel();
             }
         }
@@ -311,14 +314,14 @@
                 end(run, new AttemptOutcome.Withheld("not sent, the engine may have left"), ItemText.EMPTY);
                 return;
             }
-            interrupted(EndpointAttempts.describe(exception));
+            endInterrupted(EndpointAttempts.describe(exception));
         }
 
         @Override
         public void onResponse(Call _call, Response response) {
-            heardAt = System.nanoTime();
-            begunAt = heardAt;
-            begun = true;
+            lastReceivedAt = System.nanoTime();
+            answerStartedAt = lastReceivedAt;
+            answerStarted = true;
             try (response) {
                 Optional<AttemptOutcome> refusal = refusal(response);
                 if (refusal.isPresent()) {
@@ -330,15 +333,15 @@
             } catch (IOException | RuntimeException exception) {
                 call.cancel();
                 transmission.closeConnection();
-                interrupted(exception.getClass().getSimpleName() + " " + exception.getMessage());
+                endInterrupted(exception.getClass().getSimpleName() + " " + exception.getMessage());
             }
         }
 
         /**
-         * Recognises an answer that is no stream of this item.
+         * Checks whether an answer is not a stream of this item.
          *
          * @param response The answer.
-         * @return What became of the attempt, or empty if the answer is the item's stream.
+         * @return The outcome of the attempt, or empty if the answer is the item's stream.
          * @throws IOException If the answer can't be trusted.
          */
         private Optional<AttemptOutcome> refusal(Response response) throws IOException {
@@ -353,11 +356,11 @@
             if (dialect.isImpossible(status)) {
                 return Optional.of(new AttemptOutcome.Impossible());
             }
-            if (status == FAILED) {
+            if (status == INTERNAL_SERVER_ERROR) {
                 return Optional.of(new AttemptOutcome.Failed());
             }
             if (status != OK || echoed == null || !dialect.isSigned(response.headers())) {
-                throw new IOException("status " + status + " is no stream of this item");
+                throw new IOException("status " + status + " is not a stream of this item");
             }
             return Optional.empty();
         }
@@ -366,63 +369,64 @@
          * Reads the events.
          *
          * @param response The answer.
-         * @throws IOException If the stream breaks off or an event is missing.
+         * @throws IOException If the stream is interrupted or an event is missing.
          */
         private void read(Response response) throws IOException {
             OptionalLong version = dialect.version(response.headers());
-            version.ifPresent(told ->
-                    loop.accept(new BatchEvent.AttemptBegun(run.id(), run.item().id(), run.attempt(), told)));
+            version.ifPresent(first ->
+                    loop.accept(new BatchEvent.AttemptBegun(run.id(), run.item().id(), run.attempt(), first)));
             ServerSentEvents stream = new ServerSentEvents(response.body().source(), dialect);
             Optional<ServerSentEvents.Event> event = stream.next();
             while (event.isPresent()) {
-                heardAt = System.nanoTime();
+                lastReceivedAt = System.nanoTime();
                 version = event.get().version().isPresent() ? event.get().version() : version;
-                take(event.get(), version);
+                append(event.get(), version);
                 event = stream.next();
             }
         }
 
         /**
-         * Takes an event.
+         * Appends an event.
          *
          * @param event The event.
-         * @param version The version under which it was made.
-         * @throws IOException If it is not the next one, or bears no version.
+         * @param version The version that produced it.
+         * @throws IOException If it is not the next event, or its version is unknown.
          */
-        private synchronized void take(ServerSentEvents.Event event, OptionalLong version) throws IOException {
+        private synchronized void append(ServerSentEvents.Event event, OptionalLong version) throws IOException {
             if (event.id().orElse(-1) != lastEventId + 1) {
                 throw new IOException("event " + event.id() + " follows event " + lastEventId);
             }
             if (version.isEmpty()) {
-                throw new IOException("the stream names no version");
+                throw new IOException("the stream states no version of the weights");
             }
             lastEventId++;
-            received = lastEventId - run.lastEventId();
+            receivedEvents = lastEventId - run.lastEventId();
             events.add(Bytes.wrap(event.data().toByteArray()));
             versions.add(version.getAsLong());
         }
 
         /**
-         * Tells the core that the attempt broke off.
+         * Reports to the core that the attempt was interrupted.
          *
          * @param reason The reason.
          */
-        private void interrupted(String reason) {
-            String told = (silent ? "silent for too long" : reason) + " " + transmission.describe();
+        private void endInterrupted(String reason) {
+            String description = (timedOut ? "no data within the timeout" : reason) + " " + transmission.describe();
             boolean unreachable = !transmission.begun();
             Loss loss = unreachable
                     ? Loss.UNUSABLE
-                    : checks.judge(run.endpoint().name(), run.endpoint().address(), transmission, brokenOff || silent);
-            end(run, new AttemptOutcome.Interrupted(told, unreachable, loss), text());
+                    : checks.judge(
+                            run.endpoint().name(), run.endpoint().address(), transmission, cancelled || timedOut);
+            end(run, new AttemptOutcome.Interrupted(description, unreachable, loss), text());
         }
 
         /**
-         * Returns the events that arrived.
+         * Returns the received events.
          *
          * @return The text.
          */
         private synchronized ItemText text() {
-            return part(0);
+            return eventsFrom(0);
         }
     }
 }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/JsonBatchCodec.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/JsonBatchCodec.java
@@ -23,21 +23,22 @@
 import java.util.Optional;
 import org.jboss.logging.Logger;
 
-/** Keeps batch jobs as JSON. Outputs are kept as text where they are UTF-8, which is the usual case, else in base64. */
+/**
+ * Encodes batch jobs as JSON. Outputs are stored as text if they are valid UTF-8, which is the usual case, and as
+ * base64 otherwise.
+ */
 public final class JsonBatchCodec implements BatchCodec {
 
     /** The logger. */
     private static final Logger LOGGER = Logger.getLogger(JsonBatchCodec.class);
 
-    /** What begins the data of an event that is kept as text. */
-    private static final String TEXT_MARK = "t";
+    /** The prefix of event data that is stored as text. */
+    private static final String TEXT_PREFIX = "t";
 
-    /** What begins the data of an event that is kept in base64. */
-    private static final String BASE64_MARK = "b";
+    /** The prefix of event data that is stored as base64. */
+    private static final String BASE64_PREFIX = "b";
 
-    /**
-     * The codec of documents. Fields that a later release adds are passed over, so that releases can run side by side.
-     */
+    /** The mapper of documents. It ignores unknown fields, so that different releases can run side by side. */
     private static final ObjectMapper MAPPER =
             new ObjectMapper().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
 
@@ -207,7 +208,7 @@
     }
 
     /**
-     * Encodes the data of an event: as text where it is UTF-8, else in base64, each behind a mark.
+     * Encodes the data of an event as text if it is valid UTF-8 and as base64 otherwise, each with a prefix.
      *
      * @param data The data.
      * @return The text.
@@ -215,8 +216,8 @@
     private static String encode(Bytes data) {
         String text = data.toUtf8();
         return Bytes.ofUtf8(text).equals(data)
-                ? TEXT_MARK + text
-                : BASE64_MARK + Base64.getEncoder().encodeToString(data.unsafeArray());
+                ? TEXT_PREFIX + text
+                : BASE64_PREFIX + Base64.getEncoder().encodeToString(data.unsafeArray());
     }
 
     /**
@@ -227,7 +228,7 @@
      */
     private static Bytes decode(String encoded) {
         String text = encoded.substring(1);
-        return encoded.startsWith(TEXT_MARK)
+        return encoded.startsWith(TEXT_PREFIX)
                 ? Bytes.ofUtf8(text)
                 : Bytes.wrap(Base64.getDecoder().decode(text));
     }
@@ -242,7 +243,7 @@
         try {
             return Bytes.wrap(MAPPER.writeValueAsBytes(document));
         } catch (IOException exception) {
-            throw new UncheckedIOException("A document of this class can always be written", exception);
+            throw new UncheckedIOException("Failed to serialise a batch document", exception);
         }
     }
 
@@ -270,7 +271,7 @@
      * @param host The host of its route.
      * @param path The path of its submission.
      * @param model The model.
-     * @param minimumVersion The oldest version.
+     * @param minimumVersion The oldest version of the weights that is allowed.
      * @param submittedAt When it was submitted, in milliseconds since the epoch.
      * @param items The items.
      */
@@ -291,7 +292,7 @@
      * @param headers The headers.
      * @param body The body in base64.
      * @param group The group.
-     * @param expectedTokens The number of tokens that it is expected to make.
+     * @param expectedTokens The expected number of output tokens.
      * @param scoring The request that scores its output, or {@code null}.
      */
     private record ItemDocument(
@@ -318,9 +319,9 @@
      *
      * @param id The identifier of the job.
      * @param runner The node that runs it.
-     * @param ended Whether it is ended.
+     * @param ended Whether the job has ended.
      * @param items The number of its items.
-     * @param model The model that makes its outputs, absent in entries of earlier releases.
+     * @param model The model that generates its outputs, absent in entries of earlier releases.
      */
     private record EntryDocument(String id, String runner, boolean ended, int items, String model) {}
 
@@ -335,7 +336,7 @@
      * A result.
      *
      * @param item The identifier of the item.
-     * @param completed Whether the output is whole.
+     * @param completed Whether the output is complete.
      * @param text The output, if it is UTF-8.
      * @param bytes The output in base64, if it is not.
      * @param versions The versions.
@@ -360,10 +361,10 @@
      * A part of a text in progress.
      *
      * @param item The identifier of the item.
-     * @param after The identifier of the event behind which the part goes on.
+     * @param after The identifier of the event after which the part resumes.
      * @param last The identifier of its last event.
      * @param events The data of its events.
-     * @param versions The versions under which they were made.
+     * @param versions The versions of the weights that produced them.
      */
     private record TextDocument(String item, long after, long last, List<String> events, List<Long> versions) {}
 }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/MalformedCallException.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/MalformedCallException.java
@@ -1,6 +1,6 @@
 package io.yuccaswitch.node.gateway;
 
-/** Tells that a call is malformed, and where. */
+/** Indicates that a call is malformed. */
 public final class MalformedCallException extends RuntimeException {
 
     /** The version of the serialised form. */
@@ -13,7 +13,7 @@
      * Creates the exception.
      *
      * @param code The code.
-     * @param message What is wrong, and where.
+     * @param message The fault and its position.
      */
     public MalformedCallException(String code, String message) {
         super(message);
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/MetricsText.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/MetricsText.java
@@ -7,7 +7,10 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 
-/** Writes the metrics as text. What that needs is loaded with the first question, as most nodes are never asked. */
+/**
+ * Writes the metrics as text. The exposition library is loaded with the first query, because most nodes are never
+ * queried.
+ */
 final class MetricsText {
 
     /** The type of the text. */
@@ -26,7 +29,7 @@
     }
 
     /**
-     * Writes the metrics as they are.
+     * Writes the current metrics.
      *
      * @return The text.
      * @throws IOException Never, as the text is written to memory.
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/OrderCaller.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/OrderCaller.java
@@ -21,11 +21,11 @@
 import okhttp3.Response;
 import org.jboss.logging.Logger;
 
-/** Reads reports of engines and gives them orders, and tells the core what they answered. */
+/** Queries reports of engines and sends orders to them, and passes their answers to the core. */
 final class OrderCaller implements AutoCloseable {
 
-    /** How long an engine may take to answer. */
-    private static final Duration TIMEOUT = Duration.ofMillis(500);
+    /** The timeout of a call to an engine. */
+    private static final Duration ENGINE_TIMEOUT = Duration.ofMillis(500);
 
     /** The status of success. */
     private static final int OK = 200;
@@ -36,7 +36,7 @@
     /** The connections to engines. */
     private final EndpointHttp http;
 
-    /** How engines speak. */
+    /** The dialect of engines. */
     private final EndpointDialect dialect;
 
     /** The core. */
@@ -49,7 +49,7 @@
      * Creates a caller and connects it to the core.
      *
      * @param http The connections to engines.
-     * @param dialect How engines speak.
+     * @param dialect The dialect of engines.
      * @param loop The core.
      */
     OrderCaller(EndpointHttp http, EndpointDialect dialect, DecisionLoop loop) {
@@ -66,9 +66,9 @@
     }
 
     /**
-     * Reads a report.
+     * Queries a report.
      *
-     * @param effect What is asked.
+     * @param effect The query.
      */
     private void readReport(OrderEffect.ReadReport effect) {
         EndpointName engine = effect.engine().name();
@@ -80,7 +80,7 @@
     }
 
     /**
-     * Gives an order.
+     * Sends an order.
      *
      * @param effect The order.
      */
@@ -99,7 +99,7 @@
      *
      * @param engine The engine.
      * @param answer The answer, if one arrived.
-     * @return The report.
+     * @return The report, or empty if none was received.
      */
     private Optional<EngineReport> report(EndpointName engine, Optional<Answer> answer) {
         if (answer.isEmpty() || answer.get().status() != OK) {
@@ -118,24 +118,24 @@
      *
      * @param request The call.
      * @param engine The engine.
-     * @param then What follows the answer, or its absence.
+     * @param onAnswer Receives the answer, or empty if none was received.
      */
-    private void send(Request.Builder request, RegisteredEndpoint engine, Consumer<Optional<Answer>> then) {
-        dialect.address(request, engine.name(), TIMEOUT);
-        http.call(request, new Transmission(), TIMEOUT).enqueue(new Callback() {
+    private void send(Request.Builder request, RegisteredEndpoint engine, Consumer<Optional<Answer>> onAnswer) {
+        dialect.address(request, engine.name(), ENGINE_TIMEOUT);
+        http.call(request, new Transmission(), ENGINE_TIMEOUT).enqueue(new Callback() {
 
             @Override
             public void onFailure(Call _call, IOException exception) {
                 LOGGER.infof(
                         "event=engine-call-failed endpoint=%s reason=\"%s\"",
                         engine.name(), EndpointAttempts.describe(exception));
-                then.accept(Optional.empty());
+                onAnswer.accept(Optional.empty());
             }
 
             @Override
             public void onResponse(Call call, Response response) {
                 try (response) {
-                    then.accept(Optional.of(new Answer(
+                    onAnswer.accept(Optional.of(new Answer(
                             response.code(), Bytes.wrap(response.body().bytes()))));
                 } catch (IOException exception) {
                     onFailure(call, exception);
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/OutgoingRequest.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/OutgoingRequest.java
@@ -7,13 +7,13 @@
 import java.util.Optional;
 
 /**
- * A request as endpoints get it, apart from the headers that address one of them.
+ * A request in the form that endpoints receive, without the headers that address one of them.
  *
  * @param id The identifier, which answers echo, or an empty text if it has none.
  * @param method The method.
  * @param target The path with the query.
  * @param headers The headers, in order.
- * @param account The account that endpoints are told, if any.
+ * @param account The account that is sent to endpoints, if any.
  * @param body The body.
  */
 record OutgoingRequest(
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/PendingReplies.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/PendingReplies.java
@@ -19,17 +19,17 @@
 /** Calls about batch jobs that wait for the core's answer. */
 final class PendingReplies implements AutoCloseable {
 
-    /** Where answers are written, such that the core does not wait for callers. */
-    private static final Scheduler ANSWERING = Schedulers.io();
+    /** The scheduler on which answers are written, so that the core does not wait for callers. */
+    private static final Scheduler ANSWER_SCHEDULER = Schedulers.io();
 
     /** The core. */
     private final DecisionLoop loop;
 
-    /** The last ticket. */
+    /** The ticket of the latest call. */
     private final AtomicLong tickets = new AtomicLong();
 
     /** The calls, by their tickets. */
-    private final Map<Long, CompletableFuture<BatchAnswer>> waiting = new ConcurrentHashMap<>();
+    private final Map<Long, CompletableFuture<BatchAnswer>> pending = new ConcurrentHashMap<>();
 
     /** The subscription to answers. */
     private final Disposable subscription;
@@ -45,30 +45,30 @@
     }
 
     /**
-     * Asks the core.
+     * Sends a call to the core.
      *
      * @param call Builds the call from its ticket.
-     * @param limit How long the core may take.
-     * @return The answer, on a thread that may wait for the caller.
+     * @param timeout The time within which the core must answer.
+     * @return The answer, completed on a thread that may block on the caller.
      */
-    CompletableFuture<BatchAnswer> ask(LongFunction<Event> call, Duration limit) {
+    CompletableFuture<BatchAnswer> request(LongFunction<Event> call, Duration timeout) {
         long ticket = tickets.incrementAndGet();
         CompletableFuture<BatchAnswer> answer = new CompletableFuture<>();
-        waiting.put(ticket, answer);
+        pending.put(ticket, answer);
         loop.accept(call.apply(ticket));
-        BatchAnswer tooLate = new BatchAnswer.Unsure("the core did not answer");
-        return answer.completeOnTimeout(tooLate, limit.toMillis(), TimeUnit.MILLISECONDS)
-                .whenComplete((_answer, _failure) -> waiting.remove(ticket))
-                .thenApplyAsync(Function.identity(), ANSWERING::scheduleDirect);
+        BatchAnswer timedOut = new BatchAnswer.Unsure("the core did not answer");
+        return answer.completeOnTimeout(timedOut, timeout.toMillis(), TimeUnit.MILLISECONDS)
+                .whenComplete((_answer, _failure) -> pending.remove(ticket))
+                .thenApplyAsync(Function.identity(), ANSWER_SCHEDULER::scheduleDirect);
     }
 
     /**
-     * Returns the number of calls that wait.
+     * Returns the number of calls that wait for an answer.
      *
      * @return The number.
      */
     int size() {
-        return waiting.size();
+        return pending.size();
     }
 
     @Override
@@ -77,12 +77,12 @@
     }
 
     /**
-     * Answers a call.
+     * Completes a call with its answer.
      *
      * @param reply The answer.
      */
     private void complete(BatchEffect.Reply reply) {
-        CompletableFuture<BatchAnswer> answer = waiting.remove(reply.ticket());
+        CompletableFuture<BatchAnswer> answer = pending.remove(reply.ticket());
         if (answer != null) {
             answer.complete(reply.answer());
         }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/PlainRequest.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/PlainRequest.java
@@ -7,16 +7,16 @@
 import java.time.Duration;
 
 /**
- * A plain request as it arrived.
+ * A plain request as received.
  *
- * @param outgoing What endpoints get of it.
+ * @param outgoing The request in the form that endpoints receive.
  * @param route The route.
- * @param deadline When the caller is answered at the latest.
+ * @param deadline The time by which the caller must be answered.
  */
 record PlainRequest(OutgoingRequest outgoing, Route route, MonotonicTime deadline) {
 
     /**
-     * Returns the identifier that the caller gave it.
+     * Returns the identifier that the caller assigned to the request.
      *
      * @return The identifier, or an empty text if there is none.
      */
@@ -25,8 +25,8 @@
     }
 
     /**
-     * Computes the fingerprint by which the request is recognised when its caller sends it again. Callers are told
-     * apart by their accounts, or by their credentials where there are none, as the address of a caller may be new with
+     * Computes the fingerprint that identifies the request when its caller sends it again. Callers are identified by
+     * their accounts, or by their credentials if there are no accounts, because the address of a caller may change with
      * each connection.
      *
      * @return The fingerprint.
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Describes the request for operators, without what its caller sends.
+     * Describes the request for operators, without its query, headers and body.
      *
      * @return The method, host and path.
      */
@@ -53,12 +53,12 @@
     }
 
     /**
-     * Returns the time that is left.
+     * Returns the time until the deadline.
      *
-     * @param now The present.
+     * @param now The current time.
      * @return The time, which may be negative.
      */
-    Duration left(MonotonicTime now) {
+    Duration timeLeft(MonotonicTime now) {
         return deadline.since(now);
     }
 }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/PlainRequestHandler.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/PlainRequestHandler.java
@@ -21,26 +21,28 @@
 import java.util.concurrent.TimeUnit;
 import org.jboss.logging.Logger;
 
-/** Serves plain requests: sends each to endpoints as its plan allows, and passes the answer on whole or not at all. */
+/**
+ * Serves plain requests: sends each to endpoints as its plan allows, and forwards an answer completely or not at all.
+ */
 final class PlainRequestHandler {
 
-    /** The lowest status of an answer that is no success. */
+    /** The lowest status that is not a success. */
     private static final int BAD_REQUEST = 400;
 
-    /** The lowest status that means an endpoint failed. */
+    /** The lowest status of a failed endpoint. */
     private static final int SERVER_ERROR = 500;
 
     /**
-     * How long a request waits for the platform to confirm what is known of endpoints. By then it has answered, or is
-     * known not to.
+     * The maximum wait for the platform to confirm the state of endpoints. Within this time the platform has answered,
+     * or has been found unreachable.
      */
-    private static final Duration FRESHNESS_PATIENCE = Duration.ofMillis(450);
+    private static final Duration FRESHNESS_TIMEOUT = Duration.ofMillis(450);
 
-    /** The least time that is worth an attempt. */
-    private static final Duration LEAST_TIME = Duration.ofMillis(5);
+    /** The minimum time left for which an attempt is made. */
+    private static final Duration MINIMUM_ATTEMPT_TIME = Duration.ofMillis(5);
 
-    /** The headers of an answer that concern one connection only. */
-    private static final Set<String> HOP_HEADERS = Set.of(
+    /** The hop-by-hop headers of an answer. */
+    private static final Set<String> HOP_BY_HOP_HEADERS = Set.of(
             "connection",
             "keep-alive",
             "transfer-encoding",
@@ -53,25 +55,25 @@
     /** The logger. */
     private static final Logger LOGGER = Logger.getLogger("io.yuccaswitch.request");
 
-    /** What the core knows. */
+    /** The view of the core. */
     private final GatewayView view;
 
     /** Sends requests to endpoints. */
     private final EndpointAttempts attempts;
 
-    /** How endpoints speak. */
+    /** The dialect of endpoints. */
     private final EndpointDialect dialect;
 
-    /** Chooses endpoints. It is guarded by itself. */
+    /** Chooses endpoints. Guarded by its own monitor. */
     private final EndpointSelection selection;
 
-    /** Answers requests that no endpoint has answered. */
+    /** Answers requests that no endpoint answered. */
     private final UnservedRequests unserved;
 
-    /** Keeps requests under which endpoints ended away from further ones. */
+    /** Withholds requests on which endpoints crashed. */
     private final QuarantineGate gate;
 
-    /** Counts the requests that begin to run. */
+    /** Counts the requests that start to run. */
     private final UsageMeter usage;
 
     /** The metrics. */
@@ -80,12 +82,12 @@
     /**
      * Creates a handler.
      *
-     * @param view What the core knows.
+     * @param view The view of the core.
      * @param attempts Sends requests to endpoints.
-     * @param dialect How endpoints speak.
+     * @param dialect The dialect of endpoints.
      * @param selection Chooses endpoints.
-     * @param gate Keeps requests under which endpoints ended away from further ones.
-     * @param usage Counts the requests that begin to run.
+     * @param gate Withholds requests on which endpoints crashed.
+     * @param usage Counts the requests that start to run.
      * @param metrics The metrics.
      */
     PlainRequestHandler(
@@ -111,23 +113,23 @@
      *
      * @param request The request.
      * @param caller The caller.
-     * @param watched Tells when the caller goes.
-     * @throws IOException If the caller has gone.
+     * @param watched Detects that the caller disconnected.
+     * @throws IOException If the caller has disconnected.
      */
-    void serve(PlainRequest request, CallerResponse caller, DisconnectWatch.Watched watched) throws IOException {
-        MonotonicTime arrived = DecisionLoop.now();
+    void serve(PlainRequest request, CallerResponse caller, DisconnectWatch.WatchedRequest watched) throws IOException {
+        MonotonicTime arrivedAt = DecisionLoop.now();
         Optional<PoolName> pool =
                 request.route().pick(ThreadLocalRandom.current().nextDouble());
         Exchange exchange = new Exchange(request, caller, watched, pool);
         String outcome = exchange.run();
-        long micros = DecisionLoop.now().since(arrived).toNanos() / 1000;
+        long micros = DecisionLoop.now().since(arrivedAt).toNanos() / 1000;
         metrics.counter("gateway.requests." + outcome.replace(' ', '-')).inc();
         metrics.timer("gateway.request-time").update(micros, TimeUnit.MICROSECONDS);
         LOGGER.infof(
                 "event=request id=%s content=%s route=%s pool=%s outcome=\"%s\" attempts=\"%s\" configuration=%d"
                         + " micros=%d",
                 request.id(),
-                exchange.passage.describe(),
+                exchange.quarantineCheck.describe(),
                 request.route().name(),
                 pool.map(PoolName::value).orElse("none"),
                 outcome,
@@ -137,17 +139,17 @@
     }
 
     /**
-     * Returns whether a header of an answer is passed on to the caller.
+     * Returns whether a header of an answer is forwarded to the caller.
      *
      * @param name The header's name.
-     * @return {@code false} for headers that concern one connection only.
+     * @return {@code false} for hop-by-hop headers.
      */
-    private static boolean passesBack(String name) {
-        return !HOP_HEADERS.contains(name.toLowerCase(Locale.ROOT));
+    private static boolean isEndToEndHeader(String name) {
+        return !HOP_BY_HOP_HEADERS.contains(name.toLowerCase(Locale.ROOT));
     }
 
     /**
-     * Names a loss, for metrics.
+     * Returns the name of a loss in metrics.
      *
      * @param loss The loss.
      * @return The name.
@@ -157,20 +159,22 @@
     }
 
     /**
-     * Returns whether an endpoint ran a request to its end.
+     * Returns whether an endpoint completed a request.
      *
-     * @param result What became of the attempt.
+     * @param result The result of the attempt.
      * @return {@code true} for a successful answer.
      */
     private static boolean isSuccess(AttemptResult result) {
-        return (result instanceof AttemptResult.Relayed relayed && relayed.whole())
-                || (result instanceof AttemptResult.Whole whole && whole.status() < BAD_REQUEST);
+        return (result instanceof AttemptResult.Relayed relayed && relayed.complete())
+                || (result instanceof AttemptResult.Complete complete && complete.status() < BAD_REQUEST);
     }
 
-    /** One request on its way through one or more attempts. */
+    /** The processing of one request in one or more attempts. */
     private final class Exchange {
 
-        /** Whether the request was counted for its account, which it is once however often it runs. */
+        /**
+         * Whether the request was counted for its account. It is counted once, regardless of the number of attempts.
+         */
         private boolean counted;
 
         /** The request. */
@@ -179,121 +183,124 @@
         /** The caller. */
         private final CallerResponse caller;
 
-        /** Tells when the caller goes. */
-        private final DisconnectWatch.Watched watched;
+        /** Detects that the caller disconnected. */
+        private final DisconnectWatch.WatchedRequest watched;
 
         /** The pool that serves the request. */
         private final Optional<PoolName> pool;
 
-        /** The attempts. */
+        /** Determines which attempts are allowed. */
         private final RequestPlan plan;
 
-        /** Passes the events of a stream on. */
+        /** Forwards the events of a stream. */
         private final EventRelay relay;
 
         /** The endpoints and results of the attempts, for logs. */
         private final StringBuilder history = new StringBuilder();
 
-        /** Asks whether the request may go to an endpoint. */
-        private final QuarantineGate.Passage passage;
+        /** Checks whether the quarantine allows attempts of the request. */
+        private final QuarantineGate.RequestCheck quarantineCheck;
 
         /**
          * Creates an exchange.
          *
          * @param request The request.
          * @param caller The caller.
-         * @param watched Tells when the caller goes.
+         * @param watched Detects that the caller disconnected.
          * @param pool The pool that serves the request.
          */
         Exchange(
-                PlainRequest request, CallerResponse caller, DisconnectWatch.Watched watched, Optional<PoolName> pool) {
+                PlainRequest request,
+                CallerResponse caller,
+                DisconnectWatch.WatchedRequest watched,
+                Optional<PoolName> pool) {
             this.request = request;
             this.caller = caller;
             this.watched = watched;
             this.pool = pool;
             plan = new RequestPlan(request.route());
-            passage = gate.passage(request);
-            relay = new EventRelay(dialect, caller, PlainRequestHandler::passesBack);
+            quarantineCheck = gate.quarantineCheck(request);
+            relay = new EventRelay(dialect, caller, PlainRequestHandler::isEndToEndHeader);
         }
 
         /**
          * Makes attempts until the request is answered.
          *
          * @return The outcome, for logs.
-         * @throws IOException If the caller has gone.
+         * @throws IOException If the caller has disconnected.
          */
         String run() throws IOException {
             while (true) {
-                Duration left = request.left(DecisionLoop.now());
-                if (left.compareTo(LEAST_TIME) < 0) {
-                    return giveUp("time is up", UnservedRequests.GATEWAY_TIMEOUT);
+                Duration timeLeft = request.timeLeft(DecisionLoop.now());
+                if (timeLeft.compareTo(MINIMUM_ATTEMPT_TIME) < 0) {
+                    return answerUnserved("time is up", UnservedRequests.GATEWAY_TIMEOUT);
                 }
-                if (!awaitFreshness(left)) {
-                    return giveUp("what is known of endpoints is too old", UnservedRequests.BAD_GATEWAY);
+                if (!awaitFreshness(timeLeft)) {
+                    return answerUnserved("what is known of endpoints is too old", UnservedRequests.BAD_GATEWAY);
                 }
-                Optional<Duration> refusal = passage.refusal(working());
+                Optional<Duration> refusal = quarantineCheck.refusal(workingEndpoints());
                 if (refusal.isPresent()) {
-                    return unserved.refuse(caller, progress(), refusal.get());
+                    return unserved.answerQuarantined(caller, progress(), refusal.get());
                 }
-                Optional<RegisteredEndpoint> endpoint = choose();
+                Optional<RegisteredEndpoint> endpoint = chooseEndpoint();
                 if (endpoint.isEmpty()) {
-                    return giveUp("no endpoint", UnservedRequests.BAD_GATEWAY);
+                    return answerUnserved("no endpoint", UnservedRequests.BAD_GATEWAY);
                 }
-                AttemptResult result = attempt(endpoint.get(), left);
-                if (watched.isGone()) {
+                AttemptResult result = attempt(endpoint.get(), timeLeft);
+                if (watched.isDisconnected()) {
                     caller.abort();
                     return "caller gone";
                 }
                 if (result instanceof AttemptResult.Relayed) {
                     return "streamed";
                 }
-                if (result instanceof AttemptResult.Whole whole && !shouldRepeat(whole)) {
-                    caller.pass(whole, PlainRequestHandler::passesBack);
+                if (result instanceof AttemptResult.Complete complete && !shouldRepeat(complete)) {
+                    caller.forward(complete, PlainRequestHandler::isEndToEndHeader);
                     return "answered";
                 }
                 if (!(result instanceof AttemptResult.NotRun)) {
                     plan.mayHaveRun();
                 }
                 if (!plan.mayTryAgain()) {
-                    if (result instanceof AttemptResult.Whole whole) {
-                        caller.pass(whole, PlainRequestHandler::passesBack);
+                    if (result instanceof AttemptResult.Complete complete) {
+                        caller.forward(complete, PlainRequestHandler::isEndToEndHeader);
                         return "answered";
                     }
-                    boolean late = request.left(DecisionLoop.now()).compareTo(LEAST_TIME) < 0;
-                    return late
-                            ? giveUp("time is up", UnservedRequests.GATEWAY_TIMEOUT)
-                            : giveUp("attempts used up", UnservedRequests.BAD_GATEWAY);
+                    boolean timedOut = request.timeLeft(DecisionLoop.now()).compareTo(MINIMUM_ATTEMPT_TIME) < 0;
+                    return timedOut
+                            ? answerUnserved("time is up", UnservedRequests.GATEWAY_TIMEOUT)
+                            : answerUnserved("attempts used up", UnservedRequests.BAD_GATEWAY);
                 }
             }
         }
 
         /**
-         * Waits until what is known of endpoints is recent enough for an attempt.
+         * Waits until the state of endpoints is fresh enough for an attempt.
          *
-         * @param left The time that is left.
-         * @return Whether it is.
+         * @param timeLeft The time that is left.
+         * @return {@code true} if it is.
          */
-        private boolean awaitFreshness(Duration left) {
-            Duration half = left.dividedBy(2);
-            return view.awaitFreshness(half.compareTo(FRESHNESS_PATIENCE) < 0 ? half : FRESHNESS_PATIENCE);
+        private boolean awaitFreshness(Duration timeLeft) {
+            Duration half = timeLeft.dividedBy(2);
+            return view.awaitFreshness(half.compareTo(FRESHNESS_TIMEOUT) < 0 ? half : FRESHNESS_TIMEOUT);
         }
 
         /**
-         * Returns whether an answer is worth another attempt.
+         * Returns whether another attempt may follow an answer.
          *
-         * @param whole The answer.
-         * @return {@code true} if the endpoint failed and another one may do better.
+         * @param complete The answer.
+         * @return {@code true} if the endpoint failed and the route allows repeated attempts.
          */
-        private boolean shouldRepeat(AttemptResult.Whole whole) {
-            return whole.status() >= SERVER_ERROR && request.route().mayRepeat();
+        private boolean shouldRepeat(AttemptResult.Complete complete) {
+            return complete.status() >= SERVER_ERROR && request.route().mayRepeat();
         }
 
         /**
-         * Returns the endpoints that may get the request.
+         * Returns the candidate endpoints of the request.
          *
          * @return The working endpoints of the pool.
          */
-        private List<RegisteredEndpoint> working() {
+        private List<RegisteredEndpoint> workingEndpoints() {
             return pool.map(view::endpoints).orElseGet(List::of);
         }
 
@@ -302,12 +309,12 @@
          *
          * @return The endpoint, or empty if there is none.
          */
-        private Optional<RegisteredEndpoint> choose() {
+        private Optional<RegisteredEndpoint> chooseEndpoint() {
             Set<EndpointName> avoided = new HashSet<>(plan.tried());
             avoided.addAll(gate.view().ended());
-            List<RegisteredEndpoint> working = working();
+            List<RegisteredEndpoint> workingEndpoints = workingEndpoints();
             synchronized (selection) {
-                Optional<RegisteredEndpoint> chosen = selection.choose(working, avoided, DecisionLoop.now());
+                Optional<RegisteredEndpoint> chosen = selection.choose(workingEndpoints, avoided, DecisionLoop.now());
                 chosen.ifPresent(selection::begin);
                 return chosen;
             }
@@ -317,28 +324,28 @@
          * Makes one attempt.
          *
          * @param endpoint The endpoint.
-         * @param left The time that is left.
-         * @return What became of it.
+         * @param timeLeft The time that is left.
+         * @return The result of the attempt.
          */
-        private AttemptResult attempt(RegisteredEndpoint endpoint, Duration left) {
+        private AttemptResult attempt(RegisteredEndpoint endpoint, Duration timeLeft) {
             EndpointName name = endpoint.name();
             plan.begin(name);
-            MonotonicTime begun = DecisionLoop.now();
+            MonotonicTime startedAt = DecisionLoop.now();
             long sentAt = usage.now();
-            EndpointAttempts.Times times = new EndpointAttempts.Times(plan.attemptTime(left), left);
-            EndpointHttp.ConnectionUse connection = passage.needsNewConnection(endpoint)
+            EndpointAttempts.Timeouts timeouts = new EndpointAttempts.Timeouts(plan.attemptTime(timeLeft), timeLeft);
+            EndpointHttp.ConnectionUse connection = quarantineCheck.needsNewConnection(endpoint)
                     ? EndpointHttp.ConnectionUse.NEW
                     : EndpointHttp.ConnectionUse.KEPT;
-            EndpointAttempts.Opened opened = attempts.open(
-                    request.outgoing(), endpoint, times, connection, relay.lastEventId(), watched::attach);
+            EndpointAttempts.OpenedAttempt opened = attempts.open(
+                    request.outgoing(), endpoint, timeouts, connection, relay.lastEventId(), watched::attach);
             AttemptResult result = opened.failure().orElseGet(() -> receive(opened));
-            count(result, sentAt);
-            note(endpoint, result);
-            tell(endpoint, result);
+            countUsage(result, sentAt);
+            appendToHistory(endpoint, result);
+            reportResult(endpoint, result);
             MonotonicTime now = DecisionLoop.now();
             synchronized (selection) {
                 selection.end(endpoint);
-                measure(endpoint, result, now.since(begun), times, now);
+                updateSelection(endpoint, result, now.since(startedAt), timeouts, now);
                 opened.response()
                         .map(response -> dialect.load(response.headers()))
                         .ifPresent(load -> load.ifPresent(running -> selection.tell(endpoint, running, now)));
@@ -347,34 +354,34 @@
         }
 
         /**
-         * Takes what an attempt says of its endpoint.
+         * Updates the endpoint selection with the result of an attempt.
          *
          * @param endpoint The endpoint.
-         * @param result What became of the attempt.
-         * @param took How long it took.
-         * @param times How long it might have taken.
-         * @param now The present.
+         * @param result The result of the attempt.
+         * @param duration The duration of the attempt.
+         * @param timeouts The timeouts of the attempt.
+         * @param now The current time.
          */
-        private void measure(
+        private void updateSelection(
                 RegisteredEndpoint endpoint,
                 AttemptResult result,
-                Duration took,
-                EndpointAttempts.Times times,
+                Duration duration,
+                EndpointAttempts.Timeouts timeouts,
                 MonotonicTime now) {
-            if (result instanceof AttemptResult.Whole || result instanceof AttemptResult.Relayed) {
-                selection.succeed(endpoint, took, now);
-            } else if (took.compareTo(times.untilHead()) >= 0) {
-                selection.slow(endpoint, took, now);
-            } else if (!watched.isGone() && !isWithheld(result)) {
+            if (result instanceof AttemptResult.Complete || result instanceof AttemptResult.Relayed) {
+                selection.succeed(endpoint, duration, now);
+            } else if (duration.compareTo(timeouts.head()) >= 0) {
+                selection.slow(endpoint, duration, now);
+            } else if (!watched.isDisconnected() && !isWithheld(result)) {
                 selection.fail(endpoint, now);
             }
         }
 
         /**
-         * Returns whether a request was not sent for a reason that says nothing of how the endpoint fares.
+         * Returns whether a request was not sent for a reason that is independent of the health of the endpoint.
          *
-         * @param result What became of the attempt.
-         * @return {@code true} if it was held back.
+         * @param result The result of the attempt.
+         * @return {@code true} if it was withheld.
          */
         private boolean isWithheld(AttemptResult result) {
             return result instanceof AttemptResult.NotRun notRun
@@ -382,26 +389,26 @@
         }
 
         /**
-         * Reads or passes on an answer that has begun.
+         * Reads or forwards an answer that has started.
          *
          * @param opened The attempt in progress.
-         * @return What became of it.
+         * @return The result of the attempt.
          */
-        private AttemptResult receive(EndpointAttempts.Opened opened) {
+        private AttemptResult receive(EndpointAttempts.OpenedAttempt opened) {
             boolean success = opened.response().orElseThrow().isSuccessful();
             if (relay.hasBegun() && !success) {
                 opened.discard();
-                return EndpointAttempts.unusable("the stream was not resumed");
+                return EndpointAttempts.unusableAnswer("the stream was not resumed");
             }
             if (!success || !request.route().streaming()) {
-                return attempts.readWhole(opened);
+                return attempts.readComplete(opened);
             }
             try {
                 if (relay.relay(opened.response().get())) {
                     opened.response().get().close();
                     return new AttemptResult.Relayed(true);
                 }
-                AttemptResult result = attempts.lost(opened, "the stream broke off");
+                AttemptResult result = attempts.lostAnswer(opened, "the stream broke off");
                 opened.discard();
                 return result;
             } catch (EventRelay.CallerGoneException _exception) {
@@ -413,10 +420,10 @@
         /**
          * Counts the request for its account, at the first attempt that may have run.
          *
-         * @param result What became of the attempt.
+         * @param result The result of the attempt.
          * @param sentAt When it was sent, in milliseconds since the epoch.
          */
-        private void count(AttemptResult result, long sentAt) {
+        private void countUsage(AttemptResult result, long sentAt) {
             if (!counted && !(result instanceof AttemptResult.NotRun)) {
                 counted = true;
                 usage.count(request.outgoing().account(), sentAt);
@@ -424,19 +431,19 @@
         }
 
         /**
-         * Notes an attempt for logs.
+         * Appends an attempt to the history for logs.
          *
          * @param endpoint The endpoint.
-         * @param result What became of it.
+         * @param result The result of the attempt.
          */
-        private void note(RegisteredEndpoint endpoint, AttemptResult result) {
+        private void appendToHistory(RegisteredEndpoint endpoint, AttemptResult result) {
             String text = "answered";
             if (result instanceof AttemptResult.NotRun notRun) {
                 text = "not run: " + notRun.reason();
             } else if (result instanceof AttemptResult.MayHaveRun mayHaveRun) {
                 text = "may have run: " + mayHaveRun.reason();
-            } else if (result instanceof AttemptResult.Whole whole) {
-                text = "status " + whole.status();
+            } else if (result instanceof AttemptResult.Complete complete) {
+                text = "status " + complete.status();
             }
             history.append(history.length() > 0 ? "; " : "")
                     .append(endpoint.name().value())
@@ -445,26 +452,26 @@
         }
 
         /**
-         * Tells what an attempt says of the request and its endpoint beyond the request itself.
+         * Reports the result of an attempt to the quarantine and to the metrics.
          *
          * @param endpoint The endpoint.
-         * @param result What became of the attempt.
+         * @param result The result of the attempt.
          */
-        private void tell(RegisteredEndpoint endpoint, AttemptResult result) {
+        private void reportResult(RegisteredEndpoint endpoint, AttemptResult result) {
             if (result instanceof AttemptResult.MayHaveRun mayHaveRun) {
-                passage.lose(endpoint, mayHaveRun.loss());
+                quarantineCheck.recordLostAnswer(endpoint, mayHaveRun.loss());
                 metrics.counter("gateway.lost-answers." + label(mayHaveRun.loss()))
                         .inc();
             } else if (result instanceof AttemptResult.NotRun notRun
                     && notRun.cause() == AttemptResult.NotRunCause.UNREACHABLE) {
-                passage.findGone(endpoint);
+                quarantineCheck.recordUnreachable(endpoint);
             } else if (isSuccess(result)) {
-                passage.serve();
+                quarantineCheck.recordSuccess();
             }
         }
 
         /**
-         * Returns how far the request has come.
+         * Returns the progress of the request.
          *
          * @return The progress.
          */
@@ -476,15 +483,15 @@
         }
 
         /**
-         * Answers a request for which no attempt is left.
+         * Answers a request that gets no further attempt.
          *
-         * @param reason Why, for logs.
+         * @param reason The reason, for logs.
          * @param status The status if the request may have run.
          * @return The outcome, for logs.
-         * @throws IOException If the caller has gone.
+         * @throws IOException If the caller has disconnected.
          */
-        private String giveUp(String reason, int status) throws IOException {
-            return unserved.giveUp(caller, progress(), pool, reason, status);
+        private String answerUnserved(String reason, int status) throws IOException {
+            return unserved.answerUnserved(caller, progress(), pool, reason, status);
         }
     }
 }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/PlatformCallLog.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/PlatformCallLog.java
@@ -9,11 +9,14 @@
 import java.util.stream.Collectors;
 import org.jboss.logging.Logger;
 
-/** Writes now and then how many calls to the platform were sent, by purpose, as each call has a price. */
+/**
+ * Logs the number of calls sent to the platform by purpose at regular intervals, because each call to the platform has
+ * a cost.
+ */
 final class PlatformCallLog implements AutoCloseable {
 
-    /** The interval of the lines, rare enough to cost nothing. */
-    private static final Duration INTERVAL = Duration.ofSeconds(10);
+    /** The interval of log lines, long enough to keep their load negligible. */
+    private static final Duration LOG_INTERVAL = Duration.ofSeconds(10);
 
     /** The logger. */
     private static final Logger LOGGER = Logger.getLogger(PlatformCallLog.class);
@@ -21,36 +24,35 @@
     /** The client of the platform. */
     private final PlatformClient platform;
 
-    /** The interval's subscription. */
-    private final Disposable interval;
+    /** The subscription of the timer. */
+    private final Disposable timer;
 
-    /** What the last line said. */
+    /** The counts in the last line. */
     private String last = "";
 
     /**
-     * Begins to write.
+     * Creates a log and starts its timer.
      *
      * @param platform The client of the platform.
      */
     PlatformCallLog(PlatformClient platform) {
         this.platform = platform;
-        interval =
-                Observable.interval(INTERVAL.toMillis(), TimeUnit.MILLISECONDS).subscribe(_number -> write());
+        timer = Observable.timer(LOG_INTERVAL.toMillis(), TimeUnit.MILLISECONDS).subscribe(_number -> write());
     }
 
     @Override
     public void close() {
-        interval.dispose();
+        timer.dispose();
     }
 
-    /** Writes a line if there were calls since the last one. */
+    /** Writes a line if calls were sent since the last one. */
     private void write() {
-        String numbers = platform.sentCalls().entrySet().stream()
+        String counts = platform.sentCalls().entrySet().stream()
                 .map(entry -> entry.getKey().name().toLowerCase(Locale.ROOT) + "=" + entry.getValue())
                 .collect(Collectors.joining(" "));
-        if (!numbers.equals(last)) {
-            last = numbers;
-            LOGGER.infof("event=platform-calls %s", numbers);
+        if (!counts.equals(last)) {
+            last = counts;
+            LOGGER.infof("event=platform-calls %s", counts);
         }
     }
 }
