--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/QuarantineGate.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/QuarantineGate.java
@@ -17,42 +17,48 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Asks before each attempt of a plain request whether it may go to an endpoint, and tells what became of it. */
+/**
+ * Checks before each attempt of a plain request whether the quarantine allows it, and reports the outcome of the
+ * attempt.
+ */
 final class QuarantineGate {
 
-    /** The number of endpoints that end under one request before it goes to no further one at once. */
-    private static final int MOST_ENDED_AT_ONCE = 2;
+    /**
+     * The number of endpoints that may end while running one request. Once it is reached, the request is not sent to
+     * another endpoint at once.
+     */
+    private static final int MAXIMUM_ENDED_ENDPOINTS = 2;
 
-    /** Takes what happens to requests. */
+    /** Receives the events of requests. */
     private final EventSink events;
 
-    /** What is known. */
+    /** The current quarantine state. */
     private volatile QuarantineView view = QuarantineView.EMPTY;
 
-    /** Until when the requests were held that this node has let through, such that it lets one copy through. */
-    private final Map<RequestFingerprint, Long> tried = new ConcurrentHashMap<>();
+    /** The end of the hold of each request that this node has sent on trial, so that it sends only one copy. */
+    private final Map<RequestFingerprint, Long> trials = new ConcurrentHashMap<>();
 
     /**
-     * Creates a gate that lets all requests through.
+     * Creates a gate without any quarantine state, which allows all requests.
      *
-     * @param events Takes what happens to requests.
+     * @param events Receives the events of requests.
      */
     QuarantineGate(EventSink events) {
         this.events = events;
     }
 
     /**
-     * Takes what is known.
+     * Replaces the quarantine state.
      *
-     * @param current What is known now.
+     * @param current The new state.
      */
     void replace(QuarantineView current) {
         view = current;
-        tried.keySet().retainAll(current.entries().keySet());
+        trials.keySet().retainAll(current.entries().keySet());
     }
 
     /**
-     * Returns what is known.
+     * Returns the quarantine state.
      *
      * @return The view.
      */
@@ -61,94 +67,94 @@
     }
 
     /**
-     * Begins to watch a request.
+     * Creates the check of a request.
      *
      * @param request The request.
-     * @return Its passage.
+     * @return The check.
      */
-    Passage passage(PlainRequest request) {
-        return new Passage(request);
+    RequestCheck quarantineCheck(PlainRequest request) {
+        return new RequestCheck(request);
     }
 
-    /** One request on its way past the gate, once for each attempt. */
-    final class Passage {
+    /** Checks the attempts of one request. */
+    final class RequestCheck {
 
         /** The request. */
         private final PlainRequest request;
 
-        /** What recognises it, computed when it is first needed. */
+        /** The fingerprint of the request, computed when first needed. */
         private Optional<RequestFingerprint> fingerprint = Optional.empty();
 
-        /** The endpoints that surely ended under the attempts of this request. */
+        /** The endpoints that definitely ended while running an attempt of this request. */
         private final Set<EndpointName> ended = new HashSet<>();
 
-        /** Whether an attempt brought no answer. */
-        private boolean lost;
+        /** Whether an attempt lost its answer. */
+        private boolean answerLost;
 
-        /** Whether the request was held and was let through. */
-        private boolean trying;
+        /** Whether the request was held and was then sent on trial. */
+        private boolean onTrial;
 
         /**
-         * Creates a passage.
+         * Creates a check.
          *
          * @param request The request.
          */
-        private Passage(PlainRequest request) {
+        private RequestCheck(PlainRequest request) {
             this.request = request;
         }
 
         /**
-         * Returns why the request may not go to an endpoint now, if it may not.
+         * Returns after which time the request may be retried, if it must not be sent now.
          *
-         * @param working The endpoints that may get it.
-         * @return The time after which it may come back, or empty if it may go on.
+         * @param working The candidate endpoints.
+         * @return The delay before a retry, or empty if the request may be sent.
          */
         Optional<Duration> refusal(List<RegisteredEndpoint> working) {
-            QuarantineView known = view;
-            if (known.isEmpty() && ended.isEmpty()) {
+            QuarantineView current = view;
+            if (current.isEmpty() && ended.isEmpty()) {
                 return Optional.empty();
             }
-            if (trying) {
-                return lost ? Optional.of(LastEndpoint.COME_BACK) : Optional.empty();
+            if (onTrial) {
+                return answerLost ? Optional.of(LastEndpoint.COME_BACK) : Optional.empty();
             }
-            if (!ended.isEmpty() && endedInAll(known) >= MOST_ENDED_AT_ONCE) {
+            if (!ended.isEmpty() && countEndedEndpoints(current) >= MAXIMUM_ENDED_ENDPOINTS) {
                 return Optional.of(LastEndpoint.COME_BACK);
             }
             long now = System.currentTimeMillis();
-            Verdict verdict = known.verdict(fingerprint(), now);
+            Verdict verdict = current.verdict(fingerprint(), now);
             if (verdict instanceof Verdict.Refuse refuse) {
                 return Optional.of(refuse.comeBack());
             }
             if (verdict instanceof Verdict.Try) {
-                return beginTrial(known);
+                return beginTrial(current);
             }
-            boolean restrained = verdict instanceof Verdict.Restrain
-                    && (lost || known.sparesLast(fingerprint(), names(working), now));
-            return restrained ? Optional.of(LastEndpoint.COME_BACK) : Optional.empty();
+            boolean withheld = verdict instanceof Verdict.Restrain
+                    && (answerLost || current.sparesLast(fingerprint(), names(working), now));
+            return withheld ? Optional.of(LastEndpoint.COME_BACK) : Optional.empty();
         }
 
         /**
-         * Returns whether the next attempt needs a connection of its own, such that the end of the endpoint can be told
-         * from a connection that had ended before.
+         * Returns whether the next attempt needs a new connection, so that the end of the endpoint can be distinguished
+         * from the end of an idle connection.
          *
          * @param endpoint The endpoint.
-         * @return {@code true} if the request or the endpoint is in doubt.
+         * @return {@code true} if the request or the endpoint is suspect.
          */
         boolean needsNewConnection(RegisteredEndpoint endpoint) {
-            QuarantineView known = view;
-            return lost
-                    || known.ended().contains(endpoint.name())
-                    || (!known.isEmpty() && !(verdict(known) instanceof Verdict.Serve));
+            QuarantineView current = view;
+            return answerLost
+                    || current.ended().contains(endpoint.name())
+                    || (!current.isEmpty() && !(verdict(current) instanceof Verdict.Serve));
         }
 
         /**
-         * Takes an attempt that brought no answer.
+         * Records an attempt that lost its answer.
          *
          * @param endpoint The endpoint.
-         * @param loss What that says of the endpoint.
+         * @param loss The state of the endpoint that follows from the loss.
          */
-        void lose(RegisteredEndpoint endpoint, Loss loss) {
-            lost = true;
+        void recordLostAnswer(RegisteredEndpoint endpoint, Loss loss) {
+            answerLost = true;
             if (loss.cause() == Loss.Cause.ENDPOINT_ENDED && loss.lived()) {
                 ended.add(endpoint.name());
             }
@@ -158,26 +164,26 @@
         }
 
         /**
-         * Takes that nothing listens at an endpoint's address.
+         * Records that nothing listens at the address of an endpoint.
          *
          * @param endpoint The endpoint.
          */
-        void findGone(RegisteredEndpoint endpoint) {
+        void recordUnreachable(RegisteredEndpoint endpoint) {
             if (!view.ended().contains(endpoint.name())) {
                 events.accept(new QuarantineEvent.EndpointEnded(endpoint.name()));
             }
         }
 
-        /** Takes that an endpoint answered the request with success. */
-        void serve() {
-            if (lost || (!view.isEmpty() && view.find(fingerprint()).isPresent())) {
+        /** Records that an endpoint answered the request successfully. */
+        void recordSuccess() {
+            if (answerLost || (!view.isEmpty() && view.find(fingerprint()).isPresent())) {
                 events.accept(new QuarantineEvent.Served(fingerprint()));
             }
         }
 
         /**
-         * Returns what recognises the request, for logs, where an attempt brought no answer or something is known of
-         * it.
+         * Returns the fingerprint of the request for logs, if it was needed because an attempt lost its answer or the
+         * quarantine has entries.
          *
          * @return The fingerprint as text, or a dash.
          */
@@ -186,48 +192,48 @@
         }
 
         /**
-         * Lets the request through, unless another copy of it was.
+         * Sends the request on trial, unless another copy of it already was.
          *
-         * @param known What is known.
-         * @return The time after which it may come back, or empty if it may go on.
+         * @param current The quarantine state.
+         * @return The delay before a retry, or empty if the request may be sent.
          */
-        private Optional<Duration> beginTrial(QuarantineView known) {
-            long heldUntil = known.find(fingerprint())
+        private Optional<Duration> beginTrial(QuarantineView current) {
+            long heldUntil = current.find(fingerprint())
                     .map(QuarantineView.Entry::heldUntil)
                     .orElse(0L);
-            Long before = tried.put(fingerprint(), heldUntil);
-            if (before != null && before == heldUntil) {
+            Long previous = trials.put(fingerprint(), heldUntil);
+            if (previous != null && previous == heldUntil) {
                 return Optional.of(LastEndpoint.COME_BACK);
             }
-            trying = true;
+            onTrial = true;
             events.accept(new QuarantineEvent.TrialBegun(fingerprint()));
             return Optional.empty();
         }
 
         /**
-         * Counts the endpoints that ended under the request, here and elsewhere.
+         * Counts the endpoints that ended while running the request, at this node and at others.
          *
-         * @param known What is known.
+         * @param current The quarantine state.
          * @return The number.
          */
-        private int endedInAll(QuarantineView known) {
+        private int countEndedEndpoints(QuarantineView current) {
             Set<EndpointName> all = new HashSet<>(ended);
-            all.addAll(known.endedUnder(fingerprint()));
+            all.addAll(current.endedUnder(fingerprint()));
             return all.size();
         }
 
         /**
          * Returns the verdict on the request.
          *
-         * @param known What is known.
+         * @param current The quarantine state.
          * @return The verdict.
          */
-        private Verdict verdict(QuarantineView known) {
-            return known.verdict(fingerprint(), System.currentTimeMillis());
+        private Verdict verdict(QuarantineView current) {
+            return current.verdict(fingerprint(), System.currentTimeMillis());
         }
 
         /**
-         * Returns what recognises the request.
+         * Returns the fingerprint of the request, and computes it when first needed.
          *
          * @return The fingerprint.
          */
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/ScoringRunner.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/ScoringRunner.java
@@ -20,17 +20,17 @@
 import okhttp3.Response;
 import org.jboss.logging.Logger;
 
-/** Sends scoring requests to endpoints, and tells the core what became of each attempt. */
+/** Sends scoring requests to endpoints and reports the outcome of each attempt to the core. */
 final class ScoringRunner implements AutoCloseable {
 
     /** The method of scoring requests. */
     private static final String METHOD = "POST";
 
-    /** The class of statuses that mean success. */
+    /** The first digit of the statuses of success. */
     private static final int SUCCESS_CLASS = 2;
 
     /** The status of an endpoint that failed while it ran the request. */
-    private static final int FAILED = 500;
+    private static final int INTERNAL_SERVER_ERROR = 500;
 
     /** The logger. */
     private static final Logger LOGGER = Logger.getLogger(ScoringRunner.class);
@@ -38,7 +38,7 @@
     /** Sends requests to endpoints. */
     private final EndpointAttempts attempts;
 
-    /** How endpoints speak. */
+    /** The dialect of endpoints. */
     private final EndpointDialect dialect;
 
     /** The core. */
@@ -48,7 +48,7 @@
     private final MetricRegistry metrics;
 
     /** The attempts in progress. */
-    private final Map<Key, Sending> running = new ConcurrentHashMap<>();
+    private final Map<Key, Attempt> running = new ConcurrentHashMap<>();
 
     /** The subscriptions. */
     private final CompositeDisposable subscriptions = new CompositeDisposable();
@@ -57,7 +57,7 @@
      * Creates a runner and connects it to the core.
      *
      * @param attempts Sends requests to endpoints.
-     * @param dialect How endpoints speak.
+     * @param dialect The dialect of endpoints.
      * @param loop The core.
      * @param metrics The metrics.
      */
@@ -73,36 +73,36 @@
     @Override
     public void close() {
         subscriptions.dispose();
-        running.values().forEach(Sending::cancel);
+        running.values().forEach(Attempt::cancel);
     }
 
     /**
-     * Starts an attempt on a thread of its own.
+     * Starts an attempt on an I/O thread.
      *
-     * @param score What to send.
+     * @param score The scoring request to send.
      */
     private void start(BatchEffect.Score score) {
-        Sending sending = new Sending(score);
-        running.put(Key.of(score), sending);
-        Schedulers.io().scheduleDirect(sending::run);
+        Attempt attempt = new Attempt(score);
+        running.put(Key.of(score), attempt);
+        Schedulers.io().scheduleDirect(attempt::run);
     }
 
     /**
-     * Breaks an attempt off.
+     * Cancels an attempt.
      *
-     * @param cancel The attempt.
+     * @param cancel The attempt to cancel.
      */
     private void cancel(BatchEffect.CancelScoring cancel) {
-        Sending sending = running.remove(new Key(cancel.id(), cancel.item(), cancel.attempt()));
-        if (sending != null) {
-            sending.cancel();
+        Attempt attempt = running.remove(new Key(cancel.id(), cancel.item(), cancel.attempt()));
+        if (attempt != null) {
+            attempt.cancel();
         }
     }
 
     /**
      * Builds the request of an attempt.
      *
-     * @param score What to send.
+     * @param score The scoring request to send.
      * @return The request.
      */
     private OutgoingRequest request(BatchEffect.Score score) {
@@ -113,34 +113,34 @@
     }
 
     /**
-     * Judges what became of an attempt.
+     * Determines the scoring outcome of an attempt.
      *
      * @param result The result of the attempt.
-     * @return What it says of the score.
+     * @return The outcome.
      */
     private ScoringOutcome outcome(AttemptResult result) {
         if (result instanceof AttemptResult.NotRun notRun) {
             return new ScoringOutcome.Refused(notRun.reason());
         }
-        if (!(result instanceof AttemptResult.Whole whole)) {
-            return result instanceof AttemptResult.MayHaveRun lost
-                    ? new ScoringOutcome.Interrupted(lost.reason(), lost.loss())
-                    : new ScoringOutcome.Interrupted("no whole answer");
+        if (!(result instanceof AttemptResult.Complete complete)) {
+            return result instanceof AttemptResult.MayHaveRun mayHaveRun
+                    ? new ScoringOutcome.Interrupted(mayHaveRun.reason(), mayHaveRun.loss())
+                    : new ScoringOutcome.Interrupted("no complete answer");
         }
-        Optional<String> signature = dialect.signature(whole.headers());
+        Optional<String> signature = dialect.signature(complete.headers());
         if (signature.isEmpty()) {
-            return new ScoringOutcome.Interrupted("status " + whole.status() + " without a signature");
+            return new ScoringOutcome.Interrupted("status " + complete.status() + " without a signature");
         }
-        if (whole.status() / 100 == SUCCESS_CLASS) {
+        if (complete.status() / 100 == SUCCESS_CLASS) {
             return new ScoringOutcome.Scored(signature.get());
         }
-        return whole.status() == FAILED
+        return complete.status() == INTERNAL_SERVER_ERROR
                 ? new ScoringOutcome.Failed()
-                : new ScoringOutcome.Interrupted("status " + whole.status());
+                : new ScoringOutcome.Interrupted("status " + complete.status());
     }
 
     /**
-     * Names an outcome, for metrics.
+     * Returns the name of an outcome in metrics.
      *
      * @param outcome The outcome.
      * @return The name.
@@ -161,7 +161,7 @@
         /**
          * Returns the key of an attempt.
          *
-         * @param score What is sent.
+         * @param score The scoring request.
          * @return The key.
          */
         static Key of(BatchEffect.Score score) {
@@ -170,83 +170,83 @@
     }
 
     /** An attempt in progress. */
-    private final class Sending {
+    private final class Attempt {
 
-        /** What to send. */
+        /** The scoring request to send. */
         private final BatchEffect.Score score;
 
-        /** The call, once there is one. */
+        /** The call, or empty before it was created. */
         private volatile Optional<Call> call = Optional.empty();
 
-        /** Whether the attempt is broken off. */
+        /** Whether the attempt was cancelled. */
         private volatile boolean cancelled;
 
         /**
-         * Creates an attempt that is not sent yet.
+         * Creates an attempt without sending its request.
          *
-         * @param score What to send.
+         * @param score The scoring request to send.
          */
-        Sending(BatchEffect.Score score) {
+        Attempt(BatchEffect.Score score) {
             this.score = score;
         }
 
-        /** Sends the request, waits for its answer, and tells the core. */
+        /** Sends the request, waits for its answer and reports the outcome to the core. */
         void run() {
             if (cancelled) {
                 return;
             }
-            long begun = System.nanoTime();
-            EndpointAttempts.Opened opened = open();
-            AttemptResult result = opened.failure().orElseGet(() -> attempts.readWhole(opened));
+            long startedAt = System.nanoTime();
+            EndpointAttempts.OpenedAttempt opened = open();
+            AttemptResult result = opened.failure().orElseGet(() -> attempts.readComplete(opened));
             if (cancelled) {
                 return;
             }
             running.remove(Key.of(score));
             ScoringOutcome outcome = outcome(result);
             metrics.counter("gateway.scoring." + label(outcome)).inc();
-            metrics.timer("gateway.scoring-time").update(System.nanoTime() - begun, TimeUnit.NANOSECONDS);
+            metrics.timer("gateway.scoring-time").update(System.nanoTime() - startedAt, TimeUnit.NANOSECONDS);
             OptionalInt load =
                     opened.response().map(Response::headers).map(dialect::load).orElseGet(OptionalInt::empty);
             loop.accept(new BatchEvent.ScoringEnded(score.id(), score.item(), score.attempt(), outcome, load));
         }
 
         /**
-         * Sends the request and waits for the head of its answer.
+         * Sends the request and waits for the status and headers of its answer.
          *
          * @return The attempt in progress.
          */
-        private EndpointAttempts.Opened open() {
+        private EndpointAttempts.OpenedAttempt open() {
             EndpointHttp.ConnectionUse connection =
                     score.inDoubt() ? EndpointHttp.ConnectionUse.NEW : EndpointHttp.ConnectionUse.KEPT;
-            EndpointAttempts.Times times = new EndpointAttempts.Times(score.timeLeft(), score.timeLeft());
+            EndpointAttempts.Timeouts timeouts = new EndpointAttempts.Timeouts(score.timeLeft(), score.timeLeft());
             try {
                 return attempts.open(
-                        request(score), score.endpoint(), times, connection, Optional.empty(), this::attach);
+                        request(score), score.endpoint(), timeouts, connection, Optional.empty(), this::attach);
             } catch (IllegalArgumentException exception) {
                 LOGGER.warnf(
                         "event=scoring-not-sent id=%s reason=\"%s\"",
                         score.request().id(), exception);
-                return EndpointAttempts.Opened.failed(
+                return EndpointAttempts.OpenedAttempt.failed(
                         score.endpoint(),
-                        new AttemptResult.NotRun(AttemptResult.NotRunCause.REFUSED, "it can't be sent"));
+                        new AttemptResult.NotRun(AttemptResult.NotRunCause.REFUSED, "the request can't be sent"));
             }
         }
 
-        /** Breaks the attempt off. */
+        /** Cancels the attempt. */
         void cancel() {
             cancelled = true;
             call.ifPresent(Call::cancel);
         }
 
         /**
-         * Notes the call, which is broken off at once if the attempt is.
+         * Records the call, and cancels it at once if the attempt was cancelled.
          *
-         * @param begun The call.
+         * @param current The call.
          */
-        private void attach(Call begun) {
-            call = Optional.of(begun);
+        private void attach(Call current) {
+            call = Optional.of(current);
             if (cancelled) {
-                begun.cancel();
+                current.cancel();
             }
         }
     }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/ServerSentEvents.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/ServerSentEvents.java
@@ -8,11 +8,11 @@
 import okio.BufferedSource;
 import okio.ByteString;
 
-/** Reads the events of a stream, each only when it is whole. */
+/** Reads the events of a stream and returns each one only when it is complete. */
 final class ServerSentEvents {
 
-    /** The longest line that is read, in bytes. */
-    private static final long MAXIMUM_LINE = 1L << 20;
+    /** The maximum length of a line, in bytes. */
+    private static final long MAXIMUM_LINE_BYTES = 1L << 20;
 
     /** The field of an event's identifier. */
     private static final String ID_FIELD = "id:";
@@ -26,14 +26,14 @@
     /** The stream. */
     private final BufferedSource source;
 
-    /** Reads a line that tells the version of the weights. */
+    /** Decodes lines that state the version of the weights. */
     private final EndpointDialect dialect;
 
     /**
      * Creates a reader.
      *
      * @param source The stream.
-     * @param dialect How endpoints speak.
+     * @param dialect The dialect of endpoints.
      */
     ServerSentEvents(BufferedSource source, EndpointDialect dialect) {
         this.source = source;
@@ -44,7 +44,7 @@
      * Reads the next event.
      *
      * @return The event, or empty if the stream ended between two events.
-     * @throws IOException If the stream broke off, or ended inside an event.
+     * @throws IOException If the connection failed, or the stream ended within an event.
      */
     Optional<Event> next() throws IOException {
         List<ByteString> lines = new ArrayList<>();
@@ -53,9 +53,9 @@
                 if (lines.isEmpty()) {
                     return Optional.empty();
                 }
-                throw new IOException("the stream ended inside an event");
+                throw new IOException("the stream ended within an event");
             }
-            ByteString line = line();
+            ByteString line = readLine();
             if (line.size() > 0) {
                 lines.add(line);
             } else if (!lines.isEmpty()) {
@@ -67,26 +67,26 @@
     /**
      * Reads a line.
      *
-     * @return The line without its end.
-     * @throws IOException If the stream broke off or the line is too long.
+     * @return The line without its terminator.
+     * @throws IOException If the connection failed, the stream ended within the line, or the line is too long.
      */
-    private ByteString line() throws IOException {
-        long end = source.indexOf(LINE_FEED, 0, MAXIMUM_LINE);
-        if (end < 0) {
-            throw new IOException("the stream ended inside a line, or the line is too long");
+    private ByteString readLine() throws IOException {
+        long length = source.indexOf(LINE_FEED, 0, MAXIMUM_LINE_BYTES);
+        if (length < 0) {
+            throw new IOException("the stream ended within a line, or the line is too long");
         }
-        ByteString line = source.readByteString(end);
+        ByteString line = source.readByteString(length);
         source.skip(1);
         boolean carriageReturn = line.size() > 0 && line.getByte(line.size() - 1) == '\r';
         return carriageReturn ? line.substring(0, line.size() - 1) : line;
     }
 
     /**
-     * Reads the lines of an event.
+     * Parses the lines of an event.
      *
      * @param lines The lines.
      * @return The event.
-     * @throws IOException If the identifier can't be read.
+     * @throws IOException If the identifier is invalid.
      */
     private Event parse(List<ByteString> lines) throws IOException {
         OptionalLong id = OptionalLong.empty();
@@ -102,7 +102,7 @@
             }
             String text = line.utf8();
             if (text.startsWith(ID_FIELD)) {
-                id = number(text.substring(ID_FIELD.length()).trim());
+                id = parseId(text.substring(ID_FIELD.length()).trim());
             } else if (dialect.versionLine(text).isPresent()) {
                 version = dialect.versionLine(text);
             }
@@ -114,12 +114,12 @@
      * Returns the value of a field.
      *
      * @param line The line.
-     * @param field The length of the field's name with its colon.
-     * @return The value, without the one space that may precede it.
+     * @param fieldLength The length of the field's name with its colon.
+     * @return The value, without the single leading space that the format allows.
      */
-    private static ByteString valueOf(ByteString line, int field) {
-        boolean space = line.size() > field && line.getByte(field) == ' ';
-        return line.substring(space ? field + 1 : field);
+    private static ByteString valueOf(ByteString line, int fieldLength) {
+        boolean hasSpace = line.size() > fieldLength && line.getByte(fieldLength) == ' ';
+        return line.substring(hasSpace ? fieldLength + 1 : fieldLength);
     }
 
     /**
@@ -134,32 +134,32 @@
     }
 
     /**
-     * Reads an identifier.
+     * Parses an identifier.
      *
      * @param text The text.
      * @return The number.
-     * @throws IOException If it is none.
+     * @throws IOException If the text is not a number.
      */
-    private static OptionalLong number(String text) throws IOException {
+    private static OptionalLong parseId(String text) throws IOException {
         try {
             return OptionalLong.of(Long.parseLong(text));
         } catch (NumberFormatException exception) {
-            throw new IOException("not an identifier of an event: " + text, exception);
+            throw new IOException("invalid event identifier: " + text, exception);
         }
     }
 
     /**
      * An event.
      *
-     * @param id The identifier, if it bears one.
-     * @param version The version of the weights from this event on, if it tells one.
+     * @param id The identifier, if the event has one.
+     * @param version The version of the weights from this event on, if the event states one.
      * @param data The data.
-     * @param lines All lines as they arrived.
+     * @param lines All lines as received.
      */
     record Event(OptionalLong id, OptionalLong version, ByteString data, List<ByteString> lines) {
 
         /**
-         * Writes the event as it arrived.
+         * Returns the event as received.
          *
          * @return The bytes.
          */
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/UnservedRequests.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/UnservedRequests.java
@@ -11,28 +11,28 @@
 import java.util.Optional;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** Answers plain requests that no endpoint has answered, truthfully as to whether they may have run. */
+/** Answers plain requests that no endpoint answered, and states whether they may have run. */
 final class UnservedRequests {
 
-    /** The status that tells that nothing ran, and when to come back. */
+    /** The status of a request that did not run and may be retried after a delay. */
     private static final int UNAVAILABLE = 503;
 
-    /** The status of an answer that was not usable, after the request may have run. */
+    /** The status of a request that may have run without a usable answer. */
     static final int BAD_GATEWAY = 502;
 
-    /** The status of a request whose time ran out after it may have run. */
+    /** The status of a request that may have run before its time elapsed. */
     static final int GATEWAY_TIMEOUT = 504;
 
-    /** What the core knows. */
+    /** The view of the core. */
     private final GatewayView view;
 
-    /** Chooses endpoints. It is guarded by itself. */
+    /** Chooses endpoints. Guarded by its own monitor. */
     private final EndpointSelection selection;
 
     /**
-     * Creates answers.
+     * Creates an object that answers requests.
      *
-     * @param view What the core knows.
+     * @param view The view of the core.
      * @param selection Chooses endpoints.
      */
     UnservedRequests(GatewayView view, EndpointSelection selection) {
@@ -41,57 +41,60 @@
     }
 
     /**
-     * Answers a request that may go to no endpoint, as endpoints ended under it.
+     * Answers a request that must not be sent to an endpoint, because endpoints ended while running it.
      *
      * @param caller The caller.
-     * @param progress How far the request has come.
-     * @param comeBack When it may come back.
+     * @param progress The progress of the request.
+     * @param retryAfter The delay before a retry.
      * @return The outcome, for logs.
-     * @throws IOException If the caller has gone.
+     * @throws IOException If the caller has disconnected.
      */
-    String refuse(CallerResponse caller, Progress progress, Duration comeBack) throws IOException {
+    String answerQuarantined(CallerResponse caller, Progress progress, Duration retryAfter) throws IOException {
         switch (progress) {
             case STREAM_BEGUN -> caller.abort();
             case MAY_HAVE_RUN ->
-                caller.answerText(BAD_GATEWAY, "the request has ended endpoints that ran it", Optional.of(comeBack));
+                caller.answerText(
+                        BAD_GATEWAY,
+                        "the request may have run: endpoints ended while running it",
+                        Optional.of(retryAfter));
             case NOT_RUN ->
                 caller.answerText(
                         UNAVAILABLE,
-                        "the request has not run: it has ended endpoints that ran it before",
-                        Optional.of(comeBack));
+                        "the request has not run: endpoints ended while running it before",
+                        Optional.of(retryAfter));
         }
         return progress.outcome() + ", endpoints ended under it";
     }
 
     /**
-     * Answers a request for which no attempt is left.
+     * Answers a request that gets no further attempt.
      *
      * @param caller The caller.
-     * @param progress How far the request has come.
+     * @param progress The progress of the request.
      * @param pool The pool that serves the request.
-     * @param reason Why, for logs.
+     * @param reason The reason, for logs.
      * @param status The status if the request may have run.
      * @return The outcome, for logs.
-     * @throws IOException If the caller has gone.
+     * @throws IOException If the caller has disconnected.
      */
-    String giveUp(CallerResponse caller, Progress progress, Optional<PoolName> pool, String reason, int status)
+    String answerUnserved(CallerResponse caller, Progress progress, Optional<PoolName> pool, String reason, int status)
             throws IOException {
         switch (progress) {
             case STREAM_BEGUN -> caller.abort();
             case MAY_HAVE_RUN -> caller.answerText(status, "the request may have run: " + reason, Optional.empty());
             case NOT_RUN ->
-                caller.answerText(UNAVAILABLE, "the request has not run: " + reason, Optional.of(returnTime(pool)));
+                caller.answerText(UNAVAILABLE, "the request has not run: " + reason, Optional.of(retryDelay(pool)));
         }
         return progress.outcome() + ", " + reason;
     }
 
     /**
-     * Returns when a caller should come back.
+     * Returns the delay before a caller should retry.
      *
      * @param pool The pool that serves the request.
-     * @return The time, spread such that callers do not return together.
+     * @return The delay, randomised so that callers do not retry simultaneously.
      */
-    private Duration returnTime(Optional<PoolName> pool) {
+    private Duration retryDelay(Optional<PoolName> pool) {
         List<RegisteredEndpoint> working = pool.map(view::endpoints).orElseGet(List::of);
         synchronized (selection) {
             Duration untilFree = selection.untilFree(working, DecisionLoop.now());
@@ -99,22 +102,22 @@
         }
     }
 
-    /** How far a request has come. */
+    /** The progress of a request. */
     enum Progress {
-        /** It has surely not run. */
+        /** The request definitely did not run. */
         NOT_RUN("not run"),
-        /** It may have run. */
+        /** The request may have run. */
         MAY_HAVE_RUN("failed"),
-        /** The caller has got events of its stream. */
+        /** The caller has received events of its stream. */
         STREAM_BEGUN("stream broken off");
 
-        /** What became of a request that ends so, for logs. */
+        /** The outcome of a request that ends with this progress, for logs. */
         private final String outcome;
 
         /**
          * Creates a progress.
          *
-         * @param outcome What became of a request that ends so.
+         * @param outcome The outcome of a request that ends with this progress.
          */
         Progress(String outcome) {
             this.outcome = outcome;
@@ -123,7 +126,7 @@
         /**
          * Returns what became of a request that ends so.
          *
-         * @return The beginning of its outcome, for logs.
+         * @return The start of the outcome text, for logs.
          */
         String outcome() {
             return outcome;
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/UsageMeter.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/UsageMeter.java
@@ -14,37 +14,42 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 
-/** Counts the requests that begin to run, by account and window, and tells the core in one event what has grown. */
+/**
+ * Counts the requests that start to run, by account and window, and reports changed counts to the core in one event.
+ */
 final class UsageMeter implements AutoCloseable {
 
-    /** How long after something has grown the core is told: what a killed node takes out of a report at most. */
-    private static final Duration INTERVAL = Duration.ofMillis(700);
+    /**
+     * The delay between a change and its report to the core. It bounds the counts that are lost when a node is killed.
+     */
+    private static final Duration REPORT_DELAY = Duration.ofMillis(700);
 
     /** The windows. */
     private final UsageWindows windows;
 
-    /** Tells the time of day. */
+    /** Supplies the time of day. */
     private final LongSupplier timeOfDay;
 
     /** The core. */
     private final EventSink events;
 
-    /** The counts by account by window. It is guarded by this object. */
+    /** The counts by window and account. Guarded by this object's monitor. */
     private final TreeMap<Long, Map<String, Long>> counts = new TreeMap<>();
 
-    /** The counts that have grown since the core was told. It is guarded by this object. */
-    private final Map<Long, Map<String, Long>> grown = new HashMap<>();
+    /** The counts that changed since the last report. Guarded by this object's monitor. */
+    private final Map<Long, Map<String, Long>> changed = new HashMap<>();
 
     /**
-     * Tells the core soon, if something has grown: an idle gateway has no timer for it. It is guarded by this object.
+     * The scheduled report, if counts have changed, so that an idle gateway runs no timer for it. Guarded by this
+     * object's monitor.
      */
-    private Disposable telling = Disposable.disposed();
+    private Disposable pendingReport = Disposable.disposed();
 
     /**
-     * Creates a meter that has counted nothing.
+     * Creates a meter without counts.
      *
      * @param windows The windows.
-     * @param timeOfDay Tells the time of day, in milliseconds since the epoch.
+     * @param timeOfDay Supplies the time of day, in milliseconds since the epoch.
      * @param events The core.
      */
     UsageMeter(UsageWindows windows, LongSupplier timeOfDay, EventSink events) {
@@ -55,11 +60,11 @@
 
     @Override
     public synchronized void close() {
-        telling.dispose();
+        pendingReport.dispose();
     }
 
     /**
-     * Returns the present, as requests are counted by it.
+     * Returns the current time, by which requests are counted.
      *
      * @return The time of day in milliseconds since the epoch.
      */
@@ -70,29 +75,29 @@
     /**
      * Counts a request.
      *
-     * @param account The account, if the request is of one.
-     * @param begunAt When it began to run, in milliseconds since the epoch.
+     * @param account The account of the request, if any.
+     * @param begunAt When it started to run, in milliseconds since the epoch.
      */
     synchronized void count(Optional<AccountName> account, long begunAt) {
         account.ifPresent(name -> {
-            if (grown.isEmpty()) {
-                telling =
-                        Schedulers.computation().scheduleDirect(this::tell, INTERVAL.toMillis(), TimeUnit.MILLISECONDS);
+            if (changed.isEmpty()) {
+                pendingReport = Schedulers.computation()
+                        .scheduleDirect(this::report, REPORT_DELAY.toMillis(), TimeUnit.MILLISECONDS);
             }
             long window = windows.at(begunAt);
             long count =
                     counts.computeIfAbsent(window, _window -> new HashMap<>()).merge(name.value(), 1L, Long::sum);
-            grown.computeIfAbsent(window, _window -> new HashMap<>()).put(name.value(), count);
+            changed.computeIfAbsent(window, _window -> new HashMap<>()).put(name.value(), count);
         });
     }
 
-    /** Tells the core what has grown. */
-    private synchronized void tell() {
-        if (grown.isEmpty()) {
+    /** Reports the changed counts to the core. */
+    private synchronized void report() {
+        if (changed.isEmpty()) {
             return;
         }
-        events.accept(new UsageEvent.Counted(Map.copyOf(grown)));
-        grown.clear();
+        events.accept(new UsageEvent.Counted(Map.copyOf(changed)));
+        changed.clear();
         counts.headMap(windows.oldestKept(now())).clear();
     }
 }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/package-info.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The gateway: serves plain requests and batch jobs of callers that speak another interface than the product's own.
- * What is written on the wire comes from dialects; what is decided comes from the core.
+ * The gateway: serves plain requests and batch jobs of callers that use an interface other than the product's own.
+ * Dialects define the wire formats; the decision core makes the decisions.
  */
 package io.yuccaswitch.node.gateway;
--- a/yuccaswitch-node/src/test/java/io/yuccaswitch/node/gateway/CloudSettingsTest.java
+++ b/yuccaswitch-node/src/test/java/io/yuccaswitch/node/gateway/CloudSettingsTest.java
@@ -6,18 +6,18 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What is to be done at the cloud. */
+/** Tests the duties and the usage window in the settings of the cloud. */
 final class CloudSettingsTest {
 
     @Test
-    void aDutyThatIsNotKnownIsPassedOver() {
+    void ignoresUnsupportedDuties() {
         CloudSettings settings = new CloudSettings("127.0.0.1:1", List.of("usage", "another"), 5);
         assertThat(settings.includes(CloudSettings.Duty.USAGE)).isTrue();
         assertThat(settings.includes(CloudSettings.Duty.SCALE)).isFalse();
     }
 
     @Test
-    void windowsMayBeFractionsOfASecond() {
+    void acceptsWindowsWithFractionsOfASecond() {
         assertThat(new CloudSettings("127.0.0.1:1", List.of(), 2.5).usageWindow())
                 .isEqualTo(Duration.ofMillis(2500));
     }
--- a/yuccaswitch-node/src/test/java/io/yuccaswitch/node/gateway/DispatchCheckTest.java
+++ b/yuccaswitch-node/src/test/java/io/yuccaswitch/node/gateway/DispatchCheckTest.java
@@ -29,8 +29,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * An endpoint was looked at when a request was given to it, and never again: while a connection was made, or the
- * machine stood still, the endpoint could say that it leaves, and the request was written all the same.
+ * Guards against a request that is written to an endpoint that has left. An endpoint was checked only when it was
+ * chosen: while a connection was opened or the VM was suspended, it could announce that it leaves, and the request was
+ * still written.
  */
 final class DispatchCheckTest {
 
@@ -56,7 +57,7 @@
                 .start("127.0.0.1", 0);
         endpoint = endpoint(1);
         view.replace(List.of(endpoint));
-        confirm(Duration.ZERO, false);
+        updateFreshness(Duration.ZERO, false);
     }
 
     @AfterEach
@@ -66,42 +67,43 @@
     }
 
     @Test
-    void aRequestIsSentToAnEndpointThatIsKnownToWork() {
-        assertThat(attempt(_call -> {})).isInstanceOf(AttemptResult.Whole.class);
+    void sendsRequestToWorkingEndpoint() {
+        assertThat(attempt(_call -> {})).isInstanceOf(AttemptResult.Complete.class);
         assertThat(metrics.histogram("gateway.registry-age-millis").getCount()).isOne();
     }
 
     @Test
-    void aRequestIsNotSentToAnEndpointThatLeavesAfterItWasChosen() {
+    void withholdsRequestIfEndpointLeavesAfterItWasChosen() {
         AttemptResult result = attempt(_call -> view.replace(List.of()));
         assertWithheld(result);
     }
 
     @Test
-    void aRequestIsNotSentToAnEndpointThatStartsAgainAfterItWasChosen() {
+    void withholdsRequestIfEndpointRestartsAfterItWasChosen() {
         AttemptResult result = attempt(_call -> view.replace(List.of(endpoint(2))));
         assertWithheld(result);
     }
 
     @Test
-    void aRequestIsNotSentOnceWhatIsKnownHasGrownTooOld() {
-        AttemptResult result = attempt(_call -> confirm(RegistryFreshness.LIMIT.plus(Duration.ofMillis(1)), false));
+    void withholdsRequestIfStateIsStale() {
+        AttemptResult result =
+                attempt(_call -> updateFreshness(RegistryFreshness.LIMIT.plus(Duration.ofMillis(1)), false));
         assertWithheld(result);
     }
 
     @Test
-    void aRequestIsSentByWhatWasKnownLastWhileThePlatformIsAway() {
-        AttemptResult result = attempt(_call -> confirm(Duration.ofSeconds(30), true));
-        assertThat(result).isInstanceOf(AttemptResult.Whole.class);
+    void sendsRequestByLastStateWhilePlatformIsUnreachable() {
+        AttemptResult result = attempt(_call -> updateFreshness(Duration.ofSeconds(30), true));
+        assertThat(result).isInstanceOf(AttemptResult.Complete.class);
     }
 
     @Test
-    void aRequestThatWaitsForThePlatformGoesOnOnceItHasAnswered() {
-        confirm(Duration.ofSeconds(30), false);
+    void waitingRequestResumesWhenPlatformAnswers() {
+        updateFreshness(Duration.ofSeconds(30), false);
         ExecutorService threads = Executors.newSingleThreadExecutor();
         try {
             Future<Boolean> waiting = threads.submit(() -> view.awaitFreshness(Duration.ofSeconds(30)));
-            confirm(Duration.ZERO, false);
+            updateFreshness(Duration.ZERO, false);
             assertThat(waiting).succeedsWithin(Duration.ofSeconds(20)).isEqualTo(true);
         } finally {
             threads.shutdownNow();
@@ -109,8 +111,8 @@
     }
 
     @Test
-    void aRequestDoesNotWaitForThePlatformBeyondItsPatience() {
-        confirm(Duration.ofSeconds(30), false);
+    void requestDoesNotWaitForPlatformBeyondItsTimeout() {
+        updateFreshness(Duration.ofSeconds(30), false);
         assertThat(view.awaitFreshness(Duration.ofMillis(20))).isFalse();
     }
 
@@ -121,8 +123,8 @@
         assertThat(metrics.meter("gateway.withheld-requests").getCount()).isOne();
     }
 
-    /** Makes an attempt, and does something after the endpoint was chosen and before the request is written. */
-    private AttemptResult attempt(Consumer<Call> meanwhile) {
+    /** Makes an attempt, and runs an action after the endpoint was chosen and before the request is written. */
+    private AttemptResult attempt(Consumer<Call> beforeWrite) {
         OutgoingRequest request = new OutgoingRequest(
                 "request-1",
                 "POST",
@@ -130,14 +132,16 @@
                 List.of(Map.entry("Request-Id", "request-1")),
                 Optional.empty(),
                 Bytes.EMPTY);
-        EndpointAttempts.Times times = new EndpointAttempts.Times(Duration.ofSeconds(10), Duration.ofSeconds(10));
-        EndpointAttempts.Opened opened =
-                attempts.open(request, endpoint, times, EndpointHttp.ConnectionUse.KEPT, Optional.empty(), meanwhile);
-        return opened.failure().orElseGet(() -> attempts.readWhole(opened));
+        EndpointAttempts.Timeouts timeouts =
+                new EndpointAttempts.Timeouts(Duration.ofSeconds(10), Duration.ofSeconds(10));
+        EndpointAttempts.OpenedAttempt opened = attempts.open(
+                request, endpoint, timeouts, EndpointHttp.ConnectionUse.KEPT, Optional.empty(), beforeWrite);
+        return opened.failure().orElseGet(() -> attempts.readComplete(opened));
     }
 
-    private void confirm(Duration age, boolean platformAway) {
-        view.confirm(new RegistryFreshness(Optional.of(DecisionLoop.now().plus(age.negated())), platformAway));
+    private void updateFreshness(Duration age, boolean platformUnreachable) {
+        view.updateFreshness(
+                new RegistryFreshness(Optional.of(DecisionLoop.now().plus(age.negated())), platformUnreachable));
     }
 
     private RegisteredEndpoint endpoint(long incarnation) {
--- a/yuccaswitch-node/src/test/java/io/yuccaswitch/node/gateway/JsonBatchCodecTest.java
+++ b/yuccaswitch-node/src/test/java/io/yuccaswitch/node/gateway/JsonBatchCodecTest.java
@@ -15,13 +15,13 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** What is kept of batch jobs on the platform, written and read again. */
+/** Tests that stored batch documents are read back as written. */
 final class JsonBatchCodecTest {
 
     private final JsonBatchCodec codec = new JsonBatchCodec();
 
     @Test
-    void aJobKeepsTheScoringRequestsOfItsItems() {
+    void jobKeepsScoringRequestsOfItsItems() {
         ScoringRequest scoring = new ScoringRequest("s1", "site.example", "/score/x?y=1", Bytes.ofUtf8("judge"));
         BatchJob job = new BatchJob(
                 new BatchJobId("job"),
@@ -43,14 +43,14 @@
     }
 
     @Test
-    void aResultWithoutAScoreOfAnEarlierReleaseIsRead() {
-        Bytes kept = Bytes.ofUtf8("{\"results\":[{\"item\":\"a\",\"completed\":true,\"text\":\"x\",\"bytes\":\"\","
+    void readsResultOfEarlierReleaseWithoutScore() {
+        Bytes stored = Bytes.ofUtf8("{\"results\":[{\"item\":\"a\",\"completed\":true,\"text\":\"x\",\"bytes\":\"\","
                 + "\"versions\":[1]}]}");
-        assertThat(codec.readResults(kept).orElseThrow().get(0).score()).isEmpty();
+        assertThat(codec.readResults(stored).orElseThrow().get(0).score()).isEmpty();
     }
 
     @Test
-    void partsOfTextsKeepTheirEventsWhetherTheyAreTextOrNot() {
+    void textPartsKeepTextAndBinaryEvents() {
         Bytes binary = Bytes.wrap(new byte[] {(byte) 0xff, 0, 1});
         List<TextPart> parts = List.of(
                 new TextPart("a", 0, new ItemText(2, List.of(Bytes.ofUtf8("one"), binary), List.of(1L))),
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void whatIsNoDocumentIsNotRead() {
+    void ignoresInvalidDocuments() {
         assertThat(codec.readTexts(Bytes.ofUtf8("{"))).isEmpty();
         assertThat(codec.readJob(Bytes.ofUtf8("[]"))).isEmpty();
     }
--- a/yuccaswitch-node/src/test/java/io/yuccaswitch/node/gateway/TestEndpointDialect.java
+++ b/yuccaswitch-node/src/test/java/io/yuccaswitch/node/gateway/TestEndpointDialect.java
@@ -12,7 +12,7 @@
 import okhttp3.Headers;
 import okhttp3.Request;
 
-/** A plain way to speak to endpoints: each answer is signed, and 503 means that nothing ran. */
+/** A minimal endpoint dialect: each answer is signed, and status 503 means that the request was not run. */
 final class TestEndpointDialect implements EndpointDialect {
 
     private static final int UNAVAILABLE = 503;
@@ -83,7 +83,7 @@
 
     @Override
     public EngineReport readReport(byte[] _body) {
-        throw new UnsupportedOperationException("No reports are read here");
+        throw new UnsupportedOperationException("This dialect reads no reports");
     }
 
     @Override
--- a/yuccaswitch-node/src/test/java/io/yuccaswitch/node/gateway/UsageMeterTest.java
+++ b/yuccaswitch-node/src/test/java/io/yuccaswitch/node/gateway/UsageMeterTest.java
@@ -14,22 +14,22 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import org.junit.jupiter.api.Test;
 
-/** What the core is told of requests that began to run. */
+/** Tests the reports to the core of requests that started to run. */
 final class UsageMeterTest {
 
-    private final List<Event> told = new CopyOnWriteArrayList<>();
+    private final List<Event> reports = new CopyOnWriteArrayList<>();
 
     @Test
-    void theCoreIsToldInFullWhatHasGrownAndAgainWhenItGrowsMore() {
+    void reportsFullCountAfterEachChange() {
         Optional<AccountName> account = Optional.of(new AccountName("first"));
-        try (UsageMeter meter = new UsageMeter(new UsageWindows(Duration.ofSeconds(5)), () -> 7000, told::add)) {
+        try (UsageMeter meter = new UsageMeter(new UsageWindows(Duration.ofSeconds(5)), () -> 7000, reports::add)) {
             meter.count(account, 7000);
             meter.count(Optional.empty(), 7000);
-            await().until(() -> told.size() == 1);
+            await().until(() -> reports.size() == 1);
             meter.count(account, 7000);
-            await().until(() -> told.size() == 2);
+            await().until(() -> reports.size() == 2);
         }
-        assertThat(told)
+        assertThat(reports)
                 .containsExactly(
                         new UsageEvent.Counted(Map.of(1L, Map.of("first", 1L))),
                         new UsageEvent.Counted(Map.of(1L, Map.of("first", 2L))));
