--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/decision/DecisionLog.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/decision/DecisionLog.java
@@ -8,27 +8,27 @@
 import java.util.stream.Collectors;
 import org.jboss.logging.Logger;
 
-/** Writes a log line for each decision, and keeps the latest decisions for explanation. */
+/** Logs decisions, and retains the latest ones so that they can be explained. */
 public final class DecisionLog {
 
-    /** The number of subjects whose decisions are kept. */
-    private static final int SUBJECTS = 2048;
+    /** The maximum number of subjects whose decisions are retained. */
+    private static final int MAXIMUM_SUBJECTS = 2048;
 
-    /** The number of decisions that are kept for a subject. */
-    private static final int DECISIONS_PER_SUBJECT = 32;
+    /** The maximum number of retained decisions of a subject. */
+    private static final int MAXIMUM_DECISIONS_PER_SUBJECT = 32;
 
-    /** The number of candidates that a log line names. */
-    private static final int CANDIDATES_PER_LINE = 8;
+    /** The maximum number of candidates in a log line. */
+    private static final int MAXIMUM_CANDIDATES_PER_LINE = 8;
 
     /** The logger of decisions. */
     private static final Logger LOGGER = Logger.getLogger("io.yuccaswitch.decision");
 
     /** The latest decisions by their subjects. */
     private final Cache<String, List<Decision>> decisions =
-            CacheBuilder.newBuilder().maximumSize(SUBJECTS).build();
+            CacheBuilder.newBuilder().maximumSize(MAXIMUM_SUBJECTS).build();
 
     /**
-     * Logs and keeps a decision.
+     * Logs and retains a decision.
      *
      * @param decision The decision.
      */
@@ -38,7 +38,7 @@
     }
 
     /**
-     * Writes a decision's line without keeping the decision.
+     * Logs a decision without retaining it.
      *
      * @param decision The decision.
      */
@@ -52,15 +52,15 @@
      * Returns the decisions on a subject.
      *
      * @param subject The subject, such as a request id.
-     * @return The decisions on this subject that are still kept, the oldest first.
+     * @return The retained decisions on this subject, the oldest first.
      */
     public List<Decision> explain(String subject) {
-        List<Decision> kept = decisions.getIfPresent(subject);
-        return kept == null ? List.of() : kept;
+        List<Decision> retained = decisions.getIfPresent(subject);
+        return retained == null ? List.of() : retained;
     }
 
     /**
-     * Appends decisions to earlier ones, dropping the oldest ones past the bound.
+     * Appends decisions to earlier ones, and drops the oldest ones beyond the maximum.
      *
      * @param earlier The earlier decisions.
      * @param later The decisions to append.
@@ -69,7 +69,7 @@
     private static List<Decision> append(List<Decision> earlier, List<Decision> later) {
         List<Decision> joined = new ArrayList<>(earlier);
         joined.addAll(later);
-        int surplus = Math.max(0, joined.size() - DECISIONS_PER_SUBJECT);
+        int surplus = Math.max(0, joined.size() - MAXIMUM_DECISIONS_PER_SUBJECT);
         return List.copyOf(joined.subList(surplus, joined.size()));
     }
 
@@ -84,7 +84,7 @@
             return "[]";
         }
         return candidates.stream()
-                .limit(CANDIDATES_PER_LINE)
+                .limit(MAXIMUM_CANDIDATES_PER_LINE)
                 .map(candidate -> String.format("%s:%.3f", candidate.name(), candidate.score()))
                 .collect(Collectors.joining(",", "[", "]"));
     }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/decision/DecisionLoop.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/decision/DecisionLoop.java
@@ -21,22 +21,22 @@
 import org.jboss.logging.Logger;
 
 /**
- * Runs the decision core on one thread: a tick whenever events are waiting, and otherwise at an interval that follows
- * from what the core does. Subscribers of effects and decisions are called on that thread and must not block.
+ * Runs the decision core on one thread: a tick whenever events are queued, and otherwise at an interval that depends on
+ * the state of the core. Subscribers of effects and decisions are called on that thread and must not block.
  */
 public final class DecisionLoop implements EventSink, AutoCloseable {
 
-    /** The longest pause between two ticks while the core follows something that waits for a moment in time. */
+    /** The maximum pause between two ticks while the core has timers that are due soon. */
     public static final Duration BUSY_INTERVAL = Duration.ofMillis(20);
 
     /**
-     * The longest pause between two ticks otherwise. Events are taken at once at either pace, so it bounds only how
-     * late a timer is seen, and timers of an idle node count in hundreds of milliseconds.
+     * The maximum pause between two ticks of an idle node. Events are processed at once with either interval, so it
+     * only bounds the delay of timers, which on an idle node are in the range of hundreds of milliseconds.
      */
     public static final Duration IDLE_INTERVAL = Duration.ofMillis(100);
 
-    /** The largest number of events of one tick. */
-    private static final int EVENTS_PER_TICK = 1024;
+    /** The maximum number of events of one tick. */
+    private static final int MAXIMUM_EVENTS_PER_TICK = 1024;
 
     /** The logger. */
     private static final Logger LOGGER = Logger.getLogger(DecisionLoop.class);
@@ -44,60 +44,62 @@
     /** The decision core, confined to the loop's thread. */
     private final DecisionCore core;
 
-    /** What to do when an invariant of the core broke. */
+    /** Called when an invariant of the core is broken. */
     private final Runnable onBrokenInvariant;
 
-    /** How long the pause between two ticks may be, asked on the loop's thread before each. */
-    private final Supplier<Duration> pace;
+    /** Supplies the maximum pause between two ticks. It is called on the loop's thread before each tick. */
+    private final Supplier<Duration> maximumPause;
 
-    /** Finds out that the machine was suspended, confined to the loop's thread. */
+    /** Detects that the VM was suspended, confined to the loop's thread. */
     private final SuspensionDetector suspensions = new SuspensionDetector();
 
-    /** The events that wait for the next tick. */
-    private final BlockingQueue<Queued> waiting = new LinkedBlockingQueue<>();
+    /** The events that are queued for the next tick. */
+    private final BlockingQueue<Queued> queue = new LinkedBlockingQueue<>();
 
-    /** Takes note of ticks. */
+    /** Observes ticks. */
     private final TickObserver observer;
 
-    /** The effects that the core emitted. */
+    /** The effects of the core. */
     private final Subject<Effect> effects = PublishSubject.create();
 
-    /** The decisions that the core explained. */
+    /** The decisions of the core. */
     private final Subject<Decision> decisions = PublishSubject.create();
 
-    /** The thread that ticks. */
+    /** The thread of the loop. */
     private final Thread thread;
 
-    /** Whether the loop goes on. */
+    /** Whether the loop continues. */
     private volatile boolean running = true;
 
     /**
-     * Creates a new loop that does not run yet and ticks as often as a busy one.
+     * Creates a loop with the interval of a busy core, without starting it.
      *
      * @param core The decision core to run.
-     * @param onBrokenInvariant What to do when a tick fails, which means that an invariant is broken.
+     * @param onBrokenInvariant Called when a tick fails, which means that an invariant is broken.
      */
     public DecisionLoop(DecisionCore core, Runnable onBrokenInvariant) {
         this(core, onBrokenInvariant, () -> BUSY_INTERVAL, TickObserver.NoOp.INSTANCE);
     }
 
     /**
-     * Creates a new loop that does not run yet.
+     * Creates a loop without starting it.
      *
      * @param core The decision core to run.
-     * @param onBrokenInvariant What to do when a tick fails, which means that an invariant is broken.
-     * @param pace How long the pause between two ticks may be, asked on the loop's thread before each.
-     * @param observer Takes note of ticks.
+     * @param onBrokenInvariant Called when a tick fails, which means that an invariant is broken.
+     * @param maximumPause Supplies the maximum pause between two ticks. It is called on the loop's thread before each
+     *     tick.
+     * @param observer Observes ticks.
      */
-    public DecisionLoop(DecisionCore core, Runnable onBrokenInvariant, Supplier<Duration> pace, TickObserver observer) {
+    public DecisionLoop(
+            DecisionCore core, Runnable onBrokenInvariant, Supplier<Duration> maximumPause, TickObserver observer) {
         this.core = core;
         this.onBrokenInvariant = onBrokenInvariant;
-        this.pace = pace;
+        this.maximumPause = maximumPause;
         this.observer = observer;
         thread = new Thread(this::run, "decision-loop");
     }
 
-    /** Starts the loop, after all subscribers are there. */
+    /** Starts the loop. All subscribers must be registered before. */
     public void start() {
         thread.start();
     }
@@ -105,7 +107,7 @@
     /** {@inheritDoc} */
     @Override
     public void accept(Event event) {
-        waiting.add(new Queued(event, System.nanoTime()));
+        queue.add(new Queued(event, System.nanoTime()));
     }
 
     /**
@@ -113,7 +115,7 @@
      *
      * @param reader The reader, which is called on the loop's thread and must not block or change anything.
      * @param <T> The type of the result.
-     * @return The result, or a failure if the loop is closed before the reader was called.
+     * @return The result, or a failure if the loop is closed before the reader is called.
      */
     public <T> CompletableFuture<T> inspect(Supplier<T> reader) {
         CompletableFuture<T> result = new CompletableFuture<>();
@@ -145,7 +147,7 @@
     }
 
     /**
-     * Returns the current time as the decision core counts it.
+     * Returns the current time by the clock of the decision core.
      *
      * @return The current monotonic time.
      */
@@ -160,17 +162,17 @@
         thread.interrupt();
     }
 
-    /** Ticks until the loop is closed. */
+    /** Runs ticks until the loop is closed. */
     private void run() {
         try {
             while (running) {
                 List<Queued> queued = awaitEvents();
-                MonotonicTime begun = now();
-                tick(begun, queued);
+                MonotonicTime tickStart = now();
+                tick(tickStart, queued);
                 if (!queued.isEmpty()) {
-                    Duration waited =
-                            Duration.ofNanos(begun.nanoseconds() - queued.get(0).since());
-                    observer.ticked(waited, now().since(begun), queued.size());
+                    Duration waited = Duration.ofNanos(
+                            tickStart.nanoseconds() - queued.get(0).queuedAt());
+                    observer.onTick(waited, now().since(tickStart), queued.size());
                 }
             }
         } catch (InterruptedException _exception) {
@@ -182,9 +184,9 @@
     }
 
     /**
-     * Makes a tick.
+     * Runs a tick.
      *
-     * @param now The present.
+     * @param now The current time.
      * @param queued The events of the tick.
      */
     private void tick(MonotonicTime now, List<Queued> queued) {
@@ -195,15 +197,15 @@
         });
         queued.forEach(waited -> events.add(waited.event()));
         publish(core.tick(now, events));
-        inspectAll(events);
+        runInspections(events);
     }
 
     /**
-     * Calls the readers among the events of a tick.
+     * Runs the inspections among the events of a tick.
      *
      * @param events The events of the tick.
      */
-    private static void inspectAll(List<Event> events) {
+    private static void runInspections(List<Event> events) {
         for (Event event : events) {
             if (event instanceof Inspection inspection) {
                 inspection.reader().run();
@@ -227,23 +229,23 @@
     }
 
     /**
-     * Waits for events, at most for the longest pause between two ticks.
+     * Waits for events, at most for the maximum pause between two ticks.
      *
      * @return The events of the next tick, the oldest first, which may be none.
      * @throws InterruptedException If the loop is closed.
      */
     private List<Queued> awaitEvents() throws InterruptedException {
         List<Queued> events = new ArrayList<>();
-        Queued first = waiting.poll(pace.get().toNanos(), TimeUnit.NANOSECONDS);
+        Queued first = queue.poll(maximumPause.get().toNanos(), TimeUnit.NANOSECONDS);
         if (first != null) {
             events.add(first);
-            waiting.drainTo(events, EVENTS_PER_TICK - 1);
+            queue.drainTo(events, MAXIMUM_EVENTS_PER_TICK - 1);
         }
         return events;
     }
 
     /**
-     * Hands the result of a tick to the subscribers.
+     * Publishes the result of a tick to the subscribers.
      *
      * @param result The result of the tick.
      */
@@ -253,15 +255,15 @@
     }
 
     /**
-     * An event that waits for a tick.
+     * An event that is queued for a tick.
      *
      * @param event The event.
-     * @param since Since when it waits, by the monotonic clock in nanoseconds.
+     * @param queuedAt When it was queued, by the monotonic clock in nanoseconds.
      */
-    private record Queued(Event event, long since) {}
+    private record Queued(Event event, long queuedAt) {}
 
     /**
-     * Asks the loop to call a reader of the tables. No system of the core looks at this event.
+     * Requests that the loop calls a reader of the tables. No system of the core processes this event.
      *
      * @param reader The reader to call.
      */
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/decision/EventSink.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/decision/EventSink.java
@@ -2,12 +2,12 @@
 
 import io.yuccaswitch.core.decision.Event;
 
-/** Takes events from the shell to the decision core. */
+/** Passes events from the I/O around the decision core to the core. */
 @FunctionalInterface
 public interface EventSink {
 
     /**
-     * Hands an event to the next tick. This method may be called from any thread and does not block.
+     * Queues an event for the next tick. This method may be called from any thread and does not block.
      *
      * @param event The event.
      */
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/decision/TickObserver.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/decision/TickObserver.java
@@ -2,17 +2,17 @@
 
 import java.time.Duration;
 
-/** Takes note of how promptly a decision loop takes events. It is called on the loop's thread and must not block. */
+/** Observes how promptly a decision loop processes events. It is called on the loop's thread and must not block. */
 public interface TickObserver {
 
     /**
-     * Takes note of a tick that had events.
+     * Records a tick that processed events.
      *
      * @param waited How long the oldest event waited for the tick.
-     * @param took How long the tick took, with all that subscribers did on the loop's thread.
+     * @param duration The duration of the tick, including the work of subscribers on the loop's thread.
      * @param events The number of events.
      */
-    void ticked(Duration waited, Duration took, int events);
+    void onTick(Duration waited, Duration duration, int events);
 
     /** Ignores all ticks. */
     enum NoOp implements TickObserver {
@@ -22,6 +22,6 @@
 
         /** {@inheritDoc} */
         @Override
-        public void ticked(Duration _waited, Duration _took, int _events) {}
+        public void onTick(Duration _waited, Duration _duration, int _events) {}
     }
 }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/decision/package-info.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/decision/package-info.java
@@ -1,2 +1,2 @@
-/** The log of decisions and their explanations. */
+/** The loop that runs the decision core, and the log of its decisions. */
 package io.yuccaswitch.node.decision;
