--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/PlainRequestHandler.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/PlainRequestHandler.java
@@ -41,7 +41,7 @@
     /** The minimum time left for which an attempt is made. */
     private static final Duration MINIMUM_ATTEMPT_TIME = Duration.ofMillis(5);
 
-    /** The hop-by-hop headers of an answer. */
+    /** The hop-by-hop headers of an answer, which concern one connection only. */
     private static final Set<String> HOP_BY_HOP_HEADERS = Set.of(
             "connection",
             "keep-alive",
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/UnservedRequests.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/UnservedRequests.java
@@ -124,7 +124,7 @@
         }
 
         /**
-         * Returns what became of a request that ends so.
+         * Returns the outcome of a request that ends with this progress.
          *
          * @return The start of the outcome text, for logs.
          */
