--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/duty/DutyLease.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/duty/DutyLease.java
@@ -25,88 +25,88 @@
 import java.util.OptionalLong;
 
 /**
- * The lease of the node that has the duties: orders to endpoints, and calls to the cloud. Nobody there needs to check
- * fencing numbers: a permission to act ends a short time after the sending of the last renewal that the platform
- * granted, and a successor lets the former holder's last permission and a further safety time pass. While the platform
- * is away nobody acts.
+ * The lease of the node that performs the duties: orders to endpoints, and calls to the cloud. The receivers don't need
+ * to check fencing numbers: a permission to act expires a short time after the last granted renewal was sent, and a
+ * successor waits until the former holder's last permission has expired and a further safety time has passed. While the
+ * platform is unreachable, no node acts.
  */
 public final class DutyLease implements DecisionSystem {
 
-    /** The key of the lease's object. */
+    /** The key of the lease object. */
     static final ObjectKey KEY = new ObjectKey("order-lease", "engines");
 
     /** The interval of renewals. */
     private static final Duration RENEWAL_INTERVAL = Duration.ofMillis(700);
 
-    /** The interval at which nodes that may follow read the lease. Stale answers are good enough and cheap. */
+    /** The interval at which followers read the lease. Stale answers suffice and put little load on the platform. */
     private static final Duration FOLLOWER_INTERVAL = Duration.ofSeconds(1);
 
-    /** What the successor waits beyond all else, for timers that fire late. */
-    static final Duration MARGIN = Duration.ofMillis(300);
+    /** The margin for late timers that a successor waits in addition to all other delays. */
+    static final Duration TIMER_MARGIN = Duration.ofMillis(300);
 
-    /** The first wait after a failed call. */
-    private static final Duration FIRST_BACK_OFF = Duration.ofMillis(150);
+    /** The initial backoff after a failed call. */
+    private static final Duration INITIAL_BACKOFF = Duration.ofMillis(150);
 
-    /** The longest wait after failed calls. */
-    private static final Duration LONGEST_BACK_OFF = Duration.ofMillis(700);
+    /** The maximum backoff after failed calls. */
+    private static final Duration MAXIMUM_BACKOFF = Duration.ofMillis(700);
 
-    /** How long renewals go through other nodes before this one tries the platform itself again. */
-    private static final Duration RELAYING_TIME = Duration.ofSeconds(3);
+    /** How long renewals are relayed through other nodes before this node calls the platform directly again. */
+    private static final Duration RELAYING_DURATION = Duration.ofSeconds(3);
 
-    /** The number of nodes that stand by to take the lease. */
+    /** The number of nodes that stand by to acquire the lease. */
     private static final int FOLLOWERS = 2;
 
     /** The nodes of the site. */
     private final MembershipView membership;
 
-    /** The order in which the working nodes may succeed to the lease. */
+    /** The order in which the working nodes may acquire the lease. */
     private final MemberRanking ranking;
 
-    /** The calls to the platform that wait for their answers. */
+    /** The pending calls to the platform. */
     private final PlatformCalls calls;
 
-    /** Has the lease renewed through other nodes. */
+    /** Relays renewals through other nodes. */
     private final LeaseRelay relay;
 
-    /** Since when renewals have gone through other nodes, if they do. */
+    /** Since when renewals have been relayed through other nodes, or empty if they are not. */
     private Optional<MonotonicTime> relayingSince = Optional.empty();
 
-    /** Whether the platform did not answer this node's last call on the lease. */
-    private boolean cutOff;
+    /** Whether the platform did not answer this node's last direct write of the lease. */
+    private boolean platformUnreachable;
 
-    /** The least time between calls of two holders. */
+    /** The minimum time between calls of two holders. */
     private final Duration safetyTime;
 
     /** When the next call may be made. */
-    private final CallBackOff backOff = new CallBackOff(FIRST_BACK_OFF, LONGEST_BACK_OFF);
+    private final CallBackOff backoff = new CallBackOff(INITIAL_BACKOFF, MAXIMUM_BACKOFF);
 
-    /** The lease as it was last seen. */
+    /** The lease as this node last observed it. */
     private Optional<LeaseObservation> observed = Optional.empty();
 
     /** Whether this node holds the lease. */
     private boolean held;
 
-    /** Until when this node may act. */
+    /** This node's permission to act. */
     private final DutyPermission permission = new DutyPermission();
 
-    /** When the renewal that another node was asked for was sent. */
-    private MonotonicTime relayedAt = new MonotonicTime(Long.MIN_VALUE / 2);
+    /** When the last relayed renewal was sent, including the time for which the VM was suspended before. */
+    private MonotonicTime relaySentAt = new MonotonicTime(Long.MIN_VALUE / 2);
 
-    /** Whether a call waits for its answer. */
-    private boolean calling;
+    /** Whether a call to the platform or a relayed renewal is pending. */
+    private boolean callPending;
 
-    /** Whether this node gives the lease back and takes it no more. */
+    /** Whether this node is leaving the site, and so releases the lease and no longer acquires it. */
     private boolean leaving;
 
-    /** The present, as of the last tick. */
+    /** The time of the last tick. */
     private MonotonicTime now = MonotonicTime.ZERO;
 
     /**
      * Creates a lease that this node does not hold.
      *
      * @param membership The nodes of the site.
-     * @param tokens Hands out the tokens of calls.
-     * @param safetyTime The least time between calls of two holders.
+     * @param tokens Allocates the tokens of calls.
+     * @param safetyTime The minimum time between calls of two holders.
      */
     public DutyLease(MembershipView membership, PlatformTokens tokens, Duration safetyTime) {
         this.membership = membership;
@@ -119,27 +119,27 @@
     @Override
     public void run(Tick tick) {
         now = tick.now();
-        takeSuspensions(tick);
+        handleSuspensions(tick);
         calls.answer(tick);
-        takeGivenBack(tick);
-        relay.receive(tick).ifPresent(outcome -> takeRelayed(tick, outcome));
+        handleReleases(tick);
+        relay.receive(tick).ifPresent(outcome -> handleRelayOutcome(tick, outcome));
         leaving |= !tick.events(MembershipEvent.LeaveRequested.class).isEmpty();
-        if (calling || !backOff.allows(now)) {
+        if (callPending || !backoff.allows(now)) {
             return;
         }
         if (held && leaving) {
-            giveBack(tick);
+            release(tick);
         } else if (held) {
             renew(tick);
         } else if (!leaving && isFollower()) {
-            follow(tick);
+            readOrAcquire(tick);
         }
     }
 
     /**
-     * Returns whether this node holds the lease, such that it should know what its duties need.
+     * Returns whether this node holds the lease and should maintain the state that its duties require.
      *
-     * @return {@code true} if it does. Acting needs a permission beside.
+     * @return {@code true} if this node holds the lease. To act, it also needs a {@link #permission()}.
      */
     public boolean isHeld() {
         return held;
@@ -148,7 +148,7 @@
     /**
      * Returns the fencing number under which the holder may act now.
      *
-     * @return The number, or empty if nothing may be sent.
+     * @return The number, or empty if this node must not act.
      */
     public OptionalLong permission() {
         return held && permission.isValid(now)
@@ -156,22 +156,22 @@
                 : OptionalLong.empty();
     }
 
-    /** Notes that the holder acts on a duty, or that what it sent may be on its way still. */
-    public void noteAction() {
-        permission.noteAction(now);
+    /** Records that the holder acts on a duty, or that an earlier call may still be in transit. */
+    public void recordAction() {
+        permission.recordAction(now);
     }
 
     /**
-     * Returns whether the platform has not answered this node lately, while others reach it.
+     * Returns whether this node holds the lease although the platform did not answer its last direct call.
      *
-     * @return {@code true} if renewals go through other nodes.
+     * @return {@code true} if renewals are relayed through other nodes.
      */
     public boolean isRelaying() {
-        return held && cutOff;
+        return held && platformUnreachable;
     }
 
     /**
-     * Returns this node's name, which calls on duties bear.
+     * Returns this node's name, which is sent with each call.
      *
      * @return The name.
      */
@@ -180,31 +180,32 @@
     }
 
     /**
-     * Takes that the machine was suspended. The permission has gone on to pass meanwhile and another node may hold the
-     * lease: without this, a holder that was suspended for 5 s went on to act for up to 1.5 s beside its successor.
-     * What others hold is not taken to have ended, as the time of day may just have been set.
+     * Handles suspensions of the VM. The permission continues to expire during a suspension, and another node may have
+     * acquired the lease: without this, a holder that was suspended for 5 s continued to act for up to 1.5 s alongside
+     * its successor. The leases of other nodes are not treated as expired, because the gap may result from a change of
+     * the time of day.
      *
      * @param tick The tick.
      */
-    private void takeSuspensions(Tick tick) {
+    private void handleSuspensions(Tick tick) {
         for (Suspended event : tick.events(Suspended.class)) {
-            permission.suspend(event.gap());
-            backOff.succeeded(tick.now(), Duration.ZERO);
+            permission.recordSuspension(event.gap());
+            backoff.succeeded(tick.now(), Duration.ZERO);
             if (held) {
                 tick.decide(Decision.of(
                         "duty-lease",
                         holderName().value(),
-                        "in doubt",
+                        "uncertain",
                         "suspended for " + event.gap().toMillis() + " ms"));
             }
         }
     }
 
     /**
-     * Returns whether this node stands by to take the lease. Each node looks once when it starts, as it may have held
-     * the lease in an earlier life.
+     * Returns whether this node stands by to acquire the lease. Each node reads the lease once after its start, because
+     * an earlier incarnation of it may have held the lease.
      *
-     * @return {@code true} if it ranks among the first, held the lease itself, or has not looked yet.
+     * @return {@code true} if this node ranks among the followers, was the last holder, or has not read the lease yet.
      */
     private boolean isFollower() {
         if (observed.isEmpty() || observed.get().value().holder().equals(holderName())) {
@@ -214,28 +215,28 @@
     }
 
     /**
-     * Reads the lease, or takes it if its holder is past all permissions.
+     * Reads the lease, or acquires it if all permissions of its holder have expired.
      *
      * @param tick The tick.
      */
-    private void follow(Tick tick) {
+    private void readOrAcquire(Tick tick) {
         if (observed.isPresent() && observed.get().isFree(now, holderName(), safetyTime)) {
-            LeaseValue taken = observed.get().value().takenBy(holderName());
-            write(tick, taken, version());
+            LeaseValue acquired = observed.get().value().acquiredBy(holderName());
+            write(tick, acquired, version());
             return;
         }
-        calling = true;
+        callPending = true;
         calls.call(
                 tick,
                 token -> new PlatformEffect.ListKind(
                         token, PlatformPurpose.LEASE, KEY.kind(), Optional.empty(), observed.isPresent()),
                 (later, event) -> {
-                    calling = false;
+                    callPending = false;
                     if (!(event instanceof PlatformEvent.ObjectsListed listed)) {
-                        backOff.failed(later);
+                        backoff.failed(later);
                         return;
                     }
-                    backOff.succeeded(later.now(), FOLLOWER_INTERVAL);
+                    backoff.succeeded(later.now(), FOLLOWER_INTERVAL);
                     Optional<StoredObject> object = listed.objects().stream()
                             .filter(found -> found.key().name().equals(KEY.name()))
                             .findFirst();
@@ -248,10 +249,10 @@
     }
 
     /**
-     * Takes note of the lease as it is.
+     * Records the state of the lease if it is newer than the last observation.
      *
      * @param tick The tick.
-     * @param object The lease's object.
+     * @param object The lease object.
      */
     private void observe(Tick tick, StoredObject object) {
         boolean newer = observed.isEmpty() || observed.get().version() < object.version();
@@ -262,12 +263,13 @@
     }
 
     /**
-     * Takes the lease as it is. A holder that learns of another one in any way holds it no more: one that was suspended
-     * and then told that its successor had given the lease back went on under the successor's fencing number.
+     * Adopts an observed state of the lease. A holder loses the lease as soon as it observes another holder or fencing
+     * number in any way: without this, a holder that was suspended and then received the release by its successor
+     * continued under the successor's fencing number.
      *
      * @param tick The tick.
-     * @param value What the lease says.
-     * @param version The version of its object.
+     * @param value The value of the lease.
+     * @param version The version of the lease object.
      */
     private void adopt(Tick tick, LeaseValue value, long version) {
         boolean own = held
@@ -285,7 +287,7 @@
     }
 
     /**
-     * Returns the version of the lease as it was last seen.
+     * Returns the last observed version of the lease.
      *
      * @return The version.
      */
@@ -294,44 +296,44 @@
     }
 
     /**
-     * Takes or renews the lease.
+     * Writes the lease to acquire or renew it.
      *
      * @param tick The tick.
      * @param value The new value.
-     * @param expected The version that the lease must have, or empty if there must be none.
+     * @param expected The expected version of the lease object, or empty if it must not exist.
      */
     private void write(Tick tick, LeaseValue value, OptionalLong expected) {
-        MonotonicTime sentAt = permission.awake(tick.now());
-        calling = true;
+        MonotonicTime sentAt = permission.withSuspensions(tick.now());
+        callPending = true;
         calls.call(
                 tick,
                 token -> new PlatformEffect.Write(token, PlatformPurpose.LEASE, KEY, expected, value.encode()),
                 (later, event) -> {
-                    calling = false;
-                    cutOff &= event instanceof PlatformEvent.Unavailable;
+                    callPending = false;
+                    platformUnreachable &= event instanceof PlatformEvent.Unavailable;
                     if (event instanceof PlatformEvent.Accepted accepted) {
-                        grant(later, new LeaseObservation(value, accepted.version(), later.now()), sentAt);
+                        handleGrant(later, new LeaseObservation(value, accepted.version(), later.now()), sentAt);
                     } else if (event instanceof PlatformEvent.Conflict conflict) {
-                        contest(later, conflict.current());
+                        handleConflict(later, conflict.current());
                     } else {
-                        takeFailure(later);
+                        handleFailure(later);
                     }
                 });
     }
 
     /**
-     * Renews the lease, through another node where the platform has not answered this one.
+     * Renews the lease, through another node if the platform did not answer this one.
      *
      * @param tick The tick.
      */
     private void renew(Tick tick) {
         LeaseValue renewed = observed.orElseThrow().value().renewed();
-        boolean relays = relayingSince
-                .filter(since -> tick.now().since(since).compareTo(RELAYING_TIME) < 0)
+        boolean relaying = relayingSince
+                .filter(since -> tick.now().since(since).compareTo(RELAYING_DURATION) < 0)
                 .isPresent();
-        if (relays && relay.ask(tick, observed.orElseThrow().version(), renewed)) {
-            calling = true;
-            relayedAt = permission.awake(tick.now());
+        if (relaying && relay.requestRenewal(tick, observed.orElseThrow().version(), renewed)) {
+            callPending = true;
+            relaySentAt = permission.withSuspensions(tick.now());
             return;
         }
         relayingSince = Optional.empty();
@@ -339,51 +341,51 @@
     }
 
     /**
-     * Takes what became of a renewal through another node.
+     * Handles the outcome of a relayed renewal.
      *
      * @param tick The tick.
      * @param outcome The outcome.
      */
-    private void takeRelayed(Tick tick, LeaseRelay.Outcome outcome) {
-        calling = false;
+    private void handleRelayOutcome(Tick tick, LeaseRelay.Outcome outcome) {
+        callPending = false;
         if (!held) {
             return;
         }
         if (outcome.answer().isEmpty()) {
             relayingSince = Optional.empty();
-            backOff.failed(tick);
+            backoff.failed(tick);
             return;
         }
         DutyMessage.LeaseAnswered answer = outcome.answer().get();
         if (answer.granted()) {
-            grant(tick, new LeaseObservation(outcome.value(), answer.version(), tick.now()), relayedAt);
+            handleGrant(tick, new LeaseObservation(outcome.value(), answer.version(), tick.now()), relaySentAt);
         } else {
-            contest(tick, Optional.of(new StoredObject(KEY, answer.version(), answer.value(), false)));
+            handleConflict(tick, Optional.of(new StoredObject(KEY, answer.version(), answer.value(), false)));
         }
     }
 
     /**
-     * Takes note that the platform did not answer a call on the lease.
+     * Handles a write of the lease that the platform did not answer.
      *
      * @param tick The tick.
      */
-    private void takeFailure(Tick tick) {
-        backOff.failed(tick);
-        cutOff = true;
+    private void handleFailure(Tick tick) {
+        backoff.failed(tick);
+        platformUnreachable = true;
         if (held) {
             relayingSince = Optional.of(tick.now());
-            backOff.succeeded(tick.now(), Duration.ZERO);
+            backoff.succeeded(tick.now(), Duration.ZERO);
         }
     }
 
     /**
-     * Takes a granted renewal.
+     * Handles a granted write of the lease.
      *
      * @param tick The tick.
-     * @param granted The lease as it is.
-     * @param sentAt When the renewal was sent, with the time for which the machine was suspended before.
+     * @param granted The current state of the lease.
+     * @param sentAt When the write was sent, including the time for which the VM was suspended before.
      */
-    private void grant(Tick tick, LeaseObservation granted, MonotonicTime sentAt) {
+    private void handleGrant(Tick tick, LeaseObservation granted, MonotonicTime sentAt) {
         observed = Optional.of(granted);
         if (!held) {
             tick.decide(Decision.of(
@@ -394,57 +396,57 @@
         }
         held = true;
         permission.extend(sentAt);
-        backOff.succeeded(tick.now(), RENEWAL_INTERVAL);
+        backoff.succeeded(tick.now(), RENEWAL_INTERVAL);
     }
 
     /**
-     * Takes note that the lease changed meanwhile: by an earlier renewal of this node whose answer was lost, or by
+     * Handles a conflicting change of the lease: by an earlier renewal of this node whose answer was lost, or by
      * another node.
      *
      * @param tick The tick.
-     * @param current The lease's object.
+     * @param current The current lease object.
      */
-    private void contest(Tick tick, Optional<StoredObject> current) {
+    private void handleConflict(Tick tick, Optional<StoredObject> current) {
         Optional<LeaseValue> value = current.flatMap(object -> LeaseValue.decode(object.value()));
-        backOff.succeeded(tick.now(), Duration.ZERO);
+        backoff.succeeded(tick.now(), Duration.ZERO);
         value.ifPresent(found -> adopt(tick, found, current.get().version()));
     }
 
     /**
-     * Gives the lease back, such that a successor need not wait for permissions, nor for longer than the safety time
-     * after the last call. All nodes are stopped in turn at times, and with the whole safety time at each of them no
-     * version was loaded for 8 s.
+     * Releases the lease, so that a successor need not wait until permissions expire, nor longer than the safety time
+     * after the last call. In a rolling restart all nodes stop one after the other, and with the full safety time at
+     * each of them no version was loaded for 8 s.
      *
      * @param tick The tick.
      */
-    private void giveBack(Tick tick) {
+    private void release(Tick tick) {
         permission.end();
         OptionalLong expected = version();
-        Duration quiet = permission.quiet(now).orElseGet(() -> safetyTime.plus(MARGIN));
-        LeaseValue value = observed.orElseThrow().value().givenBack(quiet);
+        Duration idle = permission.sinceLastAction(now).orElseGet(() -> safetyTime.plus(TIMER_MARGIN));
+        LeaseValue value = observed.orElseThrow().value().afterRelease(idle);
         held = false;
         calls.call(
                 tick,
                 token -> new PlatformEffect.Write(token, PlatformPurpose.LEASE, KEY, expected, value.encode()),
                 (later, event) -> {
                     if (event instanceof PlatformEvent.Accepted accepted) {
-                        tellFollowers(later, new DutyMessage.LeaseGivenBack(accepted.version(), value.encode()));
+                        notifyFollowers(later, new DutyMessage.LeaseGivenBack(accepted.version(), value.encode()));
                     }
                     later.decide(Decision.of(
                             "duty-lease",
                             holderName().value(),
                             "given back",
-                            event.getClass().getSimpleName() + ", nothing sent for " + quiet.toMillis() + " ms"));
+                            event.getClass().getSimpleName() + ", nothing sent for " + idle.toMillis() + " ms"));
                 });
     }
 
     /**
-     * Tells those that may take the lease that it was given back, before they read it.
+     * Notifies the followers of the release, so that they need not wait for their next read of the lease.
      *
      * @param tick The tick.
-     * @param message What to tell.
+     * @param message The notification.
      */
-    private void tellFollowers(Tick tick, DutyMessage.LeaseGivenBack message) {
+    private void notifyFollowers(Tick tick, DutyMessage.LeaseGivenBack message) {
         Member self = membership.self();
         ranking.members().stream()
                 .filter(member -> !member.equals(self))
@@ -454,15 +456,15 @@
     }
 
     /**
-     * Takes note of a lease that its holder has given back.
+     * Handles notifications that the holder has released the lease.
      *
      * @param tick The tick.
      */
-    private void takeGivenBack(Tick tick) {
+    private void handleReleases(Tick tick) {
         for (PeerEvent.Received received : tick.events(PeerEvent.Received.class)) {
-            if (received.message() instanceof DutyMessage.LeaseGivenBack given) {
-                observe(tick, new StoredObject(KEY, given.version(), given.value(), false));
-                backOff.succeeded(tick.now(), Duration.ZERO);
+            if (received.message() instanceof DutyMessage.LeaseGivenBack released) {
+                observe(tick, new StoredObject(KEY, released.version(), released.value(), false));
+                backoff.succeeded(tick.now(), Duration.ZERO);
             }
         }
     }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/duty/DutyMessage.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/duty/DutyMessage.java
@@ -3,33 +3,33 @@
 import io.yuccaswitch.core.peer.PeerMessage;
 import io.yuccaswitch.core.value.Bytes;
 
-/** What nodes tell each other about the lease of the duties. */
+/** Messages between nodes about the duty lease. */
 public sealed interface DutyMessage extends PeerMessage {
 
     /**
-     * Asks another node to renew the lease of the sender at the platform.
+     * Requests another node to renew the sender's lease at the platform.
      *
-     * @param ticket The sender's ticket, which the answer bears.
-     * @param expectedVersion The version that the lease's object must have.
-     * @param value The lease's new value.
+     * @param ticket The sender's identifier of this request, which the answer repeats.
+     * @param expectedVersion The expected version of the lease object.
+     * @param value The new value of the lease.
      */
     record RenewLease(long ticket, long expectedVersion, Bytes value) implements DutyMessage {}
 
     /**
-     * Says what the platform answered to a renewal.
+     * Reports the platform's answer to a renewal.
      *
      * @param ticket The ticket of the request.
      * @param granted Whether the renewal took effect.
-     * @param version The version of the lease's object.
-     * @param value The lease as it is.
+     * @param version The current version of the lease object.
+     * @param value The current value of the lease.
      */
     record LeaseAnswered(long ticket, boolean granted, long version, Bytes value) implements DutyMessage {}
 
     /**
-     * Says that the sender has given the lease back.
+     * Announces that the sender has released the lease.
      *
-     * @param version The version of the lease's object.
-     * @param value The lease as it is.
+     * @param version The current version of the lease object.
+     * @param value The current value of the lease.
      */
     record LeaseGivenBack(long version, Bytes value) implements DutyMessage {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/duty/DutyOutcome.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/duty/DutyOutcome.java
@@ -1,13 +1,13 @@
 package io.yuccaswitch.core.duty;
 
-/** What became of a call on a duty. */
+/** The outcome of a call that carries out a duty. */
 public enum DutyOutcome {
-    /** The call took effect, now or before. */
+    /** The call took effect, or an earlier one already had the same effect. */
     DONE,
-    /** The call can't take effect as it is; sending it again does not help. */
+    /** The call was rejected; a retry of the same call can't succeed. */
     REJECTED,
-    /** What the call asks for is not to be had at the moment. */
+    /** The requested resource is currently unavailable. */
     EXHAUSTED,
-    /** Nobody knows whether the call took effect, or it is to be sent later. */
+    /** It is unknown whether the call took effect, or the call has to be retried later. */
     UNANSWERED
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/duty/DutyPermission.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/duty/DutyPermission.java
@@ -5,85 +5,85 @@
 import java.util.Optional;
 
 /**
- * Until when the holder of the lease may act, and when it last did. Permissions go on to pass while the machine is
- * suspended.
+ * The permission of the lease holder to act, and the time of its last action. Permissions continue to expire while the
+ * VM is suspended.
  */
 final class DutyPermission {
 
-    /** How long the holder may act after the sending of a renewal: some renewals may fail, few do. */
+    /** How long the holder may act after a granted renewal was sent; tolerates occasional failed renewals. */
     static final Duration VALIDITY = Duration.ofMillis(1500);
 
-    /** A time that has always passed. */
-    private static final MonotonicTime NEVER = new MonotonicTime(Long.MIN_VALUE / 2);
+    /** A time in the past, for a permission that is not valid. */
+    private static final MonotonicTime EXPIRED = new MonotonicTime(Long.MIN_VALUE / 2);
 
-    /** Until when the holder may act. */
-    private MonotonicTime until = NEVER;
+    /** When the permission expires, including the time for which the VM was suspended. */
+    private MonotonicTime expiresAt = EXPIRED;
 
-    /** For how long the machine was suspended in all. */
-    private Duration suspended = Duration.ZERO;
+    /** The total time for which the VM was suspended. */
+    private Duration totalSuspension = Duration.ZERO;
 
-    /** When this node last acted, if it ever did. */
+    /** When this node last acted, or empty if it never did. */
     private Optional<MonotonicTime> actedAt = Optional.empty();
 
     /**
-     * Takes that the machine was suspended.
+     * Records a suspension of the VM.
      *
-     * @param gap For how long.
+     * @param gap The duration of the suspension.
      */
-    void suspend(Duration gap) {
-        suspended = suspended.plus(gap);
+    void recordSuspension(Duration gap) {
+        totalSuspension = totalSuspension.plus(gap);
     }
 
     /**
-     * Returns a time with that for which the machine was suspended.
+     * Adds the total time for which the VM was suspended to a monotonic time.
      *
      * @param time The monotonic time.
-     * @return The time by which permissions pass.
+     * @return The time on the scale by which permissions expire.
      */
-    MonotonicTime awake(MonotonicTime time) {
-        return time.plus(suspended);
+    MonotonicTime withSuspensions(MonotonicTime time) {
+        return time.plus(totalSuspension);
     }
 
     /**
-     * Extends the permission after a renewal that the platform granted.
+     * Extends the permission after a granted renewal.
      *
-     * @param sentAt When the renewal was sent, with the time for which the machine was suspended before.
+     * @param sentAt When the renewal was sent, including the time for which the VM was suspended before.
      */
     void extend(MonotonicTime sentAt) {
-        until = sentAt.plus(VALIDITY);
+        expiresAt = sentAt.plus(VALIDITY);
     }
 
     /** Ends the permission. */
     void end() {
-        until = NEVER;
+        expiresAt = EXPIRED;
     }
 
     /**
-     * Tells whether the holder may act.
+     * Returns whether the holder may act.
      *
-     * @param now The present.
-     * @return {@code true} if it may.
+     * @param now The current time.
+     * @return {@code true} if the permission has not expired.
      */
     boolean isValid(MonotonicTime now) {
-        return awake(now).isBefore(until);
+        return withSuspensions(now).isBefore(expiresAt);
     }
 
     /**
-     * Notes that the holder acts, or that what it sent may be on its way still.
+     * Records that the holder acts, or that an earlier call may still be in transit.
      *
-     * @param now The present.
+     * @param now The current time.
      */
-    void noteAction(MonotonicTime now) {
+    void recordAction(MonotonicTime now) {
         actedAt = Optional.of(now);
     }
 
     /**
-     * Returns for how long this node has not acted.
+     * Returns the time since this node last acted.
      *
-     * @param now The present.
-     * @return The time, or empty if it never did.
+     * @param now The current time.
+     * @return The time, or empty if this node never acted.
      */
-    Optional<Duration> quiet(MonotonicTime now) {
+    Optional<Duration> sinceLastAction(MonotonicTime now) {
         return actedAt.map(now::since);
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/duty/LeaseObservation.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/duty/LeaseObservation.java
@@ -5,28 +5,28 @@
 import java.time.Duration;
 
 /**
- * The lease as it was seen.
+ * An observation of the lease.
  *
- * @param value What it said.
- * @param version The version of its object.
- * @param at When this version was first seen.
+ * @param value The value of the lease.
+ * @param version The version of the lease object.
+ * @param observedAt When this version was first observed.
  */
-record LeaseObservation(LeaseValue value, long version, MonotonicTime at) {
+record LeaseObservation(LeaseValue value, long version, MonotonicTime observedAt) {
 
     /**
-     * Returns whether the lease may be taken.
+     * Returns whether a node may acquire the lease.
      *
-     * @param now The present.
-     * @param self The node that would take it.
-     * @param safetyTime The least time between calls of two holders.
-     * @return {@code true} if its holder is past all permissions, or is this VM's earlier process.
+     * @param now The current time.
+     * @param self The node that would acquire it.
+     * @param safetyTime The minimum time between calls of two holders.
+     * @return {@code true} if all permissions of the holder have expired, or it is an earlier process of this VM.
      */
     boolean isFree(MonotonicTime now, NodeName self, Duration safetyTime) {
         if (value.holder().equals(self)) {
             return true;
         }
-        Duration lastPermission = value.released() ? Duration.ZERO : DutyPermission.VALIDITY;
-        Duration quiet = now.since(at).plusMillis(value.quietMillis());
-        return quiet.compareTo(lastPermission.plus(safetyTime).plus(DutyLease.MARGIN)) >= 0;
+        Duration permissionValidity = value.released() ? Duration.ZERO : DutyPermission.VALIDITY;
+        Duration idle = now.since(observedAt).plusMillis(value.idleMillis());
+        return idle.compareTo(permissionValidity.plus(safetyTime).plus(DutyLease.TIMER_MARGIN)) >= 0;
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/duty/LeaseRelay.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/duty/LeaseRelay.java
@@ -12,14 +12,14 @@
 import java.util.Optional;
 
 /**
- * Asks other nodes to renew this node's lease while the platform does not answer it. Without it a holder that is cut
- * off from the platform gives no orders, and its successor waits out the safety time: 5.3 s without loads, in which the
- * next steps find few engines with their version.
+ * Requests renewals of this node's lease through other nodes while the platform does not answer this node. Without
+ * relaying, a holder that is partitioned from the platform can't give orders, and its successor has to wait for the
+ * safety time: no engine loads a version for 5.3 s, and the next steps find few engines with their version.
  */
 final class LeaseRelay {
 
-    /** How long another node may take: the time of a call to the platform, and some for the way. */
-    private static final Duration ANSWER_TIME = Duration.ofMillis(400);
+    /** The timeout of a relayed renewal: a call to the platform plus the round trip between the nodes. */
+    private static final Duration ANSWER_TIMEOUT = Duration.ofMillis(400);
 
     /** The nodes of the site. */
     private final MembershipView membership;
@@ -27,7 +27,7 @@
     /** The request in progress, if any. */
     private Optional<Request> request = Optional.empty();
 
-    /** The ticket that was handed out last. */
+    /** The ticket of the last request. */
     private long lastTicket;
 
     /**
@@ -40,14 +40,14 @@
     }
 
     /**
-     * Asks another node.
+     * Sends a renewal to another node.
      *
      * @param tick The tick.
-     * @param expectedVersion The version that the lease's object must have.
-     * @param value The lease's new value.
-     * @return Whether there is one to ask.
+     * @param expectedVersion The expected version of the lease object.
+     * @param value The new value of the lease.
+     * @return {@code true} if the request was sent, {@code false} if no other node is available.
      */
-    boolean ask(Tick tick, long expectedVersion, LeaseValue value) {
+    boolean requestRenewal(Tick tick, long expectedVersion, LeaseValue value) {
         Optional<NodeName> other = RandomPeer.choose(tick, membership);
         if (other.isEmpty()) {
             return false;
@@ -60,45 +60,45 @@
     }
 
     /**
-     * Returns what has become of the request in progress.
+     * Returns the outcome of the request in progress.
      *
      * @param tick The tick.
-     * @return The outcome, or empty while it is awaited or there is none.
+     * @return The outcome, or empty if the request is still pending or there is none.
      */
     Optional<Outcome> receive(Tick tick) {
         if (request.isEmpty()) {
             return Optional.empty();
         }
-        Request asked = request.get();
+        Request pending = request.get();
         for (PeerEvent.Received received : tick.events(PeerEvent.Received.class)) {
             if (received.message() instanceof DutyMessage.LeaseAnswered answered
-                    && answered.ticket() == asked.ticket()) {
+                    && answered.ticket() == pending.ticket()) {
                 request = Optional.empty();
-                return Optional.of(new Outcome(asked.value(), asked.sentAt(), Optional.of(answered)));
+                return Optional.of(new Outcome(pending.value(), pending.sentAt(), Optional.of(answered)));
             }
         }
-        if (tick.now().since(asked.sentAt()).compareTo(ANSWER_TIME) < 0) {
+        if (tick.now().since(pending.sentAt()).compareTo(ANSWER_TIMEOUT) < 0) {
             return Optional.empty();
         }
         request = Optional.empty();
-        return Optional.of(new Outcome(asked.value(), asked.sentAt(), Optional.empty()));
+        return Optional.of(new Outcome(pending.value(), pending.sentAt(), Optional.empty()));
     }
 
     /**
      * A request to another node.
      *
      * @param ticket The ticket.
-     * @param value The lease's new value.
-     * @param sentAt When it was sent.
+     * @param value The new value of the lease.
+     * @param sentAt When the request was sent.
      */
     private record Request(long ticket, LeaseValue value, MonotonicTime sentAt) {}
 
     /**
-     * What became of a request.
+     * The outcome of a request.
      *
-     * @param value The lease's new value.
-     * @param sentAt When the request was sent, before which nothing of it reached the platform.
-     * @param answer What the platform answered, or empty if nothing is known.
+     * @param value The new value of the lease.
+     * @param sentAt When the request was sent. It can't have reached the platform earlier.
+     * @param answer The platform's answer, or empty if the outcome is unknown.
      */
     record Outcome(LeaseValue value, MonotonicTime sentAt, Optional<DutyMessage.LeaseAnswered> answer) {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/duty/LeaseRelaySystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/duty/LeaseRelaySystem.java
@@ -15,18 +15,18 @@
 import java.util.OptionalLong;
 
 /**
- * Renews the lease for its holder while that is cut off from the platform. The platform decides on the renewal by the
- * lease's version, whoever sends it, so there is one holder as before.
+ * Renews the lease on behalf of its holder while the holder is partitioned from the platform. The platform accepts a
+ * renewal by the version of the lease, whichever node sends it, so there is still only one holder.
  */
 public final class LeaseRelaySystem implements DecisionSystem {
 
-    /** The calls to the platform that wait for their answers. */
+    /** The pending calls to the platform. */
     private final PlatformCalls calls;
 
     /**
-     * Creates a system without requests.
+     * Creates a system without pending requests.
      *
-     * @param tokens Hands out the tokens of calls.
+     * @param tokens Allocates the tokens of calls.
      */
     public LeaseRelaySystem(PlatformTokens tokens) {
         calls = new PlatformCalls(tokens);
@@ -46,8 +46,8 @@
      * Renews the lease of another node.
      *
      * @param tick The tick.
-     * @param sender The node.
-     * @param renew What it asks for.
+     * @param sender The node that holds the lease.
+     * @param renew The request.
      */
     private void renew(Tick tick, NodeName sender, DutyMessage.RenewLease renew) {
         calls.call(
@@ -71,9 +71,9 @@
     /**
      * Builds the answer to a renewal.
      *
-     * @param renew What was asked for.
+     * @param renew The request.
      * @param event The platform's answer.
-     * @return The answer, or empty if the platform said nothing of the lease.
+     * @return The answer, or empty if the platform's answer doesn't contain the lease.
      */
     private static Optional<DutyMessage.LeaseAnswered> answer(DutyMessage.RenewLease renew, PlatformEvent event) {
         if (event instanceof PlatformEvent.Accepted accepted) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/duty/LeaseValue.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/duty/LeaseValue.java
@@ -6,26 +6,26 @@
 import java.util.Optional;
 
 /**
- * What the lease's object says.
+ * The value of the lease object.
  *
- * @param holder The node that holds the lease, or held it last.
- * @param fence The fencing number, which grows with each change of holder.
- * @param released Whether the holder gave the lease back.
- * @param renewal Counts the renewals, such that each one changes the object.
- * @param quietMillis For how long, in milliseconds, no order had been given when the lease was given back.
+ * @param holder The current or last holder of the lease.
+ * @param fence The fencing number, which increases with each change of holder.
+ * @param released Whether the holder has released the lease.
+ * @param renewal The number of renewals, which makes each one change the object.
+ * @param idleMillis For how long, in milliseconds, the holder had not acted when it released the lease.
  */
-record LeaseValue(NodeName holder, long fence, boolean released, long renewal, long quietMillis) {
+record LeaseValue(NodeName holder, long fence, boolean released, long renewal, long idleMillis) {
 
-    /** What stands between the parts of the text. */
+    /** The separator of the fields in the encoded text. */
     private static final String SEPARATOR = " ";
 
-    /** The number of parts of the text. Earlier releases wrote the first four of them. */
-    private static final int PARTS = 5;
+    /** The number of fields in the encoded text. Earlier releases wrote only the first four. */
+    private static final int FIELD_COUNT = 5;
 
     /**
-     * Writes the value.
+     * Encodes the value.
      *
-     * @return The bytes.
+     * @return The encoded value.
      */
     Bytes encode() {
         return Bytes.ofUtf8(String.join(
@@ -34,27 +34,27 @@
                 Long.toString(fence),
                 Boolean.toString(released),
                 Long.toString(renewal),
-                Long.toString(quietMillis)));
+                Long.toString(idleMillis)));
     }
 
     /**
-     * Reads a value.
+     * Decodes a value.
      *
-     * @param value The bytes.
-     * @return The value, or empty if it can't be read.
+     * @param value The encoded value.
+     * @return The value, or empty if it is malformed.
      */
     static Optional<LeaseValue> decode(Bytes value) {
-        String[] parts = value.toUtf8().split(SEPARATOR, -1);
-        if (parts.length != PARTS && parts.length != PARTS - 1) {
+        String[] fields = value.toUtf8().split(SEPARATOR, -1);
+        if (fields.length != FIELD_COUNT && fields.length != FIELD_COUNT - 1) {
             return Optional.empty();
         }
         try {
             return Optional.of(new LeaseValue(
-                    new NodeName(parts[0]),
-                    Long.parseLong(parts[1]),
-                    Boolean.parseBoolean(parts[2]),
-                    Long.parseLong(parts[3]),
-                    parts.length == PARTS ? Long.parseLong(parts[4]) : 0));
+                    new NodeName(fields[0]),
+                    Long.parseLong(fields[1]),
+                    Boolean.parseBoolean(fields[2]),
+                    Long.parseLong(fields[3]),
+                    fields.length == FIELD_COUNT ? Long.parseLong(fields[4]) : 0));
         } catch (IllegalArgumentException _exception) {
             return Optional.empty();
         }
@@ -70,22 +70,22 @@
     }
 
     /**
-     * Returns the value after the holder gave the lease back.
+     * Returns the value after the holder released the lease.
      *
-     * @param quiet For how long no order has been given.
+     * @param idle For how long the holder has not acted.
      * @return The value.
      */
-    LeaseValue givenBack(Duration quiet) {
-        return new LeaseValue(holder, fence, true, renewal + 1, quiet.toMillis());
+    LeaseValue afterRelease(Duration idle) {
+        return new LeaseValue(holder, fence, true, renewal + 1, idle.toMillis());
     }
 
     /**
-     * Returns the value with which another node takes the lease.
+     * Returns the value with which a node acquires the lease.
      *
-     * @param node The node.
+     * @param node The new holder.
      * @return The value.
      */
-    LeaseValue takenBy(NodeName node) {
+    LeaseValue acquiredBy(NodeName node) {
         return new LeaseValue(node, fence + 1, false, 0, 0);
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/duty/package-info.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/duty/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The duties that one node has at a time: orders to endpoints, and calls to the cloud. One lease with a fencing number
- * serves them all, so that no duty has a mechanism, calls to the platform, or rules of succession of its own.
+ * The duties that one node at a time performs: orders to endpoints, and calls to the cloud. All of them share one lease
+ * with a fencing number, so that no duty needs its own mechanism, platform calls or succession rules.
  */
 package io.yuccaswitch.core.duty;
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/VersionOrderSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/VersionOrderSystem.java
@@ -315,7 +315,7 @@
                         !configuration.demandsSingleVersion(row.engine().pool()))
                 .isPresent();
         rows.put(row.engine().name(), row.withStage(EngineOrderRow.Stage.ORDERING, tick.now(), ORDER_TIME));
-        lease.noteAction();
+        lease.recordAction();
         tick.emit(new OrderEffect.LoadVersion(
                 row.engine(), row.model(), row.version(), retains, lease.holderName(), fence.getAsLong(), sequence));
         tick.decide(Decision.of(
@@ -332,7 +332,7 @@
      * @param ordered The answer.
      */
     private void takeAnswer(Tick tick, OrderEvent.Ordered ordered) {
-        lease.noteAction();
+        lease.recordAction();
         Optional<EngineOrderRow> row =
                 rows.find(ordered.engine()).filter(found -> found.stage() == EngineOrderRow.Stage.ORDERING);
         if (row.isEmpty()) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/scaling/ScalingSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/scaling/ScalingSystem.java
@@ -185,7 +185,7 @@
         if (fence.isEmpty()) {
             return;
         }
-        lease.noteAction();
+        lease.recordAction();
         tick.emit(new ScalingEffect.Order(place.pool(), place.zone(), wanted, lease.holderName(), fence.getAsLong()));
         tick.decide(Decision.of(
                 "scaling", place.pool() + " " + place.zone(), Integer.toString(wanted), "working " + working));
@@ -198,7 +198,7 @@
      * @param ordered What became of it.
      */
     private void takeOutcome(Tick tick, ScalingEvent.Ordered ordered) {
-        lease.noteAction();
+        lease.recordAction();
         Place place = new Place(ordered.pool(), ordered.zone());
         tick.decide(Decision.of(
                 "scaling-answer",
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/UsageReportSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/UsageReportSystem.java
@@ -331,7 +331,7 @@
             return;
         }
         rows.put(row.window(), row.withStage(WindowRow.Stage.SENDING, tick.now().plus(SENDING_TIME)));
-        lease.noteAction();
+        lease.recordAction();
         tick.emit(new UsageEffect.Report(
                 row.window(), row.report().orElseThrow().counts(), lease.holderName(), fence.getAsLong()));
     }
@@ -343,7 +343,7 @@
      * @param reported What became of it.
      */
     private void takeOutcome(Tick tick, UsageEvent.Reported reported) {
-        lease.noteAction();
+        lease.recordAction();
         Optional<WindowRow> row =
                 rows.find(reported.window()).filter(found -> found.stage() == WindowRow.Stage.SENDING);
         if (row.isEmpty()) {
