--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/StoredReport.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/StoredReport.java
@@ -8,30 +8,30 @@
 import java.util.stream.Collectors;
 
 /**
- * The report of a window as the platform keeps it. It is written before the first send and not changed after, so that
- * every send by whichever node says the same.
+ * The report of a window as the platform stores it. It is written before the report is first sent, and its counts don't
+ * change afterwards, so that every node sends the same counts.
  *
  * @param window The number of the window.
- * @param holder The node that made it, or that sent it if it was sent.
+ * @param holder The node that created the report, or that sent it if it was sent.
  * @param fence The fencing number of that node.
- * @param sent Whether the cloud has taken it.
- * @param counts The requests by the names of their accounts.
+ * @param sent Whether the cloud has accepted the report.
+ * @param counts The number of requests by account name.
  */
 record StoredReport(long window, NodeName holder, long fence, boolean sent, Map<String, Long> counts) {
 
-    /** What stands between the parts of the text. */
+    /** The separator of the fields in the encoded text. */
     private static final String SEPARATOR = " ";
 
-    /** The number of parts of the text. */
-    private static final int PARTS = 5;
+    /** The number of fields in the encoded text. */
+    private static final int FIELD_COUNT = 5;
 
-    /** Orders the counts by account. */
+    /** Sorts the counts by account name. */
     StoredReport {
         counts = new TreeMap<>(counts);
     }
 
     /**
-     * Returns this report after it was sent.
+     * Returns this report, marked as sent.
      *
      * @param node The node that sent it.
      * @param number The fencing number of that node.
@@ -42,12 +42,12 @@
     }
 
     /**
-     * Writes the report.
+     * Encodes the report.
      *
-     * @return The text.
+     * @return The encoded report.
      */
     Bytes encode() {
-        String listed = counts.entrySet().stream()
+        String joined = counts.entrySet().stream()
                 .map(count -> count.getKey() + "=" + count.getValue())
                 .collect(Collectors.joining(","));
         return Bytes.ofUtf8(String.join(
@@ -56,31 +56,32 @@
                 holder.value(),
                 Long.toString(fence),
                 Boolean.toString(sent),
-                listed));
+                joined));
     }
 
     /**
-     * Reads a report.
+     * Decodes a report.
      *
-     * @param value The text.
-     * @return The report, or empty if the text is none.
+     * @param value The encoded report.
+     * @return The report, or empty if it is malformed.
      */
     static Optional<StoredReport> decode(Bytes value) {
-        String[] parts = value.toUtf8().split(SEPARATOR, -1);
-        if (parts.length != PARTS) {
+        String[] fields = value.toUtf8().split(SEPARATOR, -1);
+        if (fields.length != FIELD_COUNT) {
             return Optional.empty();
         }
         try {
             Map<String, Long> counts = new TreeMap<>();
-            for (String count : parts[PARTS - 1].isEmpty() ? new String[0] : parts[PARTS - 1].split(",", -1)) {
-                int mark = count.indexOf('=');
-                counts.put(count.substring(0, mark), Long.parseLong(count.substring(mark + 1)));
+            for (String count :
+                    fields[FIELD_COUNT - 1].isEmpty() ? new String[0] : fields[FIELD_COUNT - 1].split(",", -1)) {
+                int separator = count.indexOf('=');
+                counts.put(count.substring(0, separator), Long.parseLong(count.substring(separator + 1)));
             }
             return Optional.of(new StoredReport(
-                    Long.parseLong(parts[0]),
-                    new NodeName(parts[1]),
-                    Long.parseLong(parts[2]),
-                    Boolean.parseBoolean(parts[3]),
+                    Long.parseLong(fields[0]),
+                    new NodeName(fields[1]),
+                    Long.parseLong(fields[2]),
+                    Boolean.parseBoolean(fields[3]),
                     counts));
         } catch (IllegalArgumentException | IndexOutOfBoundsException _exception) {
             return Optional.empty();
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/UsageCountSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/UsageCountSystem.java
@@ -11,13 +11,13 @@
 import java.util.function.LongSupplier;
 
 /**
- * Takes what this node counts, and has two others keep it: a node that is killed takes at most what it counted since it
- * last told them, about a second, out of a report.
+ * Records the counts of this node and replicates them to two other nodes. If a node is killed, a report lacks at most
+ * the requests that it counted since its last replication, about one second.
  */
 public final class UsageCountSystem implements DecisionSystem {
 
-    /** The number of nodes that keep the counts of another one. Of two, one outlives most losses that come together. */
-    private static final int KEEPERS = 2;
+    /** The number of nodes that keep the counts of a node. One of two survives most failures that occur together. */
+    private static final int KEEPER_COUNT = 2;
 
     /** The nodes of the site. */
     private final MembershipView membership;
@@ -25,22 +25,22 @@
     /** The nodes that keep the counts of this one. */
     private final MemberRanking keepers;
 
-    /** The counts that this node knows. */
+    /** The counts that this node has. */
     private final UsageCounts counts;
 
     /** The windows. */
     private final UsageWindows windows;
 
-    /** Tells the time of day. */
+    /** The clock, in milliseconds since the epoch. */
     private final LongSupplier timeOfDay;
 
     /**
      * Creates a system that has counted nothing.
      *
      * @param membership The nodes of the site.
-     * @param counts The counts that this node knows.
+     * @param counts The counts that this node has.
      * @param windows The windows.
-     * @param timeOfDay Tells the time of day, in milliseconds since the epoch.
+     * @param timeOfDay The clock, in milliseconds since the epoch.
      */
     public UsageCountSystem(
             MembershipView membership, UsageCounts counts, UsageWindows windows, LongSupplier timeOfDay) {
@@ -53,33 +53,33 @@
 
     @Override
     public void run(Tick tick) {
-        tick.events(UsageEvent.Counted.class).forEach(counted -> take(tick, counted));
+        tick.events(UsageEvent.Counted.class).forEach(counted -> recordCounts(tick, counted));
         for (PeerEvent.Received received : tick.events(PeerEvent.Received.class)) {
-            if (received.message() instanceof UsageMessage.Grown grown) {
-                grown.rows().forEach(counts::take);
+            if (received.message() instanceof UsageMessage.Grown increased) {
+                increased.rows().forEach(counts::merge);
             } else if (received.message() instanceof UsageMessage.Ask ask) {
                 tick.emit(new PeerEffect.Send(
                         received.sender().name(), new UsageMessage.Known(ask.window(), counts.rows(ask.window()))));
             }
         }
-        counts.forgetBefore(windows.oldestKept(timeOfDay.getAsLong()));
+        counts.evictBefore(windows.oldestKept(timeOfDay.getAsLong()));
     }
 
     /**
-     * Takes counts of this node, and hands them on.
+     * Records counts of this node and replicates them to its keepers.
      *
      * @param tick The tick.
-     * @param counted The counts that have grown.
+     * @param counted The counts that have increased.
      */
-    private void take(Tick tick, UsageEvent.Counted counted) {
+    private void recordCounts(Tick tick, UsageEvent.Counted counted) {
         List<UsageRow> rows = new ArrayList<>();
         counted.counts()
-                .forEach((window, grown) ->
-                        rows.add(new UsageRow(membership.self().identity(), window, grown)));
-        rows.forEach(counts::take);
+                .forEach((window, increased) ->
+                        rows.add(new UsageRow(membership.self().identity(), window, increased)));
+        rows.forEach(counts::merge);
         keepers.members().stream()
                 .filter(member -> !member.equals(membership.self()))
-                .limit(KEEPERS)
+                .limit(KEEPER_COUNT)
                 .forEach(member ->
                         tick.emit(new PeerEffect.Send(member.identity().name(), new UsageMessage.Grown(rows))));
     }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/UsageCounts.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/UsageCounts.java
@@ -7,25 +7,25 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The counts that a node knows, its own and those that it keeps for others. */
+/** The counts of a node: its own and those that it keeps for other nodes. */
 public final class UsageCounts {
 
-    /** The counts by account, by the node that counted, by window. */
+    /** The counts by window, counting node and account. */
     private final TreeMap<Long, Map<NodeIdentity, Map<String, Long>>> windows = new TreeMap<>();
 
     /**
-     * Takes counts, of which the larger ones hold.
+     * Merges counts into this node's state. The larger value of each count wins.
      *
      * @param row The counts of one node in one window.
      */
-    public void take(UsageRow row) {
-        Map<String, Long> known = windows.computeIfAbsent(row.window(), _window -> new HashMap<>())
+    public void merge(UsageRow row) {
+        Map<String, Long> merged = windows.computeIfAbsent(row.window(), _window -> new HashMap<>())
                 .computeIfAbsent(row.origin(), _origin -> new HashMap<>());
-        row.counts().forEach((account, count) -> known.merge(account, count, Math::max));
+        row.counts().forEach((account, count) -> merged.merge(account, count, Math::max));
     }
 
     /**
-     * Returns what is known of a window.
+     * Returns the counts of a window.
      *
      * @param window The number of the window.
      * @return The counts of each node that counted.
@@ -41,7 +41,7 @@
      * Returns the sums of a window over all nodes.
      *
      * @param window The number of the window.
-     * @return The requests by account, in the order of the accounts.
+     * @return The number of requests by account name, sorted by that name.
      */
     public Map<String, Long> sums(long window) {
         Map<String, Long> sums = new TreeMap<>();
@@ -50,11 +50,11 @@
     }
 
     /**
-     * Forgets windows that no report is made of any more.
+     * Evicts the windows that are no longer reported.
      *
-     * @param oldest The oldest window to keep.
+     * @param oldest The oldest window to retain.
      */
-    public void forgetBefore(long oldest) {
+    public void evictBefore(long oldest) {
         windows.headMap(oldest).clear();
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/UsageEvent.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/UsageEvent.java
@@ -4,13 +4,13 @@
 import io.yuccaswitch.core.duty.DutyOutcome;
 import java.util.Map;
 
-/** What the shell tells of usage. */
+/** Events about usage that the shell reports. */
 public sealed interface UsageEvent extends Event {
 
     /**
      * Requests have begun to run here.
      *
-     * @param counts The counts that have grown, in full, by window and account.
+     * @param counts The full values of the counts that have increased, by window and account.
      */
     record Counted(Map<Long, Map<String, Long>> counts) implements UsageEvent {}
 
@@ -18,7 +18,7 @@
      * A report was sent.
      *
      * @param window The number of the window.
-     * @param outcome What became of it.
+     * @param outcome The outcome.
      */
     record Reported(long window, DutyOutcome outcome) implements UsageEvent {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/UsageMessage.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/UsageMessage.java
@@ -3,20 +3,20 @@
 import io.yuccaswitch.core.peer.PeerMessage;
 import java.util.List;
 
-/** What nodes tell each other about usage. */
+/** Messages between nodes about usage. */
 public sealed interface UsageMessage extends PeerMessage {
 
     /**
-     * Hands counts to nodes that keep them beside the one that counted.
+     * Replicates counts to the keepers of the node that counted.
      *
-     * @param rows The counts that have grown.
+     * @param rows The counts that have increased.
      */
     record Grown(List<UsageRow> rows) implements UsageMessage {
 
         /**
          * Copies the rows.
          *
-         * @param rows The counts that have grown.
+         * @param rows The counts that have increased.
          */
         public Grown {
             rows = List.copyOf(rows);
@@ -24,17 +24,17 @@
     }
 
     /**
-     * Asks for all that a node knows of a window.
+     * Requests all counts that a node has for a window.
      *
      * @param window The number of the window.
      */
     record Ask(long window) implements UsageMessage {}
 
     /**
-     * Says all that a node knows of a window.
+     * Returns all counts that a node has for a window.
      *
      * @param window The number of the window.
-     * @param rows What it knows, its own counts among them.
+     * @param rows The counts, including the node's own.
      */
     record Known(long window, List<UsageRow> rows) implements UsageMessage {
 
@@ -42,7 +42,7 @@
          * Copies the rows.
          *
          * @param window The number of the window.
-         * @param rows What it knows.
+         * @param rows The counts.
          */
         public Known {
             rows = List.copyOf(rows);
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/UsageReportSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/UsageReportSystem.java
@@ -27,84 +27,84 @@
 import java.util.stream.Collectors;
 
 /**
- * Reports each window once it is over, at the node that has the duties: asks all nodes for what they know of it, has
- * the platform keep the sums, and sends what the platform keeps until the cloud has taken it. As the platform keeps the
- * first report that is written and refuses another, two nodes that both believe to have the duties still send the same.
+ * Reports each window after its end, at the node that holds the duties: requests the counts of all nodes, stores their
+ * sums at the platform, and sends the stored report until the cloud has accepted it. The platform accepts only the
+ * first report of a window, so two nodes that both believe they hold the duties still send the same report.
  */
 public final class UsageReportSystem implements DecisionSystem {
 
-    /** The kind of the objects that keep reports. */
+    /** The kind of the objects that store reports. */
     static final String KIND = "usage-report";
 
-    /** The number of objects that keep reports in turn, so that they need not be deleted: an hour of short windows. */
-    private static final int OBJECTS = 720;
+    /** The number of objects that are reused for reports in turn and so never deleted: one hour of 5 s windows. */
+    private static final int REPORT_OBJECTS = 720;
 
     /**
-     * How long after the end of a window the nodes are asked. Requests that began in it have mostly been answered by
-     * then, and what they told is counted; reports are of use for some seconds more.
+     * The delay between the end of a window and the request for its counts. By then most requests that began in the
+     * window have been answered and counted, and the report is useful for a few more seconds.
      */
     private static final Duration COLLECTION_DELAY = Duration.ofMillis(2500);
 
-    /** How long the nodes may take to say what they know. */
-    private static final Duration ANSWER_TIME = Duration.ofMillis(800);
+    /** The timeout for the counts of the other nodes. */
+    private static final Duration ANSWER_TIMEOUT = Duration.ofMillis(800);
 
-    /** How long the cloud may take, beyond the time that the shell waits for it. */
-    private static final Duration SENDING_TIME = Duration.ofSeconds(4);
+    /** The timeout of a report to the cloud, which exceeds the time that the shell waits for the answer. */
+    private static final Duration SEND_TIMEOUT = Duration.ofSeconds(4);
 
-    /** The number of past windows of which a new holder still makes reports: those that may still come in time. */
-    private static final int LOOK_BACK = 4;
+    /** The number of past windows that a new holder still reports: those whose reports may still arrive in time. */
+    private static final int REPORTED_PAST_WINDOWS = 4;
 
-    /** The first wait after a failed call. */
-    private static final Duration FIRST_BACK_OFF = Duration.ofMillis(200);
+    /** The initial backoff after a failed call. */
+    private static final Duration INITIAL_BACKOFF = Duration.ofMillis(200);
 
-    /** The longest wait after failed calls. */
-    private static final Duration LONGEST_BACK_OFF = Duration.ofSeconds(1);
+    /** The maximum backoff after failed calls. */
+    private static final Duration MAXIMUM_BACKOFF = Duration.ofSeconds(1);
 
     /** The nodes of the site. */
     private final MembershipView membership;
 
-    /** The lease of the node that has the duties. */
+    /** The lease of the node that holds the duties. */
     private final DutyLease lease;
 
-    /** The counts that this node knows. */
+    /** The counts that this node has. */
     private final UsageCounts counts;
 
     /** The windows. */
     private final UsageWindows windows;
 
-    /** Tells the time of day. */
+    /** The clock, in milliseconds since the epoch. */
     private final LongSupplier timeOfDay;
 
-    /** The calls to the platform that wait for their answers. */
+    /** The pending calls to the platform. */
     private final PlatformCalls calls;
 
     /** When the next call to the platform may be made. */
-    private final CallBackOff backOff = new CallBackOff(FIRST_BACK_OFF, LONGEST_BACK_OFF);
+    private final CallBackOff backoff = new CallBackOff(INITIAL_BACKOFF, MAXIMUM_BACKOFF);
 
     /** When the next report may be sent. */
-    private final CallBackOff sendBackOff = new CallBackOff(FIRST_BACK_OFF, LONGEST_BACK_OFF);
+    private final CallBackOff sendBackoff = new CallBackOff(INITIAL_BACKOFF, MAXIMUM_BACKOFF);
 
-    /** The windows on their way. */
+    /** The windows whose reports have not been delivered yet. */
     private final EntityTable<Long, WindowRow> rows = new EntityTable<>();
 
-    /** The first window of which this node would make a report, as the process was there for it. */
-    private final long firstSeen;
+    /** The window in which this process started, the first one that it can report. */
+    private final long startWindow;
 
-    /** The first window that is not on its way yet, once the kept reports were read. */
-    private OptionalLong next = OptionalLong.empty();
+    /** The next window to collect, or empty until the stored reports have been listed. */
+    private OptionalLong nextWindow = OptionalLong.empty();
 
-    /** Whether the kept reports are being read. */
+    /** Whether the stored reports are being listed. */
     private boolean listing;
 
     /**
      * Creates a system that has reported nothing.
      *
      * @param membership The nodes of the site.
-     * @param lease The lease of the node that has the duties.
-     * @param counts The counts that this node knows.
+     * @param lease The lease of the node that holds the duties.
+     * @param counts The counts that this node has.
      * @param windows The windows.
-     * @param timeOfDay Tells the time of day, in milliseconds since the epoch.
-     * @param tokens Hands out the tokens of calls.
+     * @param timeOfDay The clock, in milliseconds since the epoch.
+     * @param tokens Allocates the tokens of calls.
      */
     public UsageReportSystem(
             MembershipView membership,
@@ -119,25 +119,25 @@
         this.windows = windows;
         this.timeOfDay = timeOfDay;
         calls = new PlatformCalls(tokens);
-        firstSeen = windows.at(timeOfDay.getAsLong());
+        startWindow = windows.at(timeOfDay.getAsLong());
     }
 
     @Override
     public void run(Tick tick) {
         calls.answer(tick);
-        tick.events(UsageEvent.Reported.class).forEach(reported -> takeOutcome(tick, reported));
+        tick.events(UsageEvent.Reported.class).forEach(reported -> handleOutcome(tick, reported));
         if (!lease.isHeld()) {
             rows.removeIf(_row -> true);
-            next = OptionalLong.empty();
+            nextWindow = OptionalLong.empty();
             return;
         }
         for (PeerEvent.Received received : tick.events(PeerEvent.Received.class)) {
             if (received.message() instanceof UsageMessage.Known known) {
-                takeKnown(received.sender().name(), known);
+                handleCounts(received.sender().name(), known);
             }
         }
-        if (next.isEmpty()) {
-            list(tick);
+        if (nextWindow.isEmpty()) {
+            listReports(tick);
             return;
         }
         collect(tick);
@@ -145,36 +145,36 @@
     }
 
     /**
-     * Reads the reports that the platform keeps.
+     * Lists the reports that the platform stores.
      *
      * @param tick The tick.
      */
-    private void list(Tick tick) {
-        if (listing || !backOff.allows(tick.now())) {
+    private void listReports(Tick tick) {
+        if (listing || !backoff.allows(tick.now())) {
             return;
         }
         listing = true;
         calls.call(tick, token -> new PlatformEffect.ListKind(token, PlatformPurpose.USAGE, KIND), (later, event) -> {
             listing = false;
             if (event instanceof PlatformEvent.ObjectsListed listed) {
-                backOff.succeeded(later.now(), Duration.ZERO);
-                takeListed(later, listed);
+                backoff.succeeded(later.now(), Duration.ZERO);
+                handleListed(later, listed);
             } else {
-                backOff.failed(later);
+                backoff.failed(later);
             }
         });
     }
 
     /**
-     * Takes the reports that the platform keeps: those that were not sent go out again, and the first that there is
-     * none of is the next to be made.
+     * Handles the reports that the platform stores: unsent reports are sent again, and collection continues with the
+     * first window after the newest stored report.
      *
      * @param tick The tick.
      * @param listed The objects.
      */
-    private void takeListed(Tick tick, PlatformEvent.ObjectsListed listed) {
-        long oldest = windows.at(timeOfDay.getAsLong()) - LOOK_BACK;
-        long first = listed.objects().isEmpty() ? Math.max(firstSeen, oldest) : oldest;
+    private void handleListed(Tick tick, PlatformEvent.ObjectsListed listed) {
+        long oldest = windows.at(timeOfDay.getAsLong()) - REPORTED_PAST_WINDOWS;
+        long first = listed.objects().isEmpty() ? Math.max(startWindow, oldest) : oldest;
         for (StoredObject object : listed.objects()) {
             Optional<StoredReport> report = StoredReport.decode(object.value());
             if (report.isEmpty() || report.get().window() < oldest) {
@@ -182,50 +182,50 @@
             }
             first = Math.max(first, report.get().window() + 1);
             if (!report.get().sent()) {
-                rows.put(report.get().window(), WindowRow.kept(report.get(), object.version(), tick.now()));
+                rows.put(report.get().window(), WindowRow.stored(report.get(), object.version(), tick.now()));
             }
         }
-        next = OptionalLong.of(first);
+        nextWindow = OptionalLong.of(first);
         tick.decide(Decision.of(
                 "usage",
                 Long.toString(first),
                 "next to report",
-                "reports kept " + listed.objects().size()));
+                "reports stored " + listed.objects().size()));
     }
 
     /**
-     * Asks all nodes for what they know of the windows that are over.
+     * Requests the counts of the windows that have ended from all nodes.
      *
      * @param tick The tick.
      */
     private void collect(Tick tick) {
-        long over = windows.at(timeOfDay.getAsLong() - COLLECTION_DELAY.toMillis());
-        while (next.getAsLong() < over) {
-            long window = next.getAsLong();
+        long endedBefore = windows.at(timeOfDay.getAsLong() - COLLECTION_DELAY.toMillis());
+        while (nextWindow.getAsLong() < endedBefore) {
+            long window = nextWindow.getAsLong();
             Set<NodeName> others = membership.working().stream()
                     .map(Member::identity)
                     .filter(node -> !node.equals(membership.self().identity()))
                     .map(node -> node.name())
                     .collect(Collectors.toSet());
             others.forEach(node -> tick.emit(new PeerEffect.Send(node, new UsageMessage.Ask(window))));
-            rows.put(window, WindowRow.collecting(window, others, tick.now().plus(ANSWER_TIME)));
-            next = OptionalLong.of(window + 1);
+            rows.put(window, WindowRow.collecting(window, others, tick.now().plus(ANSWER_TIMEOUT)));
+            nextWindow = OptionalLong.of(window + 1);
         }
     }
 
     /**
-     * Takes what another node knows of a window.
+     * Handles the counts of another node for a window.
      *
      * @param sender The node.
-     * @param known What it knows.
+     * @param known The counts.
      */
-    private void takeKnown(NodeName sender, UsageMessage.Known known) {
-        known.rows().forEach(counts::take);
-        rows.find(known.window()).ifPresent(row -> rows.put(known.window(), row.without(sender)));
+    private void handleCounts(NodeName sender, UsageMessage.Known known) {
+        known.rows().forEach(counts::merge);
+        rows.find(known.window()).ifPresent(row -> rows.put(known.window(), row.withAnswerOf(sender)));
     }
 
     /**
-     * Takes a window one step further, if it is due.
+     * Performs the next step of a window, if it is due.
      *
      * @param tick The tick.
      * @param row The window.
@@ -234,34 +234,34 @@
         boolean due = !tick.now().isBefore(row.dueAt());
         switch (row.stage()) {
             case COLLECTING -> {
-                if ((due || row.awaited().isEmpty()) && backOff.allows(tick.now())) {
-                    fix(tick, row);
+                if ((due || row.awaited().isEmpty()) && backoff.allows(tick.now())) {
+                    store(tick, row);
                 }
             }
-            case KEPT, SENDING -> {
-                if (due && sendBackOff.allows(tick.now())) {
+            case STORED, SENDING -> {
+                if (due && sendBackoff.allows(tick.now())) {
                     send(tick, row);
                 }
             }
-            case FIXING -> {}
+            case STORING -> {}
         }
     }
 
     /**
-     * Has the platform keep the sums of a window.
+     * Stores the report of a window at the platform.
      *
      * @param tick The tick.
      * @param row The window.
      */
-    private void fix(Tick tick, WindowRow row) {
+    private void store(Tick tick, WindowRow row) {
         OptionalLong fence = lease.permission();
         if (fence.isEmpty()) {
             return;
         }
         StoredReport report =
                 new StoredReport(row.window(), lease.holderName(), fence.getAsLong(), false, counts.sums(row.window()));
-        rows.put(row.window(), row.withStage(WindowRow.Stage.FIXING, tick.now()));
-        write(tick, report, row.version(), (later, event) -> takeFixed(later, row, report, event));
+        rows.put(row.window(), row.withStage(WindowRow.Stage.STORING, tick.now()));
+        write(tick, report, row.version(), (later, event) -> handleStored(later, row, report, event));
         tick.decide(Decision.of(
                 "usage",
                 Long.toString(row.window()),
@@ -271,56 +271,56 @@
     }
 
     /**
-     * Takes the platform's answer to a report that is to be kept.
+     * Handles the platform's answer to the write of a report.
      *
      * @param tick The tick.
      * @param row The window.
      * @param report The report.
      * @param event The answer.
      */
-    private void takeFixed(Tick tick, WindowRow row, StoredReport report, PlatformEvent event) {
+    private void handleStored(Tick tick, WindowRow row, StoredReport report, PlatformEvent event) {
         if (rows.find(row.window()).isEmpty()) {
             return;
         }
         if (event instanceof PlatformEvent.Accepted accepted) {
-            backOff.succeeded(tick.now(), Duration.ZERO);
-            rows.put(row.window(), WindowRow.kept(report, accepted.version(), tick.now()));
+            backoff.succeeded(tick.now(), Duration.ZERO);
+            rows.put(row.window(), WindowRow.stored(report, accepted.version(), tick.now()));
             return;
         }
         if (event instanceof PlatformEvent.Conflict conflict
                 && conflict.current().isPresent()) {
-            backOff.succeeded(tick.now(), Duration.ZERO);
-            takePresent(tick, row, conflict.current().get());
+            backoff.succeeded(tick.now(), Duration.ZERO);
+            handleExisting(tick, row, conflict.current().get());
             return;
         }
-        backOff.failed(tick);
+        backoff.failed(tick);
         rows.put(row.window(), row.withStage(WindowRow.Stage.COLLECTING, tick.now()));
     }
 
     /**
-     * Takes the report that the platform keeps already under the name of a window's: that of the same window, which
-     * holds, or an old one, which is replaced.
+     * Handles a report that the platform already stores under the same object name. A report of the same window is
+     * used, and an older one is replaced.
      *
      * @param tick The tick.
      * @param row The window.
-     * @param present The object.
+     * @param existing The object.
      */
-    private void takePresent(Tick tick, WindowRow row, StoredObject present) {
-        Optional<StoredReport> kept = StoredReport.decode(present.value());
-        boolean older = kept.isEmpty() || kept.get().window() < row.window();
-        if (older) {
+    private void handleExisting(Tick tick, WindowRow row, StoredObject existing) {
+        Optional<StoredReport> stored = StoredReport.decode(existing.value());
+        boolean replaceable = stored.isEmpty() || stored.get().window() < row.window();
+        if (replaceable) {
             rows.put(
                     row.window(),
-                    row.withReplaced(present.version()).withStage(WindowRow.Stage.COLLECTING, tick.now()));
-        } else if (kept.get().window() == row.window() && !kept.get().sent()) {
-            rows.put(row.window(), WindowRow.kept(kept.get(), present.version(), tick.now()));
+                    row.withReplacedVersion(existing.version()).withStage(WindowRow.Stage.COLLECTING, tick.now()));
+        } else if (stored.get().window() == row.window() && !stored.get().sent()) {
+            rows.put(row.window(), WindowRow.stored(stored.get(), existing.version(), tick.now()));
         } else {
             rows.remove(row.window());
         }
     }
 
     /**
-     * Sends a report that the platform keeps.
+     * Sends a stored report to the cloud.
      *
      * @param tick The tick.
      * @param row The window.
@@ -330,19 +330,19 @@
         if (fence.isEmpty()) {
             return;
         }
-        rows.put(row.window(), row.withStage(WindowRow.Stage.SENDING, tick.now().plus(SENDING_TIME)));
+        rows.put(row.window(), row.withStage(WindowRow.Stage.SENDING, tick.now().plus(SEND_TIMEOUT)));
         lease.recordAction();
         tick.emit(new UsageEffect.Report(
                 row.window(), row.report().orElseThrow().counts(), lease.holderName(), fence.getAsLong()));
     }
 
     /**
-     * Takes what became of a report that was sent.
+     * Handles the outcome of a report that was sent.
      *
      * @param tick The tick.
-     * @param reported What became of it.
+     * @param reported The outcome.
      */
-    private void takeOutcome(Tick tick, UsageEvent.Reported reported) {
+    private void handleOutcome(Tick tick, UsageEvent.Reported reported) {
         lease.recordAction();
         Optional<WindowRow> row =
                 rows.find(reported.window()).filter(found -> found.stage() == WindowRow.Stage.SENDING);
@@ -355,45 +355,45 @@
                 reported.outcome().name(),
                 "accounts " + row.get().report().orElseThrow().counts().size()));
         if (reported.outcome() == DutyOutcome.UNANSWERED || reported.outcome() == DutyOutcome.EXHAUSTED) {
-            sendBackOff.failed(tick);
-            rows.put(reported.window(), row.get().withStage(WindowRow.Stage.KEPT, tick.now()));
+            sendBackoff.failed(tick);
+            rows.put(reported.window(), row.get().withStage(WindowRow.Stage.STORED, tick.now()));
             return;
         }
-        sendBackOff.succeeded(tick.now(), Duration.ZERO);
+        sendBackoff.succeeded(tick.now(), Duration.ZERO);
         rows.remove(reported.window());
-        lease.permission().ifPresent(fence -> noteSent(tick, row.get(), fence));
+        lease.permission().ifPresent(fence -> markSent(tick, row.get(), fence));
     }
 
     /**
-     * Has the platform keep that a report was sent, which spares a successor the sending. That this fails costs no
-     * more.
+     * Marks a report as sent at the platform, so that a successor does not send it again. A failed write is not
+     * retried, because it only leads to a repeated report.
      *
      * @param tick The tick.
      * @param row The window.
      * @param fence The fencing number.
      */
-    private void noteSent(Tick tick, WindowRow row, long fence) {
+    private void markSent(Tick tick, WindowRow row, long fence) {
         StoredReport sent = row.report().orElseThrow().withSent(lease.holderName(), fence);
         write(tick, sent, row.version(), (_later, _event) -> {});
     }
 
     /**
-     * Writes a report.
+     * Writes a report to the platform.
      *
      * @param tick The tick.
      * @param report The report.
-     * @param expected The version that its object must have, or empty if there must be none.
-     * @param then What follows the answer.
+     * @param expected The expected version of the object, or empty if it must not exist.
+     * @param callback The callback for the answer.
      */
     private void write(
             Tick tick,
             StoredReport report,
             OptionalLong expected,
-            java.util.function.BiConsumer<Tick, PlatformEvent> then) {
-        ObjectKey key = new ObjectKey(KIND, Long.toString(Math.floorMod(report.window(), (long) OBJECTS)));
+            java.util.function.BiConsumer<Tick, PlatformEvent> callback) {
+        ObjectKey key = new ObjectKey(KIND, Long.toString(Math.floorMod(report.window(), (long) REPORT_OBJECTS)));
         calls.call(
                 tick,
                 token -> new PlatformEffect.Write(token, PlatformPurpose.USAGE, key, expected, report.encode()),
-                then);
+                callback);
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/UsageRow.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/UsageRow.java
@@ -4,11 +4,12 @@
 import java.util.Map;
 
 /**
- * What one life of a node counted in one window. Counts only grow, so the larger of two readings is the newer one.
+ * The counts of one incarnation of a node in one window. Counts only increase, so the larger of two values is the newer
+ * one.
  *
  * @param origin The node that counted.
  * @param window The number of the window.
- * @param counts The requests that began to run, by the names of their accounts.
+ * @param counts The number of requests that began to run, by account name.
  */
 public record UsageRow(NodeIdentity origin, long window, Map<String, Long> counts) {
 
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/UsageWindows.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/UsageWindows.java
@@ -3,26 +3,26 @@
 import java.time.Duration;
 
 /**
- * The windows of time for which usage is reported. They follow each other without a gap since the epoch.
+ * The time windows for which usage is reported. They are contiguous and start at the epoch.
  *
  * @param length The length of a window.
  */
 public record UsageWindows(Duration length) {
 
-    /** The number of windows that are kept: more than a report is ever late for and still of use. */
-    private static final int KEPT = 24;
+    /** The number of retained windows, which exceeds the age up to which a late report is still useful. */
+    private static final int RETAINED_WINDOWS = 24;
 
     /** Checks the length. */
     public UsageWindows {
         if (length.toMillis() <= 0) {
-            throw new IllegalArgumentException("Not a length of a window: " + length);
+            throw new IllegalArgumentException("Window length must be at least 1 ms: " + length);
         }
     }
 
     /**
-     * Returns the window that a moment lies in.
+     * Returns the window that contains a time.
      *
-     * @param epochMillis The moment in milliseconds since the epoch.
+     * @param epochMillis The time in milliseconds since the epoch.
      * @return The number of the window.
      */
     public long at(long epochMillis) {
@@ -30,20 +30,20 @@
     }
 
     /**
-     * Returns the oldest window of which counts are kept.
+     * Returns the oldest window whose counts are retained.
      *
-     * @param epochMillis The present in milliseconds since the epoch.
+     * @param epochMillis The current time in milliseconds since the epoch.
      * @return The number of the window.
      */
     public long oldestKept(long epochMillis) {
-        return at(epochMillis) - KEPT;
+        return at(epochMillis) - RETAINED_WINDOWS;
     }
 
     /**
      * Returns when a window ends.
      *
      * @param window The number of the window.
-     * @return The first moment behind it, in milliseconds since the epoch.
+     * @return The exclusive end in milliseconds since the epoch.
      */
     public long end(long window) {
         return (window + 1) * length.toMillis();
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/WindowRow.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/WindowRow.java
@@ -8,14 +8,14 @@
 import java.util.Set;
 
 /**
- * A window on its way to its report.
+ * A usage window whose report has not been delivered yet.
  *
  * @param window The number of the window.
- * @param stage What happens next or is waited for.
- * @param dueAt When it happens, or until when the answer is waited for.
- * @param awaited The nodes that have not said yet what they know.
- * @param report The report, once the platform keeps it.
- * @param version The version of the object that keeps the report, or of an older one under the same name.
+ * @param stage The current stage.
+ * @param dueAt When the next step is due, or when the wait for an answer times out.
+ * @param awaited The nodes that have not sent their counts yet.
+ * @param report The report, once the platform stores it.
+ * @param version The version of the object that stores the report, or of an older report under the same name.
  */
 record WindowRow(
         long window,
@@ -31,35 +31,35 @@
     }
 
     /**
-     * Returns a window of which the nodes were asked.
+     * Creates a window whose counts were requested from the nodes.
      *
      * @param window The number of the window.
      * @param awaited The nodes.
-     * @param until Until when their answers are waited for.
+     * @param timeoutAt When the wait for their answers times out.
      * @return The row.
      */
-    static WindowRow collecting(long window, Set<NodeName> awaited, MonotonicTime until) {
-        return new WindowRow(window, Stage.COLLECTING, until, awaited, Optional.empty(), OptionalLong.empty());
+    static WindowRow collecting(long window, Set<NodeName> awaited, MonotonicTime timeoutAt) {
+        return new WindowRow(window, Stage.COLLECTING, timeoutAt, awaited, Optional.empty(), OptionalLong.empty());
     }
 
     /**
-     * Returns a window whose report the platform keeps.
+     * Creates a window whose report the platform stores.
      *
      * @param report The report.
      * @param version The version of the object.
-     * @param dueAt When it may be sent.
+     * @param dueAt When the report may be sent.
      * @return The row.
      */
-    static WindowRow kept(StoredReport report, long version, MonotonicTime dueAt) {
+    static WindowRow stored(StoredReport report, long version, MonotonicTime dueAt) {
         return new WindowRow(
-                report.window(), Stage.KEPT, dueAt, Set.of(), Optional.of(report), OptionalLong.of(version));
+                report.window(), Stage.STORED, dueAt, Set.of(), Optional.of(report), OptionalLong.of(version));
     }
 
     /**
      * Returns this window with another stage.
      *
      * @param next The stage.
-     * @param at When it is due.
+     * @param at When the next step is due.
      * @return The row.
      */
     WindowRow withStage(Stage next, MonotonicTime at) {
@@ -67,36 +67,36 @@
     }
 
     /**
-     * Returns this window after a node's answer.
+     * Returns this window without a node that has answered.
      *
      * @param node The node.
      * @return The row.
      */
-    WindowRow without(NodeName node) {
-        Set<NodeName> left = new HashSet<>(awaited);
-        left.remove(node);
-        return new WindowRow(window, stage, dueAt, left, report, version);
+    WindowRow withAnswerOf(NodeName node) {
+        Set<NodeName> remaining = new HashSet<>(awaited);
+        remaining.remove(node);
+        return new WindowRow(window, stage, dueAt, remaining, report, version);
     }
 
     /**
-     * Returns this window with the version of an older report that its own replaces.
+     * Returns this window with the version of the older report that it replaces.
      *
      * @param replaced The version.
      * @return The row.
      */
-    WindowRow withReplaced(long replaced) {
+    WindowRow withReplacedVersion(long replaced) {
         return new WindowRow(window, stage, dueAt, awaited, report, OptionalLong.of(replaced));
     }
 
-    /** What happens to a window next. */
+    /** The stages of a window. */
     enum Stage {
-        /** The nodes are asked for what they know. */
+        /** The counts were requested from the nodes. */
         COLLECTING,
-        /** The report is on its way to the platform. */
-        FIXING,
-        /** The platform keeps the report, which is to be sent. */
-        KEPT,
-        /** The report is on its way to the cloud. */
+        /** The report is being written to the platform. */
+        STORING,
+        /** The platform stores the report, which still has to be sent. */
+        STORED,
+        /** The report is being sent to the cloud. */
         SENDING
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/package-info.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/package-info.java
@@ -1,5 +1,6 @@
 /**
- * How much each client account uses: the requests that began to run in each window of true time, counted where they
- * were sent, kept at two further nodes, summed and reported by the node that has the duties.
+ * The usage of each client account: the number of requests that began to run in each window of true time. The node that
+ * sent a request counts it, two further nodes keep a copy of the counts, and the node that holds the duties sums and
+ * reports them.
  */
 package io.yuccaswitch.core.usage;
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/usage/DutyHistoryTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/usage/DutyHistoryTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * One holder of a duty at a time, judged where its calls arrive, over short histories of nodes that die, stop, are
- * suspended, are cut off or meet a platform whose writes are lost or carried out late. More histories:
- * {@code -Dhistories=20000}.
+ * Checks at the receiver of the calls that a duty has one holder at a time. Each history is a short random sequence of
+ * nodes that crash, leave, are suspended or partitioned, and of a platform whose answers are lost or whose writes are
+ * applied late. More histories: {@code -Dhistories=20000}.
  */
 final class DutyHistoryTest {
 
@@ -24,33 +24,34 @@
     void noHistoryHasTwoHoldersAtATimeOrTwoReportsOfAWindow() {
         int calls = 0;
         for (int seed = 1; seed <= HISTORIES; seed++) {
-            UsageSite site = play(seed);
-            assertThat(site.broken()).as("seed " + seed).isEmpty();
+            UsageSite site = runHistory(seed);
+            assertThat(site.violations()).as("seed " + seed).isEmpty();
             calls += site.calls().size();
         }
         assertThat(calls).isGreaterThan(HISTORIES * 3);
     }
 
-    private static UsageSite play(int seed) {
+    private static UsageSite runHistory(int seed) {
         Random random = new Random(seed);
         UsageSite site = new UsageSite();
         NODES.forEach(site::start);
-        Set<String> dead = new HashSet<>();
+        Set<String> killed = new HashSet<>();
         Set<String> suspended = new HashSet<>();
         for (int step = 0; step < STEPS; step++) {
             String name = NODES.get(random.nextInt(NODES.size()));
-            strike(site, random, name, dead, suspended);
+            injectFault(site, random, name, killed, suspended);
             NODES.stream()
-                    .filter(node -> !dead.contains(node) && random.nextBoolean())
+                    .filter(node -> !killed.contains(node) && random.nextBoolean())
                     .forEach(node -> site.count(node, "account-" + random.nextInt(3)));
             site.run(100 + random.nextInt(1500));
         }
         return site;
     }
 
-    private static void strike(UsageSite site, Random random, String name, Set<String> dead, Set<String> suspended) {
-        if (dead.contains(name)) {
-            dead.remove(name);
+    private static void injectFault(
+            UsageSite site, Random random, String name, Set<String> killed, Set<String> suspended) {
+        if (killed.contains(name)) {
+            killed.remove(name);
             site.start(name);
             return;
         }
@@ -61,7 +62,7 @@
         }
         switch (random.nextInt(9)) {
             case 0 -> {
-                dead.add(name);
+                killed.add(name);
                 site.kill(name);
             }
             case 1 -> {
@@ -74,7 +75,7 @@
             case 5 -> site.site().platform().loseAnswersWhere((_node, _call) -> random.nextInt(3) == 0);
             case 6 -> site.site().platform().applyLateWhere((_node, _call) -> random.nextInt(3) == 0);
             case 7 -> site.site().connect((from, to) -> from.equals(name) || to.equals(name));
-            default -> heal(site);
+            default -> removeFaults(site);
         }
         if (random.nextInt(3) == 0) {
             site.site().platform().applyLate();
@@ -83,7 +84,7 @@
         site.loseAnswers(random.nextInt(4) == 0);
     }
 
-    private static void heal(UsageSite site) {
+    private static void removeFaults(UsageSite site) {
         site.site().platform().failWhere((_node, _call) -> false);
         site.site().platform().loseAnswersWhere((_node, _call) -> false);
         site.site().platform().applyLateWhere((_node, _call) -> false);
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/usage/UsageReportTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/usage/UsageReportTest.java
@@ -8,10 +8,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What the cloud gets to know of usage. */
+/** Tests which usage reports the cloud receives. */
 final class UsageReportTest {
 
-    private static final long IN_TIME = 10_000;
+    private static final long REPORT_DEADLINE_MILLIS = 10_000;
 
     private final UsageSite site = new UsageSite();
 
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void theRequestsOfAllNodesAreReportedInTimeByWindowAndAccount() {
+    void requestsOfAllNodesAreReportedInTimeByWindowAndAccount() {
         long window = site.window();
         site.count("node-1", "first");
         site.count("node-2", "first");
@@ -34,7 +34,7 @@
         site.count("node-3", "second");
         site.runToNextWindow();
         site.count("node-3", "second");
-        site.run(IN_TIME);
+        site.run(REPORT_DEADLINE_MILLIS);
         assertThat(site.reports().get(window)).isEqualTo(Map.of("first", 2L, "second", 1L));
         assertThat(site.reports().get(window + 1)).isEqualTo(Map.of("second", 1L));
     }
@@ -43,29 +43,29 @@
     void aWindowWithoutRequestsIsReportedToo() {
         long window = site.window();
         site.runToNextWindow();
-        site.run(IN_TIME);
+        site.run(REPORT_DEADLINE_MILLIS);
         assertThat(site.reports().get(window)).isEmpty();
     }
 
     @Test
-    void whatAKilledNodeCountedIsReported() {
+    void countsOfAKilledNodeAreReported() {
         long window = site.window();
         site.count("node-3", "first");
         site.run(500);
         site.kill("node-3");
         site.runToNextWindow();
-        site.run(IN_TIME);
+        site.run(REPORT_DEADLINE_MILLIS);
         assertThat(site.reports().get(window)).isEqualTo(Map.of("first", 1L));
     }
 
     @Test
-    void whatTheHolderCountedIsReportedByItsSuccessor() {
+    void countsOfAKilledHolderAreReportedByItsSuccessor() {
         long window = site.window();
         site.count("node-1", "first");
         site.run(500);
         site.kill("node-1");
         site.runToNextWindow();
-        site.run(IN_TIME);
+        site.run(REPORT_DEADLINE_MILLIS);
         assertThat(site.reports().get(window)).isEqualTo(Map.of("first", 1L));
         assertThat(site.calls()).extracting(UsageSite.Call::sender).doesNotContain("node-1");
     }
@@ -79,12 +79,12 @@
         site.kill("node-3");
         site.run(100);
         site.runToNextWindow();
-        site.run(IN_TIME);
+        site.run(REPORT_DEADLINE_MILLIS);
         assertThat(site.reports().get(window)).isEqualTo(Map.of("first", 2L));
     }
 
     @Test
-    void aCloudThatIsAwayGetsTheSameReportOnceItIsBack() {
+    void anUnreachableCloudReceivesTheSameReportAfterItRecovers() {
         long window = site.window();
         site.count("node-2", "first");
         site.cloudDown(true);
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void aPlatformThatIsAwayDelaysAReportAndChangesNothing() {
+    void anUnreachablePlatformDelaysAReportWithoutChangingIt() {
         long window = site.window();
         site.count("node-2", "first");
         site.run(1000);
@@ -107,11 +107,11 @@
         site.site().platform().failWhere((_node, _call) -> false);
         site.run(5000);
         assertThat(site.reports().get(window)).isEqualTo(Map.of("first", 1L));
-        assertThat(site.broken()).isEmpty();
+        assertThat(site.violations()).isEmpty();
     }
 
     @Test
-    void aReportWhoseAnswersAreLostIsRepeatedWithoutAChange() {
+    void aReportWhoseAnswersAreLostIsRepeatedUnchanged() {
         site.count("node-2", "first");
         site.loseAnswers(true);
         site.runToNextWindow();
@@ -122,11 +122,11 @@
         site.loseAnswers(false);
         site.run(3000);
         assertThat(site.calls()).hasSizeGreaterThan(2);
-        assertThat(site.broken()).isEmpty();
+        assertThat(site.violations()).isEmpty();
     }
 
     @Test
-    void aReportThatWasKeptWithoutAnAnswerIsTheOneThatIsSent() {
+    void aReportThatWasStoredWithoutAnAnswerIsSent() {
         long window = site.window();
         site.count("node-2", "first");
         site.run(500);
@@ -139,11 +139,11 @@
         site.site().platform().loseAnswersWhere((_node, _call) -> false);
         site.run(6000);
         assertThat(site.reports().get(window)).isEqualTo(Map.of("first", 1L));
-        assertThat(site.broken()).isEmpty();
+        assertThat(site.violations()).isEmpty();
     }
 
     @Test
-    void aPlannedStopOfTheHolderLeavesNoWindowOut() {
+    void aPlannedStopOfTheHolderSkipsNoWindow() {
         long window = site.window();
         site.count("node-1", "first");
         site.run(1000);
@@ -156,18 +156,18 @@
     }
 
     @Test
-    void keptReportsTakeTurnsUnderAFixedNumberOfNames() {
-        long old = site.window() - 720;
+    void storedReportsReuseAFixedNumberOfObjectNames() {
+        long oldWindow = site.window() - 720;
         site.site()
                 .platform()
                 .put(
                         UsageReportSystem.KIND,
                         Long.toString(Math.floorMod(site.window(), 720L)),
-                        old + " node-9 1 true first=7");
+                        oldWindow + " node-9 1 true first=7");
         long window = site.window();
         site.count("node-2", "second");
         site.runToNextWindow();
-        site.run(IN_TIME);
+        site.run(REPORT_DEADLINE_MILLIS);
         assertThat(site.reports().get(window)).isEqualTo(Map.of("second", 1L));
     }
 }
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/usage/UsageSite.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/usage/UsageSite.java
@@ -12,20 +12,18 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/**
- * Some nodes that count requests, and the cloud that one of them reports to. It notes which of its rules are broken.
- */
+/** A site of nodes that count requests, with a simulated cloud that records violations of its rules. */
 final class UsageSite {
 
     static final Duration WINDOW = Duration.ofSeconds(5);
-    static final Duration SAFETY = Duration.ofSeconds(3);
+    static final Duration SAFETY_TIME = Duration.ofSeconds(3);
 
     private final TestSite site = new TestSite();
     private final Map<String, TestNode> nodes = new HashMap<>();
     private final Map<String, Map<Long, Map<String, Long>>> counted = new HashMap<>();
     private final Map<Long, Map<String, Long>> reports = new TreeMap<>();
     private final List<Call> calls = new ArrayList<>();
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private boolean cloudDown;
     private boolean answersLost;
 
@@ -45,7 +43,7 @@
     void start(String name) {
         counted.remove(name);
         nodes.put(name, site.start(name, (self, tokens) -> {
-            DutyLease lease = new DutyLease(self, tokens, SAFETY);
+            DutyLease lease = new DutyLease(self, tokens, SAFETY_TIME);
             UsageWindows windows = new UsageWindows(WINDOW);
             UsageCounts counts = new UsageCounts();
             return List.of(
@@ -81,7 +79,7 @@
         return site.now().nanoseconds() / 1_000_000;
     }
 
-    /** Runs until a window has just begun. */
+    /** Runs until the next window begins. */
     void runToNextWindow() {
         run(WINDOW.toMillis() - millis() % WINDOW.toMillis());
     }
@@ -94,7 +92,7 @@
         nodes.get(name).accept(new UsageEvent.Counted(Map.of(window(), Map.copyOf(own))));
     }
 
-    /** Returns the reports that the cloud has taken. */
+    /** Returns the reports that the cloud has accepted. */
     Map<Long, Map<String, Long>> reports() {
         return reports;
     }
@@ -104,9 +102,9 @@
         return calls;
     }
 
-    /** Returns what should never have happened. */
-    List<String> broken() {
-        return broken;
+    /** Returns the violated rules. */
+    List<String> violations() {
+        return violations;
     }
 
     private void serveCloud(TestNode node) {
@@ -115,39 +113,39 @@
                 node.accept(new UsageEvent.Reported(report.window(), DutyOutcome.UNANSWERED));
                 continue;
             }
-            judge(node.name(), report);
+            checkReport(node.name(), report);
             node.accept(
                     new UsageEvent.Reported(report.window(), answersLost ? DutyOutcome.UNANSWERED : DutyOutcome.DONE));
         }
     }
 
-    private void judge(String sender, UsageEffect.Report report) {
-        Map<String, Long> before = reports.putIfAbsent(report.window(), report.counts());
-        if (before != null && !before.equals(report.counts())) {
-            broken.add("two reports of window " + report.window() + ": " + before + " and " + report.counts());
+    private void checkReport(String sender, UsageEffect.Report report) {
+        Map<String, Long> previous = reports.putIfAbsent(report.window(), report.counts());
+        if (previous != null && !previous.equals(report.counts())) {
+            violations.add("two reports of window " + report.window() + ": " + previous + " and " + report.counts());
         }
         for (Call call : calls) {
             boolean other = !call.sender().equals(sender);
             if (other && call.fence() == report.fence()) {
-                broken.add("fence " + call.fence() + " of " + call.sender() + " and " + sender);
+                violations.add("fence " + call.fence() + " of " + call.sender() + " and " + sender);
             }
             if (call.fence() > report.fence()) {
-                broken.add("fence " + report.fence() + " of " + sender + " after " + call.fence());
+                violations.add("fence " + report.fence() + " of " + sender + " after " + call.fence());
             }
         }
-        judgeTurns(sender);
+        checkInterleaving(sender);
         calls.add(new Call(sender, report.fence(), millis()));
     }
 
-    private void judgeTurns(String sender) {
-        boolean between = false;
-        for (int i = calls.size() - 1; i >= 0 && millis() - calls.get(i).millis() < SAFETY.toMillis(); i--) {
+    private void checkInterleaving(String sender) {
+        boolean interleaved = false;
+        for (int i = calls.size() - 1; i >= 0 && millis() - calls.get(i).millis() < SAFETY_TIME.toMillis(); i--) {
             boolean own = calls.get(i).sender().equals(sender);
-            if (own && between) {
-                broken.add("another node acted between two calls of " + sender);
+            if (own && interleaved) {
+                violations.add("another node made a call between two calls of " + sender);
                 return;
             }
-            between |= !own;
+            interleaved |= !own;
         }
     }
 
