--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/scaling/RecentPeak.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/scaling/RecentPeak.java
@@ -5,47 +5,47 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** The largest of the values that a quantity has had lately. */
+/** The maximum of a value over a sliding time window. */
 final class RecentPeak {
 
-    /** For how long a value counts. */
-    private final Duration memory;
+    /** How long a value is retained. */
+    private final Duration retention;
 
-    /** The values that may still become the largest one, the largest first. */
+    /** The values that may still become the maximum, in descending order. */
     private final Deque<Reading> readings = new ArrayDeque<>();
 
     /**
-     * Creates a peak without values.
+     * Creates an empty window.
      *
-     * @param memory For how long a value counts.
+     * @param retention How long a value is retained.
      */
-    RecentPeak(Duration memory) {
-        this.memory = memory;
+    RecentPeak(Duration retention) {
+        this.retention = retention;
     }
 
     /**
-     * Takes a value.
+     * Adds a value.
      *
      * @param value The value.
-     * @param now The present.
-     * @return The largest value lately, this one among them.
+     * @param now The current time.
+     * @return The maximum of the retained values, including this one.
      */
-    int take(int value, MonotonicTime now) {
+    int add(int value, MonotonicTime now) {
         while (!readings.isEmpty() && readings.getLast().value() <= value) {
             readings.removeLast();
         }
         readings.addLast(new Reading(value, now));
-        while (now.since(readings.getFirst().at()).compareTo(memory) > 0) {
+        while (now.since(readings.getFirst().at()).compareTo(retention) > 0) {
             readings.removeFirst();
         }
         return readings.getFirst().value();
     }
 
     /**
-     * A value.
+     * A retained value.
      *
      * @param value The value.
-     * @param at When it was taken.
+     * @param at When the value was added.
      */
     private record Reading(int value, MonotonicTime at) {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/scaling/ScalingEffect.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/scaling/ScalingEffect.java
@@ -5,7 +5,7 @@
 import io.yuccaswitch.core.identity.NodeName;
 import io.yuccaswitch.core.identity.PoolName;
 
-/** What is to be done about the number of endpoints. */
+/** Effects that change the number of endpoints. */
 public sealed interface ScalingEffect extends Effect {
 
     /**
@@ -13,8 +13,8 @@
      *
      * @param pool The pool.
      * @param zone The availability zone.
-     * @param desired The number of endpoints that the pool should have there.
-     * @param holder The node that has the duties.
+     * @param desired The desired number of endpoints of the pool in the zone.
+     * @param holder The node that holds the duties.
      * @param fence The fencing number.
      */
     record Order(PoolName pool, AvailabilityZone zone, int desired, NodeName holder, long fence)
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/scaling/ScalingEvent.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/scaling/ScalingEvent.java
@@ -5,7 +5,7 @@
 import io.yuccaswitch.core.identity.AvailabilityZone;
 import io.yuccaswitch.core.identity.PoolName;
 
-/** What became of orders of endpoints. */
+/** Outcomes of orders of endpoints. */
 public sealed interface ScalingEvent extends Event {
 
     /**
@@ -13,7 +13,7 @@
      *
      * @param pool The pool.
      * @param zone The availability zone.
-     * @param outcome What became of it.
+     * @param outcome The outcome.
      */
     record Ordered(PoolName pool, AvailabilityZone zone, DutyOutcome outcome) implements ScalingEvent {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/scaling/ScalingPolicy.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/scaling/ScalingPolicy.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 
 /**
- * Decides how many endpoints a pool should have: a place for each request that would run now. Requests of trainers that
- * train in turn come in bursts, and one that has to wait for a place delays a whole step. Endpoints are spread over the
- * availability zones, such that the loss of one costs its share only; what is left over goes where a second costs
- * least.
+ * Decides how many endpoints a pool should have: one slot for each request that would currently run. Trainers that take
+ * turns send their requests in bursts, and a request that has to wait for a slot delays a whole step. Endpoints are
+ * distributed evenly over the availability zones, so that the loss of a zone removes only its share; the remainder goes
+ * to the cheapest zones.
  */
 final class ScalingPolicy {
 
@@ -18,12 +18,12 @@
     private ScalingPolicy() {}
 
     /**
-     * Returns the numbers that a pool should have.
+     * Returns the desired numbers of endpoints of a pool.
      *
-     * @param terms What the cloud offers.
-     * @param slots The number of requests that an endpoint runs at once.
-     * @param demand The number of requests that would run now if there were places for all.
-     * @return The number of endpoints in each availability zone that the cloud offers.
+     * @param terms The terms of the pool.
+     * @param slots The number of requests that an endpoint runs concurrently.
+     * @param demand The number of requests that would currently run if the pool had enough slots.
+     * @return The desired number of endpoints by availability zone.
      */
     static Map<AvailabilityZone, Integer> desired(ScalingTerms terms, int slots, int demand) {
         List<AvailabilityZone> cheapestFirst = terms.prices().entrySet().stream()
@@ -35,13 +35,13 @@
         if (cheapestFirst.isEmpty()) {
             return desired;
         }
-        int places = Math.max(1, slots);
-        int wanted = (demand + places - 1) / places;
-        int each = wanted / cheapestFirst.size();
-        int left = wanted % cheapestFirst.size();
+        int slotsPerEndpoint = Math.max(1, slots);
+        int wanted = (demand + slotsPerEndpoint - 1) / slotsPerEndpoint;
+        int perZone = wanted / cheapestFirst.size();
+        int remainder = wanted % cheapestFirst.size();
         for (AvailabilityZone zone : cheapestFirst) {
-            desired.put(zone, terms.bounded(each + (left > 0 ? 1 : 0)));
-            left--;
+            desired.put(zone, terms.clamp(perZone + (remainder > 0 ? 1 : 0)));
+            remainder--;
         }
         return desired;
     }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/scaling/ScalingRow.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/scaling/ScalingRow.java
@@ -3,9 +3,9 @@
 import io.yuccaswitch.core.time.MonotonicTime;
 
 /**
- * What was ordered for a pool in an availability zone.
+ * The order for a pool in an availability zone.
  *
- * @param ordered The number that was ordered last, or that was found when this node got the duty.
- * @param dueAt When the number is looked at again.
+ * @param ordered The last ordered number of endpoints, or the number that this node found when it acquired the duty.
+ * @param dueAt When the order is repeated if endpoints are missing.
  */
 record ScalingRow(int ordered, MonotonicTime dueAt) {}
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/scaling/ScalingSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/scaling/ScalingSystem.java
@@ -21,66 +21,66 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Orders endpoints from the cloud, at the node that has the duties. Orders say how many there should be, not how many
- * more, so one that was lost or carried out twice does no harm.
+ * Orders endpoints from the cloud, at the node that holds the duties. An order states the total number of endpoints,
+ * not a difference, so a lost or repeated order does no harm.
  */
 public final class ScalingSystem implements DecisionSystem {
 
     /**
-     * For how long a demand counts after it was there. Trainers ask in turn, and endpoints that were given back between
-     * two steps would have to start and load weights again for the next.
+     * How long a demand is retained. Trainers take turns to send requests, and endpoints released between two steps
+     * would have to start and load weights again for the next step.
      */
-    private static final Duration DEMAND_MEMORY = Duration.ofMinutes(2);
+    private static final Duration DEMAND_RETENTION = Duration.ofMinutes(2);
 
     /**
-     * The share of the ordered number below which fewer are ordered, so that a demand at an edge orders nothing in
-     * turn.
+     * The share of the ordered number that the desired number must fall below before fewer endpoints are ordered. This
+     * hysteresis prevents alternating orders when the demand is near a threshold.
      */
-    private static final double LOWERING_SHARE = 0.75;
+    private static final double SCALE_DOWN_SHARE = 0.75;
 
     /**
-     * How long a new holder looks before it orders anything. While a site starts, endpoints register one after the
-     * other, and an order for those that are there so far would take the others away.
+     * How long a new holder observes the site before its first order. While a site starts, endpoints register one after
+     * the other, and an order for those registered so far would remove the others.
      */
-    private static final Duration SETTLING_TIME = Duration.ofSeconds(5);
+    private static final Duration SETTLING_DELAY = Duration.ofSeconds(5);
 
-    /** When an order that did not take effect is sent again. */
-    private static final Duration RETRY_TIME = Duration.ofSeconds(1);
+    /** The delay before an order that did not take effect is repeated. */
+    private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
 
-    /** When endpoints that are not to be had are asked for again. */
-    private static final Duration EXHAUSTED_TIME = Duration.ofSeconds(5);
+    /** The delay before an order that the cloud lacked the capacity for is repeated. */
+    private static final Duration EXHAUSTED_RETRY_DELAY = Duration.ofSeconds(5);
 
-    /** How long an order may take beyond the start of an endpoint until it is sent again. */
-    private static final Duration SLACK = Duration.ofSeconds(6);
+    /** The margin, in addition to the start time of an endpoint, after which an order is repeated. */
+    private static final Duration ORDER_MARGIN = Duration.ofSeconds(6);
 
-    /** The lease of the node that has the duties. */
+    /** The lease of the node that holds the duties. */
     private final DutyLease lease;
 
-    /** The endpoints. */
+    /** The registry of endpoints. */
     private final EndpointRegistrySystem registry;
 
-    /** The configuration. */
+    /** The configuration of routes. */
     private final RouteConfigurationSystem routes;
 
-    /** Returns the number of requests that would run now at a pool if there were places for all. */
+    /** Returns the number of requests that would currently run at a pool if it had enough slots. */
     private final ToIntFunction<PoolName> demand;
 
-    /** The demand of each pool lately. */
+    /** The recent peak demand of each pool. */
     private final Map<PoolName, RecentPeak> peaks = new HashMap<>();
 
-    /** Since when this node has known the endpoints while it had the duty, if it does. */
+    /** Since when this node has both held the lease and known the endpoints, or empty if it does not. */
     private Optional<MonotonicTime> settlingSince = Optional.empty();
 
-    /** What was ordered. */
-    private final EntityTable<Place, ScalingRow> rows = new EntityTable<>();
+    /** The orders by pool and availability zone. */
+    private final EntityTable<PoolZone, ScalingRow> rows = new EntityTable<>();
 
     /**
      * Creates a system that has ordered nothing.
      *
-     * @param lease The lease of the node that has the duties.
-     * @param registry The endpoints.
-     * @param routes The configuration.
-     * @param demand Returns the number of requests that would run now at a pool if there were places for all.
+     * @param lease The lease of the node that holds the duties.
+     * @param registry The registry of endpoints.
+     * @param routes The configuration of routes.
+     * @param demand Returns the number of requests that would currently run at a pool if it had enough slots.
      */
     public ScalingSystem(
             DutyLease lease,
@@ -95,7 +95,7 @@
 
     @Override
     public void run(Tick tick) {
-        tick.events(ScalingEvent.Ordered.class).forEach(ordered -> takeOutcome(tick, ordered));
+        tick.events(ScalingEvent.Ordered.class).forEach(ordered -> handleOutcome(tick, ordered));
         if (!lease.isHeld()) {
             rows.removeIf(_row -> true);
             peaks.clear();
@@ -107,111 +107,114 @@
         }
         MonotonicTime since = settlingSince.orElseGet(tick::now);
         settlingSince = Optional.of(since);
-        if (tick.now().since(since).compareTo(SETTLING_TIME) < 0) {
+        if (tick.now().since(since).compareTo(SETTLING_DELAY) < 0) {
             return;
         }
         routes.inForce()
-                .ifPresent(configuration -> configuration.scaling().forEach((pool, terms) -> look(tick, pool, terms)));
+                .ifPresent(
+                        configuration -> configuration.scaling().forEach((pool, terms) -> evaluate(tick, pool, terms)));
     }
 
     /**
-     * Looks whether a pool has the endpoints that it should have.
+     * Compares the endpoints of a pool with its demand.
      *
      * @param tick The tick.
      * @param pool The pool.
-     * @param terms What the cloud offers.
+     * @param terms The terms of the pool.
      */
-    private void look(Tick tick, PoolName pool, ScalingTerms terms) {
+    private void evaluate(Tick tick, PoolName pool, ScalingTerms terms) {
         List<RegisteredEndpoint> endpoints = registry.working(pool);
         if (endpoints.isEmpty()) {
             return;
         }
         Map<AvailabilityZone, Integer> working = new HashMap<>();
         endpoints.forEach(endpoint -> working.merge(endpoint.availabilityZone(), 1, Integer::sum));
-        int peak = peaks.computeIfAbsent(pool, _pool -> new RecentPeak(DEMAND_MEMORY))
-                .take(demand.applyAsInt(pool), tick.now());
+        int peak = peaks.computeIfAbsent(pool, _pool -> new RecentPeak(DEMAND_RETENTION))
+                .add(demand.applyAsInt(pool), tick.now());
         ScalingPolicy.desired(terms, endpoints.get(0).slots(), peak)
                 .forEach((zone, desired) ->
-                        compare(tick, new Place(pool, zone), desired, working.getOrDefault(zone, 0), terms));
+                        adjust(tick, new PoolZone(pool, zone), desired, working.getOrDefault(zone, 0), terms));
     }
 
     /**
-     * Orders endpoints for a pool in an availability zone, if those that are there are not those that should be.
+     * Orders endpoints for a pool in an availability zone, if the desired number differs or endpoints are missing.
      *
      * @param tick The tick.
-     * @param place The pool and the availability zone.
-     * @param desired The number that there should be.
-     * @param working The number that work.
-     * @param terms What the cloud offers.
+     * @param poolZone The pool and the availability zone.
+     * @param desired The desired number of endpoints.
+     * @param working The number of working endpoints.
+     * @param terms The terms of the pool.
      */
-    private void compare(Tick tick, Place place, int desired, int working, ScalingTerms terms) {
+    private void adjust(Tick tick, PoolZone poolZone, int desired, int working, ScalingTerms terms) {
         ScalingRow row =
-                rows.find(place).orElseGet(() -> new ScalingRow(Math.max(working, terms.minimum()), tick.now()));
-        boolean raises = desired > row.ordered();
-        boolean lowers = knowsDemand(tick) && desired < row.ordered() * LOWERING_SHARE;
-        int wanted = raises || lowers ? desired : row.ordered();
-        boolean lacks = working < wanted && !tick.now().isBefore(row.dueAt());
-        boolean changes = wanted != row.ordered();
-        if (!changes && !lacks) {
-            rows.put(place, row);
+                rows.find(poolZone).orElseGet(() -> new ScalingRow(Math.max(working, terms.minimum()), tick.now()));
+        boolean scalesUp = desired > row.ordered();
+        boolean scalesDown = hasFullDemandHistory(tick) && desired < row.ordered() * SCALE_DOWN_SHARE;
+        int wanted = scalesUp || scalesDown ? desired : row.ordered();
+        boolean endpointsMissing = working < wanted && !tick.now().isBefore(row.dueAt());
+        boolean orderChanges = wanted != row.ordered();
+        if (!orderChanges && !endpointsMissing) {
+            rows.put(poolZone, row);
             return;
         }
         rows.put(
-                place, new ScalingRow(wanted, tick.now().plus(terms.startTime()).plus(SLACK)));
-        order(tick, place, wanted, working);
+                poolZone,
+                new ScalingRow(wanted, tick.now().plus(terms.startTime()).plus(ORDER_MARGIN)));
+        order(tick, poolZone, wanted, working);
     }
 
     /**
-     * Returns whether this node has seen the demand for as long as it counts. Until then fewer endpoints are not
-     * ordered: a new holder does not know what was asked for just before.
+     * Returns whether this node has observed the demand for the whole retention time. Until then it does not order
+     * fewer endpoints, because a new holder does not know the demand just before its takeover.
      *
      * @param tick The tick.
-     * @return {@code true} if it has.
+     * @return {@code true} if it has observed the demand for the whole retention time.
      */
-    private boolean knowsDemand(Tick tick) {
-        return tick.now().since(settlingSince.orElseThrow()).compareTo(DEMAND_MEMORY) >= 0;
+    private boolean hasFullDemandHistory(Tick tick) {
+        return tick.now().since(settlingSince.orElseThrow()).compareTo(DEMAND_RETENTION) >= 0;
     }
 
     /**
      * Sends an order.
      *
      * @param tick The tick.
-     * @param place The pool and the availability zone.
-     * @param wanted The number that there should be.
-     * @param working The number that work.
+     * @param poolZone The pool and the availability zone.
+     * @param wanted The number of endpoints to order.
+     * @param working The number of working endpoints.
      */
-    private void order(Tick tick, Place place, int wanted, int working) {
+    private void order(Tick tick, PoolZone poolZone, int wanted, int working) {
         OptionalLong fence = lease.permission();
         if (fence.isEmpty()) {
             return;
         }
         lease.recordAction();
-        tick.emit(new ScalingEffect.Order(place.pool(), place.zone(), wanted, lease.holderName(), fence.getAsLong()));
+        tick.emit(new ScalingEffect.Order(
+                poolZone.pool(), poolZone.zone(), wanted, lease.holderName(), fence.getAsLong()));
         tick.decide(Decision.of(
-                "scaling", place.pool() + " " + place.zone(), Integer.toString(wanted), "working " + working));
+                "scaling", poolZone.pool() + " " + poolZone.zone(), Integer.toString(wanted), "working " + working));
     }
 
     /**
-     * Takes what became of an order. One that did not take effect is sent again a short time later.
+     * Handles the outcome of an order. An order that did not take effect is repeated after a delay.
      *
      * @param tick The tick.
-     * @param ordered What became of it.
+     * @param ordered The outcome.
      */
-    private void takeOutcome(Tick tick, ScalingEvent.Ordered ordered) {
+    private void handleOutcome(Tick tick, ScalingEvent.Ordered ordered) {
         lease.recordAction();
-        Place place = new Place(ordered.pool(), ordered.zone());
+        PoolZone poolZone = new PoolZone(ordered.pool(), ordered.zone());
         tick.decide(Decision.of(
                 "scaling-answer",
-                place.pool() + " " + place.zone(),
+                poolZone.pool() + " " + poolZone.zone(),
                 ordered.outcome().name(),
                 "answer of the cloud"));
         if (ordered.outcome() == DutyOutcome.DONE) {
             return;
         }
-        Duration pause = ordered.outcome() == DutyOutcome.EXHAUSTED ? EXHAUSTED_TIME : RETRY_TIME;
-        rows.find(place)
-                .ifPresent(row ->
-                        rows.put(place, new ScalingRow(row.ordered(), tick.now().plus(pause))));
+        Duration delay = ordered.outcome() == DutyOutcome.EXHAUSTED ? EXHAUSTED_RETRY_DELAY : RETRY_DELAY;
+        rows.find(poolZone)
+                .ifPresent(row -> rows.put(
+                        poolZone, new ScalingRow(row.ordered(), tick.now().plus(delay))));
     }
 
     /**
@@ -220,5 +223,5 @@
      * @param pool The pool.
      * @param zone The availability zone.
      */
-    private record Place(PoolName pool, AvailabilityZone zone) {}
+    private record PoolZone(PoolName pool, AvailabilityZone zone) {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/scaling/ScalingTerms.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/scaling/ScalingTerms.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 
 /**
- * What the cloud offers for a pool.
+ * The terms on which the cloud provides endpoints for a pool.
  *
- * @param minimum The least number of endpoints in an availability zone.
- * @param maximum The largest number of endpoints in an availability zone.
- * @param startTime How long a new endpoint takes until it serves.
- * @param prices What a second of an endpoint costs in each availability zone, against each other.
+ * @param minimum The minimum number of endpoints in an availability zone.
+ * @param maximum The maximum number of endpoints in an availability zone.
+ * @param startTime The time from the order of an endpoint until it serves requests.
+ * @param prices The relative price of one second of an endpoint in each availability zone.
  */
 public record ScalingTerms(int minimum, int maximum, Duration startTime, Map<AvailabilityZone, Double> prices) {
 
@@ -18,17 +18,18 @@
     public ScalingTerms {
         prices = Map.copyOf(prices);
         if (minimum < 0 || maximum < minimum) {
-            throw new IllegalArgumentException("Not bounds of a number of endpoints: " + minimum + " to " + maximum);
+            throw new IllegalArgumentException(
+                    "Invalid bounds of the number of endpoints: " + minimum + " to " + maximum);
         }
     }
 
     /**
-     * Keeps a number within the bounds.
+     * Clamps a number of endpoints to the bounds.
      *
      * @param wanted The number.
-     * @return The number, or the bound that is nearest.
+     * @return The number, or the nearest bound.
      */
-    int bounded(int wanted) {
+    int clamp(int wanted) {
         return Math.max(minimum, Math.min(maximum, wanted));
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/scaling/package-info.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/scaling/package-info.java
@@ -1,2 +1,2 @@
-/** How many endpoints a pool has in each availability zone, where the cloud can be asked for more or fewer. */
+/** Scales the number of endpoints of a pool in each availability zone, where the cloud supports it. */
 package io.yuccaswitch.core.scaling;
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/scaling/ScalingPolicyTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/scaling/ScalingPolicyTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** How many endpoints there should be. */
+/** Tests the desired number of endpoints. */
 final class ScalingPolicyTest {
 
     private static final AvailabilityZone NEAR = new AvailabilityZone("near");
@@ -16,12 +16,12 @@
             new ScalingTerms(1, 5, Duration.ofSeconds(4), Map.of(NEAR, 1.0, FAR, 0.5));
 
     @Test
-    void eachOpenRequestHasAPlaceAndZonesShareThem() {
+    void eachOpenRequestHasASlotAndZonesShareTheEndpoints() {
         assertThat(ScalingPolicy.desired(TERMS, 8, 33)).isEqualTo(Map.of(FAR, 3, NEAR, 2));
     }
 
     @Test
-    void noZoneHasMoreOrFewerThanItsBounds() {
+    void noZoneHasFewerOrMoreEndpointsThanItsBounds() {
         assertThat(ScalingPolicy.desired(TERMS, 8, 1000)).isEqualTo(Map.of(FAR, 5, NEAR, 5));
         assertThat(ScalingPolicy.desired(TERMS, 8, 0)).isEqualTo(Map.of(FAR, 1, NEAR, 1));
     }
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/scaling/ScalingSystemTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/scaling/ScalingSystemTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Which endpoints are ordered from the cloud, when, and by whom. */
+/** Tests which node orders which endpoints from the cloud, and when. */
 final class ScalingSystemTest {
 
     private static final PoolName POOL = new PoolName("sampler");
@@ -35,7 +35,7 @@
     private final TestSite site = new TestSite();
     private final List<TestNode> nodes = new ArrayList<>();
     private final List<ScalingEffect.Order> orders = new ArrayList<>();
-    private DutyOutcome answer = DutyOutcome.DONE;
+    private DutyOutcome outcome = DutyOutcome.DONE;
     private int demand;
 
     @BeforeEach
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void aDemandIsMetInAllZonesAndOrderedOnceForEach() {
+    void demandIsOrderedOnceInEachZone() {
         register("far-1", "far");
         site.run(Duration.ofSeconds(8));
         demand = 60;
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void aDemandThatComesAndGoesOrdersNothingInTurn() {
+    void fluctuatingDemandDoesNotCauseAlternatingOrders() {
         register("far-1", "far");
         site.run(Duration.ofSeconds(8));
         for (int step = 0; step < 20; step++) {
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void fewerAreOrderedOnceTheDemandHasBeenLowForLong() {
+    void fewerEndpointsAreOrderedAfterDemandHasBeenLowForTheRetentionTime() {
         register("far-1", "far");
         register("far-2", "far");
         register("far-3", "far");
@@ -100,35 +100,35 @@
     }
 
     @Test
-    void anOrderThatWasLostIsSentAgainUntilItHolds() {
+    void aLostOrderIsRepeatedUntilItTakesEffect() {
         register("far-1", "far");
         site.run(Duration.ofSeconds(8));
         demand = 32;
-        answer = DutyOutcome.UNANSWERED;
+        outcome = DutyOutcome.UNANSWERED;
         site.run(Duration.ofSeconds(5));
-        int lost = orders.size();
-        assertThat(lost).isGreaterThan(2);
-        answer = DutyOutcome.DONE;
+        int lostOrders = orders.size();
+        assertThat(lostOrders).isGreaterThan(2);
+        outcome = DutyOutcome.DONE;
         register("near-2", "near");
         register("far-2", "far");
         site.run(Duration.ofSeconds(3));
-        int held = orders.size();
+        int ordersInEffect = orders.size();
         site.run(Duration.ofSeconds(30));
-        assertThat(orders).hasSize(held);
+        assertThat(orders).hasSize(ordersInEffect);
     }
 
     @Test
-    void endpointsThatAreNotToBeHadAreAskedForNowAndThenOnly() {
+    void unavailableEndpointsAreOrderedAtALowRate() {
         register("far-1", "far");
         site.run(Duration.ofSeconds(8));
         demand = 32;
-        answer = DutyOutcome.EXHAUSTED;
+        outcome = DutyOutcome.EXHAUSTED;
         site.run(Duration.ofSeconds(20));
         assertThat(orders.size()).isBetween(6, 10);
     }
 
     @Test
-    void whatIsLostIsOrderedAgain() {
+    void lostEndpointsAreOrderedAgain() {
         register("far-1", "far");
         register("far-2", "far");
         register("near-2", "near");
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void aSuccessorOrdersUnderAHigherFence() {
+    void aSuccessorOrdersWithAHigherFencingNumber() {
         register("far-1", "far");
         site.run(Duration.ofSeconds(8));
         demand = 16;
@@ -172,7 +172,7 @@
     private void serveCloud(TestNode node) {
         for (ScalingEffect.Order order : node.take(ScalingEffect.Order.class)) {
             orders.add(order);
-            node.accept(new ScalingEvent.Ordered(order.pool(), order.zone(), answer));
+            node.accept(new ScalingEvent.Ordered(order.pool(), order.zone(), outcome));
         }
     }
 
