--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/account/Account.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/account/Account.java
@@ -4,10 +4,10 @@
 import java.util.OptionalInt;
 
 /**
- * A client account, as the configuration names it.
+ * A client account of the configuration.
  *
  * @param name The name.
- * @param priority The rank of its requests, where 0 is the highest; it goes before the rank of their route.
+ * @param priority The priority of its requests, where 0 is the highest; it overrides the priority of their route.
  * @param keys The digests of its API keys.
  */
 public record Account(AccountName name, OptionalInt priority, List<KeyDigest> keys) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/account/AccountDirectory.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/account/AccountDirectory.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The accounts of one configuration, found by the digests of their keys. */
+/** The client accounts of one configuration, indexed by the digests of their keys. */
 public final class AccountDirectory {
 
     /** The directory of a site that has no accounts. */
@@ -17,32 +17,32 @@
     /** The accounts by the digests of their keys. */
     private final Map<KeyDigest, Account> byKey = new HashMap<>();
 
-    /** Whether the site has accounts, be it that none has a key. */
+    /** Whether the site uses accounts, even if none of them has a key. */
     private final boolean inUse;
 
     /**
      * Creates a directory.
      *
      * @param accounts The accounts.
-     * @param inUse Whether the site has accounts.
+     * @param inUse Whether the site uses accounts.
      */
     private AccountDirectory(Collection<Account> accounts, boolean inUse) {
         this.inUse = inUse;
-        Set<KeyDigest> shared = new HashSet<>();
+        Set<KeyDigest> ambiguous = new HashSet<>();
         for (Account account : accounts) {
             for (KeyDigest key : account.keys()) {
                 Account other = byKey.putIfAbsent(key, account);
                 if (other != null && !other.name().equals(account.name())) {
-                    shared.add(key);
+                    ambiguous.add(key);
                 }
             }
         }
-        byKey.keySet().removeAll(shared);
+        byKey.keySet().removeAll(ambiguous);
     }
 
     /**
-     * Creates the directory of a site with accounts. A key that stands with two accounts opens neither, as it does not
-     * tell whose a request is.
+     * Creates the directory of a site with accounts. A key that is listed for two accounts authenticates neither,
+     * because it does not identify the caller.
      *
      * @param accounts The accounts.
      * @return The directory.
@@ -52,22 +52,22 @@
     }
 
     /**
-     * Tells whether requests have to bear a key.
+     * Returns whether requests must present a key.
      *
-     * @return {@code true} if the site has accounts.
+     * @return {@code true} if the site uses accounts.
      */
     public boolean isInUse() {
         return inUse;
     }
 
     /**
-     * Finds out whose a request is.
+     * Authenticates a request.
      *
-     * @param credential What the request presents.
-     * @param open Whether the request may come without a key.
-     * @return Whose it is, or empty if it is to be turned away.
+     * @param credential The credential that the request presents.
+     * @param anonymousAllowed Whether the request is accepted without a valid key.
+     * @return The account of the request, or empty if the request must be rejected.
      */
-    public Optional<ClientAccount> authenticate(Credential credential, boolean open) {
+    public Optional<ClientAccount> authenticate(Credential credential, boolean anonymousAllowed) {
         if (!inUse) {
             return Optional.of(new ClientAccount.Unchecked());
         }
@@ -75,6 +75,6 @@
                 ? Optional.ofNullable(byKey.get(key.digest()))
                         .map(account -> new ClientAccount.Named(account.name(), account.priority()))
                 : Optional.empty();
-        return named.isEmpty() && open ? Optional.of(new ClientAccount.Anonymous()) : named;
+        return named.isEmpty() && anonymousAllowed ? Optional.of(new ClientAccount.Anonymous()) : named;
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/account/AccountName.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/account/AccountName.java
@@ -5,17 +5,17 @@
 /**
  * The name of a client account.
  *
- * @param value The text, which becomes part of the names of objects on the platform.
+ * @param value The name, which becomes part of the names of objects on the platform.
  */
 public record AccountName(String value) implements Comparable<AccountName> {
 
-    /** What a name may consist of. */
+    /** The allowed names. */
     private static final Pattern PATTERN = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,99}");
 
-    /** Checks the text. */
+    /** Validates the name. */
     public AccountName {
         if (!PATTERN.matcher(value).matches()) {
-            throw new IllegalArgumentException("Not the name of an account: '" + value + "'");
+            throw new IllegalArgumentException("Invalid account name: '" + value + "'");
         }
     }
 
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/account/ClientAccount.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/account/ClientAccount.java
@@ -3,33 +3,33 @@
 import java.util.Optional;
 import java.util.OptionalInt;
 
-/** Whose a request is. */
+/** The account to which a request belongs. */
 public sealed interface ClientAccount {
 
     /**
-     * Returns the name that endpoints are told.
+     * Returns the account name that is forwarded to endpoints.
      *
      * @return The name, or empty if the request belongs to no account.
      */
     Optional<AccountName> name();
 
     /**
-     * Tells whether the request's own headers on accounts are the node's to remove or replace.
+     * Returns whether the node removes or replaces the account headers of the request.
      *
-     * @return {@code true} if the site has accounts.
+     * @return {@code true} if the site uses accounts.
      */
     boolean isChecked();
 
     /**
-     * Returns the rank that goes before that of the route.
+     * Returns the priority that overrides the priority of the route.
      *
-     * @return The rank, or empty if the account has none.
+     * @return The priority, or empty if the account has none.
      */
     default OptionalInt priority() {
         return OptionalInt.empty();
     }
 
-    /** A request at a site that has no accounts. Its headers on accounts mean nothing here and go through. */
+    /** A request at a site without accounts. Its account headers are not interpreted and are forwarded unchanged. */
     record Unchecked() implements ClientAccount {
 
         @Override
@@ -43,7 +43,7 @@
         }
     }
 
-    /** A request of nobody in particular, on a route that demands no key. */
+    /** A request without an account, on a route that requires no key. */
     record Anonymous() implements ClientAccount {
 
         @Override
@@ -61,7 +61,7 @@
      * A request of an account.
      *
      * @param account The name of the account.
-     * @param priority The rank of its requests, if it has one.
+     * @param priority The priority of its requests, or empty if the account has none.
      */
     record Named(AccountName account, OptionalInt priority) implements ClientAccount {
 
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/account/Credential.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/account/Credential.java
@@ -1,12 +1,12 @@
 package io.yuccaswitch.core.account;
 
-/** What a request presents to tell whose it is. */
+/** The credential by which a request identifies its account. */
 public sealed interface Credential {
 
-    /** The request presents nothing. */
+    /** The request presents no credential. */
     record Absent() implements Credential {}
 
-    /** The request presents something that is not one key, such as two keys at once. */
+    /** The request presents a credential that is not a single key, for example two keys. */
     record Unreadable() implements Credential {}
 
     /**
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/account/KeyDigest.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/account/KeyDigest.java
@@ -5,20 +5,20 @@
 import java.util.regex.Pattern;
 
 /**
- * The SHA-256 digest of an API key. Keys themselves are neither kept nor passed on; a look-up by digest takes a time
- * that does not tell how much of a guessed key is right.
+ * The SHA-256 digest of an API key. The keys themselves are neither stored nor forwarded. The duration of a look-up by
+ * digest does not reveal how much of a guessed key is correct.
  *
  * @param value The digest in lower-case hexadecimal digits.
  */
 public record KeyDigest(String value) {
 
-    /** The form of a digest. */
+    /** The allowed digests. */
     private static final Pattern PATTERN = Pattern.compile("[0-9a-f]{64}");
 
-    /** Checks the form. */
+    /** Validates the digest. */
     public KeyDigest {
         if (!PATTERN.matcher(value).matches()) {
-            throw new IllegalArgumentException("Not a digest of a key");
+            throw new IllegalArgumentException("Invalid key digest: not 64 lower-case hexadecimal digits");
         }
     }
 
@@ -33,7 +33,7 @@
                 Hashing.sha256().hashString(key, StandardCharsets.UTF_8).toString());
     }
 
-    /** Does not show the digest, which a short key could be found by. */
+    /** Omits the digest, because a short key could be recovered from it. */
     @Override
     public String toString() {
         return "KeyDigest";
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/account/package-info.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/account/package-info.java
@@ -1,2 +1,2 @@
-/** Client accounts: whose API key a request bears, and what that lets it do. */
+/** Client accounts: identifies the account of a request by its API key, and determines its permissions. */
 package io.yuccaswitch.core.account;
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/account/AccountDirectoryTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/account/AccountDirectoryTest.java
@@ -16,16 +16,16 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** Whose a request is, by the key that it bears. */
+/** Tests the authentication of requests by their keys. */
 final class AccountDirectoryTest {
 
     @Test
-    void aSiteWithoutAccountsChecksNothing() {
+    void aSiteWithoutAccountsChecksNoKeys() {
         assertThat(AccountDirectory.NONE.authenticate(key("any"), false)).contains(new ClientAccount.Unchecked());
     }
 
     @Test
-    void aKeyOpensItsOwnAccountWithItsPriority() {
+    void aKeyAuthenticatesItsAccountWithItsPriority() {
         AccountDirectory directory = AccountDirectory.of(List.of(
                 account("first", "key-1"),
                 new Account(new AccountName("second"), OptionalInt.of(1), List.of(KeyDigest.of("key-2")))));
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void aKeyThatStandsWithTwoAccountsOpensNeither() {
+    void aKeyOfTwoAccountsAuthenticatesNeither() {
         AccountDirectory directory =
                 AccountDirectory.of(List.of(account("first", "shared", "own"), account("second", "shared")));
         assertThat(directory.authenticate(key("shared"), false)).isEmpty();
@@ -42,14 +42,14 @@
     }
 
     @Test
-    void anAccountThatHasLostAllItsKeysIsOpenedByNone() {
+    void anAccountWithoutKeysCannotBeAuthenticated() {
         AccountDirectory directory = AccountDirectory.of(List.of(account("first")));
         assertThat(directory.authenticate(key("key-1"), false)).isEmpty();
         assertThat(directory.authenticate(new Credential.Absent(), false)).isEmpty();
     }
 
     @Test
-    void anOpenRouteServesWhoeverComesAndStillKnowsAnAccountByItsKey() {
+    void anOpenRouteAcceptsAnonymousRequestsAndStillIdentifiesAccountsByKey() {
         AccountDirectory directory = AccountDirectory.of(List.of(account("first", "key-1")));
         assertThat(directory.authenticate(new Credential.Absent(), true)).contains(new ClientAccount.Anonymous());
         assertThat(directory.authenticate(new Credential.Unreadable(), true)).contains(new ClientAccount.Anonymous());
@@ -58,13 +58,13 @@
     }
 
     @Test
-    void aDigestIsNotShown() {
+    void toStringDoesNotRevealTheDigest() {
         assertThat(KeyDigest.of("secret").toString())
                 .doesNotContain(KeyDigest.of("secret").value());
     }
 
     @Property(tries = 500)
-    void overAnySuccessionOfKeysARequestIsOfTheAccountThatHoldsItsKeyNow(
+    void afterAnySequenceOfKeyChangesARequestBelongsToTheCurrentHolderOfItsKey(
             @ForAll @Size(max = 40) List<@IntRange(max = 99) Integer> changes, @ForAll @IntRange(max = 9) int asked) {
         Map<Integer, Set<Integer>> holders = new HashMap<>();
         for (int change : changes) {
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/account/KeysInForceTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/account/KeysInForceTest.java
@@ -22,33 +22,33 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Keys that are given and taken away in quick succession, at several nodes of which some are turned away by the
- * platform, start again, or meet a platform that has forgotten its history: each node answers as a plain model of the
- * configurations allows.
+ * Compares the nodes with a simple model of the configurations while keys are added and removed in quick succession.
+ * Meanwhile, platform calls fail, nodes restart, and the platform compacts its history. A failure means that a node
+ * applies an outdated configuration for too long or reverts to an older one.
  */
 final class KeysInForceTest {
 
     private static final int HISTORIES = 60;
     private static final int CHANGES = 25;
     private static final int KEYS = 6;
-    private static final Duration IN_FORCE = Duration.ofSeconds(3);
+    private static final Duration MAXIMUM_CONFIGURATION_DELAY = Duration.ofSeconds(3);
     private static final List<String> NODES = List.of("node-1", "node-2", "node-3", "node-4", "node-5");
 
     @Test
-    void everyNodeAnswersByAConfigurationThatMayBeInForceAndNeverByAnOlderOneAgain() {
+    void everyNodeAppliesARecentConfigurationAndNeverRevertsToAnOlderOne() {
         for (int seed = 1; seed <= HISTORIES; seed++) {
-            new History(seed).play();
+            new History(seed).run();
         }
     }
 
-    /** One history. */
+    /** One random history. */
     private static final class History {
 
         private final int seed;
         private final Random random;
         private final TestSite site = new TestSite();
         private final Map<String, RouteConfigurationSystem> systems = new HashMap<>();
-        private final Map<String, Long> heldVersions = new HashMap<>();
+        private final Map<String, Long> appliedVersions = new HashMap<>();
         private final TreeMap<Long, Change> changes = new TreeMap<>();
         private final Map<Integer, Integer> accounts = new TreeMap<>();
 
@@ -57,26 +57,26 @@
             random = new Random(seed);
         }
 
-        private void play() {
+        private void run() {
             site.connect((_from, _to) -> false);
             change();
             NODES.forEach(this::start);
             site.run(Duration.ofSeconds(2));
             for (int i = 0; i < CHANGES; i++) {
                 change();
-                strike();
+                injectFault();
                 for (int step = 0; step < 5; step++) {
                     site.run(Duration.ofMillis(20 + random.nextInt(150)));
                     NODES.forEach(this::check);
                 }
             }
             site.platform().failWhere((_node, _call) -> false);
-            site.run(IN_FORCE);
+            site.run(MAXIMUM_CONFIGURATION_DELAY);
             NODES.forEach(this::check);
         }
 
         private void start(String name) {
-            heldVersions.remove(name);
+            appliedVersions.remove(name);
             site.start(name, (self, tokens) -> {
                 RouteConfigurationSystem routes =
                         new RouteConfigurationSystem(new SharedWatches(self), tokens, KeysInForceTest::decode);
@@ -99,7 +99,7 @@
             changes.put(version, new Change(site.now().nanoseconds(), Map.copyOf(accounts)));
         }
 
-        private void strike() {
+        private void injectFault() {
             String name = NODES.get(random.nextInt(NODES.size()));
             switch (random.nextInt(6)) {
                 case 0 -> site.platform().failWhere((node, _call) -> node.equals(name));
@@ -111,28 +111,28 @@
         }
 
         private void check(String name) {
-            Optional<RouteConfiguration> held = systems.get(name).inForce();
-            if (held.isEmpty()) {
+            Optional<RouteConfiguration> applied = systems.get(name).inForce();
+            if (applied.isEmpty()) {
                 return;
             }
-            long version = held.get().version();
+            long version = applied.get().version();
             assertThat(version)
-                    .as("seed %d, %s goes back", seed, name)
-                    .isGreaterThanOrEqualTo(heldVersions.getOrDefault(name, 0L));
-            heldVersions.put(name, version);
-            long old = site.now().nanoseconds() - IN_FORCE.toNanos();
-            long least = changes.entrySet().stream()
-                    .filter(entry -> entry.getValue().at() <= old)
+                    .as("seed %d, %s reverts to an older configuration", seed, name)
+                    .isGreaterThanOrEqualTo(appliedVersions.getOrDefault(name, 0L));
+            appliedVersions.put(name, version);
+            long propagatedBy = site.now().nanoseconds() - MAXIMUM_CONFIGURATION_DELAY.toNanos();
+            long minimumVersion = changes.entrySet().stream()
+                    .filter(entry -> entry.getValue().acknowledgedAtNanos() <= propagatedBy)
                     .mapToLong(Map.Entry::getKey)
                     .max()
                     .orElse(0);
             for (int key = 0; key < KEYS; key++) {
                 int asked = key;
                 Set<Optional<Integer>> allowed = new HashSet<>();
-                changes.tailMap(least, true).values().forEach(change -> allowed.add(change.accountOf(asked)));
+                changes.tailMap(minimumVersion, true).values().forEach(change -> allowed.add(change.accountOf(asked)));
                 assertThat(allowed)
                         .as("seed %d, key %d at %s under version %d", seed, key, name, version)
-                        .contains(accountOf(held.get(), key));
+                        .contains(accountOf(applied.get(), key));
             }
         }
 
@@ -164,8 +164,8 @@
                 Map.of()));
     }
 
-    /** A configuration: when the platform acknowledged it, and the accounts by their keys. */
-    private record Change(long at, Map<Integer, Integer> accounts) {
+    /** A configuration: when the platform acknowledged it, and the account of each key. */
+    private record Change(long acknowledgedAtNanos, Map<Integer, Integer> accounts) {
 
         Optional<Integer> accountOf(int key) {
             return Optional.ofNullable(accounts.get(key));
