--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/EngineAssignment.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/EngineAssignment.java
@@ -13,35 +13,36 @@
 import java.util.Set;
 
 /**
- * Which model each engine of a pool is kept up to date for. Each load has a price, so the models share the engines
- * evenly, and an engine changes its model only where the shares differ by two or more.
+ * The assignment of models to the engines of a pool. Each engine is kept up to date for one model. Because loads are
+ * expensive, the models share the engines evenly, and an engine changes its model only if the shares differ by two or
+ * more.
  */
 final class EngineAssignment {
 
-    /** The models of the engines. */
+    /** The assigned models by engine. */
     private final Map<EndpointName, String> models = new HashMap<>();
 
     /**
-     * Adapts the assignment to the engines that there are.
+     * Updates the assignment to the current engines.
      *
      * @param engines The working engines of one pool.
      * @param served The models that the pool serves.
-     * @param named The newest versions, by model.
+     * @param newestVersions The newest versions, by model.
      */
-    void adapt(List<RegisteredEndpoint> engines, Collection<String> served, Map<String, Long> named) {
+    void update(List<RegisteredEndpoint> engines, Collection<String> served, Map<String, Long> newestVersions) {
         if (served.isEmpty()) {
             return;
         }
-        Set<EndpointName> present = new HashSet<>();
-        engines.forEach(engine -> present.add(engine.name()));
-        models.keySet().removeIf(name -> !present.contains(name));
+        Set<EndpointName> current = new HashSet<>();
+        engines.forEach(engine -> current.add(engine.name()));
+        models.keySet().removeIf(name -> !current.contains(name));
         models.values().removeIf(model -> !served.contains(model));
-        List<RegisteredEndpoint> free = new ArrayList<>(engines);
-        free.removeIf(engine -> models.containsKey(engine.name()));
-        free.sort(Comparator.comparing(RegisteredEndpoint::name));
+        List<RegisteredEndpoint> unassigned = new ArrayList<>(engines);
+        unassigned.removeIf(engine -> models.containsKey(engine.name()));
+        unassigned.sort(Comparator.comparing(RegisteredEndpoint::name));
         int share = (engines.size() + served.size() - 1) / served.size();
-        for (RegisteredEndpoint engine : free) {
-            models.put(engine.name(), bestFor(engine, served, named, share));
+        for (RegisteredEndpoint engine : unassigned) {
+            models.put(engine.name(), bestFor(engine, served, newestVersions, share));
         }
         balance(served);
     }
@@ -57,38 +58,39 @@
     }
 
     /**
-     * Finds the model for an engine without one: that of which it lags least, as long as the model's share is not full.
+     * Finds the model for an unassigned engine: among the models without a full share, the one of which it lags least.
      *
      * @param engine The engine.
      * @param served The models that the pool serves.
-     * @param named The newest versions, by model.
-     * @param share The number of engines of a full share.
+     * @param newestVersions The newest versions, by model.
+     * @param share The number of engines in a full share.
      * @return The model.
      */
-    private String bestFor(RegisteredEndpoint engine, Collection<String> served, Map<String, Long> named, int share) {
+    private String bestFor(
+            RegisteredEndpoint engine, Collection<String> served, Map<String, Long> newestVersions, int share) {
         return served.stream()
                 .min(Comparator.comparing((String model) -> count(model) >= share)
-                        .thenComparingLong(model -> lag(engine, model, named))
+                        .thenComparingLong(model -> lag(engine, model, newestVersions))
                         .thenComparingLong(this::count)
                         .thenComparing(Comparator.naturalOrder()))
                 .orElseThrow();
     }
 
     /**
-     * Returns by how many versions an engine lags.
+     * Returns the number of versions by which an engine lags.
      *
      * @param engine The engine.
      * @param model The model.
-     * @param named The newest versions, by model.
+     * @param newestVersions The newest versions, by model.
      * @return The number of versions.
      */
-    private static long lag(RegisteredEndpoint engine, String model, Map<String, Long> named) {
+    private static long lag(RegisteredEndpoint engine, String model, Map<String, Long> newestVersions) {
         long version = engine.version(model).orElse(0);
-        return Math.max(0, named.getOrDefault(model, version) - version);
+        return Math.max(0, newestVersions.getOrDefault(model, version) - version);
     }
 
     /**
-     * Counts the engines of a model.
+     * Counts the engines that are assigned to a model.
      *
      * @param model The model.
      * @return The number of engines.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/EngineOrderRow.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/EngineOrderRow.java
@@ -5,14 +5,14 @@
 import java.time.Duration;
 
 /**
- * An engine that is being brought to a version.
+ * An engine that is being updated to a version.
  *
  * @param engine The engine.
  * @param model The model.
  * @param version The version.
- * @param stage What is in progress.
- * @param dueAt When the next step is due, unless an answer comes first.
- * @param givenUpAt When the engine is looked at anew.
+ * @param stage The current stage.
+ * @param dueAt When the next step is due, unless an answer arrives earlier.
+ * @param timeoutAt When the update times out and the engine is evaluated again.
  */
 record EngineOrderRow(
         RegisteredEndpoint engine,
@@ -20,22 +20,22 @@
         long version,
         Stage stage,
         MonotonicTime dueAt,
-        MonotonicTime givenUpAt) {
+        MonotonicTime timeoutAt) {
 
     /**
      * Returns the row at another stage.
      *
      * @param next The stage.
-     * @param now The present.
-     * @param time How long the stage may take.
+     * @param now The current time.
+     * @param delay The time until the next step is due.
      * @return The row.
      */
-    EngineOrderRow withStage(Stage next, MonotonicTime now, Duration time) {
-        return new EngineOrderRow(engine, model, version, next, now.plus(time), givenUpAt);
+    EngineOrderRow withStage(Stage next, MonotonicTime now, Duration delay) {
+        return new EngineOrderRow(engine, model, version, next, now.plus(delay), timeoutAt);
     }
 
     /**
-     * Returns whether the engine may load, such that it counts towards those that load at once.
+     * Returns whether the engine may be loading, and so counts towards the limit of concurrent loads.
      *
      * @return {@code false} for an engine that does not answer.
      */
@@ -44,27 +44,27 @@
     }
 
     /**
-     * Returns whether the engine was asked for its report.
+     * Returns whether a request for the engine's report is pending.
      *
-     * @return {@code true} if it was, and has not answered yet.
+     * @return {@code true} if a report was requested and has not arrived yet.
      */
     boolean awaitsReport() {
         return stage == Stage.READING || stage == Stage.PROBING;
     }
 
-    /** What is in progress at an engine. */
+    /** The stages of an update. */
     enum Stage {
-        /** The engine's report was asked for. */
+        /** The engine's report was requested. */
         READING,
-        /** The next report is asked for at the due time. */
+        /** The next report is requested at the due time. */
         WAITING,
-        /** The engine did not answer. It is asked again at the due time. */
+        /** The engine did not answer. Its report is requested again at the due time. */
         UNREACHABLE,
-        /** The engine, which did not answer before, was asked for its report again. */
+        /** The report of an engine that did not answer was requested again. */
         PROBING,
         /** The order was sent. */
         ORDERING,
-        /** The engine loads the version. */
+        /** The engine is loading the version. */
         LOADING
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/EngineReport.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/EngineReport.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 
 /**
- * What an engine says of the orders it carries out.
+ * The report of an engine about the orders that it executes.
  *
- * @param incarnation Which start of the engine reports, or {@link EndpointName#UNTOLD}.
- * @param busy Whether it is carrying out an order.
- * @param sequence The number of orders that it has accepted since it started.
+ * @param incarnation The incarnation of the engine, or {@link EndpointName#UNTOLD}.
+ * @param busy Whether the engine is executing an order.
+ * @param sequence The number of orders that the engine has accepted since it started.
  * @param versions The versions of its models.
  */
 public record EngineReport(long incarnation, boolean busy, long sequence, Map<String, Long> versions) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/NamedVersion.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/NamedVersion.java
@@ -1,7 +1,7 @@
 package io.yuccaswitch.core.modelversion;
 
 /**
- * The newest version of a model's weights, as its trainer named it.
+ * The newest version of a model's weights that its trainer has named.
  *
  * @param model The model.
  * @param version The version.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/NamedVersionSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/NamedVersionSystem.java
@@ -20,48 +20,48 @@
 import java.util.TreeMap;
 import java.util.function.Function;
 
-/** Follows the versions that trainers name, while this node has to know them. */
+/** Watches the versions that trainers name, while this node holds the lease. */
 final class NamedVersionSystem implements DecisionSystem {
 
-    /** No gathering: a step waits for its version, and few nodes watch. */
-    private static final Duration GATHERING = Duration.ofMillis(20);
+    /** The batching delay of changes, which is short because a step waits for its version and few nodes watch. */
+    private static final Duration BATCHING_DELAY = Duration.ofMillis(20);
 
-    /** How long one watch waits, which bounds how late a connection that has gone silent is noticed. */
-    private static final Duration WAIT_TIME = Duration.ofSeconds(2);
+    /** The timeout of a watch call, which limits the time until a silent connection is detected. */
+    private static final Duration WATCH_TIMEOUT = Duration.ofSeconds(2);
 
-    /** How often another node is asked for the versions while the platform does not answer this one. */
+    /** The interval of requests to other nodes while the platform does not answer this one. */
     private static final Duration RELAY_INTERVAL = Duration.ofMillis(400);
 
     /** The watch of the versions. */
     private final KindWatch watch;
 
-    /** Reads a version. */
+    /** Decodes a version. */
     private final Function<StoredObject, Optional<NamedVersion>> decoder;
 
-    /** Whether this node gives orders. */
+    /** The lease of the node that gives orders. */
     private final DutyLease lease;
 
     /** The nodes of the site. */
     private final MembershipView membership;
 
-    /** When another node may be asked for the versions. */
-    private MonotonicTime relayAt = MonotonicTime.ZERO;
+    /** When the next request to another node may be sent. */
+    private MonotonicTime nextRelayAt = MonotonicTime.ZERO;
 
-    /** Whether the versions were read. */
+    /** Whether the versions were listed. */
     private boolean listed;
 
     /** The newest versions, by model. */
-    private final Map<String, Long> named = new TreeMap<>();
+    private final Map<String, Long> newestVersions = new TreeMap<>();
 
-    /** When the newest versions were first seen, by model. */
-    private final Map<String, MonotonicTime> namedAt = new HashMap<>();
+    /** When the newest versions were first observed, by model. */
+    private final Map<String, MonotonicTime> observedAt = new HashMap<>();
 
     /**
-     * Creates a system that knows no versions.
+     * Creates a system without versions.
      *
-     * @param tokens Hands out the tokens of calls.
-     * @param decoder Reads a version, or returns empty where it can't be read.
-     * @param lease Whether this node gives orders.
+     * @param tokens Allocates the tokens of calls.
+     * @param decoder Decodes a version, or returns empty if the object is malformed.
+     * @param lease The lease of the node that gives orders.
      * @param membership The nodes of the site.
      */
     NamedVersionSystem(
@@ -69,7 +69,7 @@
             Function<StoredObject, Optional<NamedVersion>> decoder,
             DutyLease lease,
             MembershipView membership) {
-        watch = new KindWatch(VersionSystems.KIND, PlatformPurpose.WEIGHT, tokens, GATHERING, WAIT_TIME);
+        watch = new KindWatch(VersionSystems.KIND, PlatformPurpose.WEIGHT, tokens, BATCHING_DELAY, WATCH_TIMEOUT);
         this.decoder = decoder;
         this.lease = lease;
         this.membership = membership;
@@ -78,37 +78,37 @@
     @Override
     public void run(Tick tick) {
         if (lease.isHeld()) {
-            watch.run(tick).ifPresent(news -> {
+            watch.run(tick).ifPresent(changes -> {
                 listed = true;
-                news.objects().forEach(object -> take(tick, object));
+                changes.objects().forEach(object -> apply(tick, object));
             });
-            askOther(tick);
+            requestFromPeer(tick);
             for (PeerEvent.Received received : tick.events(PeerEvent.Received.class)) {
                 if (received.message() instanceof OrderMessage.VersionsRead read) {
-                    read.versions().forEach(version -> take(tick, version));
+                    read.versions().forEach(version -> apply(tick, version));
                 }
             }
         }
     }
 
     /**
-     * Asks another node for the versions while the platform does not answer this one.
+     * Requests the versions from another node while the platform does not answer this one.
      *
      * @param tick The tick.
      */
-    private void askOther(Tick tick) {
-        if (!lease.isRelaying() || tick.now().isBefore(relayAt)) {
+    private void requestFromPeer(Tick tick) {
+        if (!lease.isRelaying() || tick.now().isBefore(nextRelayAt)) {
             return;
         }
-        relayAt = tick.now().plus(RELAY_INTERVAL);
+        nextRelayAt = tick.now().plus(RELAY_INTERVAL);
         RandomPeer.choose(tick, membership)
                 .ifPresent(node -> tick.emit(new PeerEffect.Send(node, new OrderMessage.ReadVersions())));
     }
 
     /**
-     * Returns whether the versions were read, before which no engine can be told to lag or not.
+     * Returns whether the versions were listed. Before that, it is unknown which engines lag.
      *
-     * @return {@code true} if they were.
+     * @return {@code true} if they were listed.
      */
     boolean isListed() {
         return listed;
@@ -119,46 +119,46 @@
      *
      * @return The versions by model.
      */
-    Map<String, Long> named() {
-        return named;
+    Map<String, Long> newestVersions() {
+        return newestVersions;
     }
 
     /**
-     * Returns for how long the newest version of a model has been known.
+     * Returns the time since the newest version of a model was first observed.
      *
      * @param model The model.
-     * @param now The present.
-     * @return The time, which is zero for a model without a version.
+     * @param now The current time.
+     * @return The time, or zero for a model without a version.
      */
     Duration age(String model, MonotonicTime now) {
-        return now.since(namedAt.getOrDefault(model, now));
+        return now.since(observedAt.getOrDefault(model, now));
     }
 
     /**
-     * Takes a version.
+     * Applies a version that the platform stores.
      *
      * @param tick The tick.
      * @param object The object.
      */
-    private void take(Tick tick, StoredObject object) {
+    private void apply(Tick tick, StoredObject object) {
         if (!object.deleted()) {
-            decoder.apply(object).ifPresent(version -> take(tick, version));
+            decoder.apply(object).ifPresent(version -> apply(tick, version));
         }
     }
 
     /**
-     * Takes a version, if it is newer than the known one.
+     * Applies a version, if it is newer than the recorded one.
      *
      * @param tick The tick.
      * @param version The version.
      */
-    private void take(Tick tick, NamedVersion version) {
-        long before = named.getOrDefault(version.model(), 0L);
-        if (version.version() > before) {
-            named.put(version.model(), version.version());
-            namedAt.put(version.model(), tick.now());
-            tick.decide(
-                    Decision.of("version", version.model(), Long.toString(version.version()), "named after " + before));
+    private void apply(Tick tick, NamedVersion version) {
+        long previous = newestVersions.getOrDefault(version.model(), 0L);
+        if (version.version() > previous) {
+            newestVersions.put(version.model(), version.version());
+            observedAt.put(version.model(), tick.now());
+            tick.decide(Decision.of(
+                    "version", version.model(), Long.toString(version.version()), "named after " + previous));
         }
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/OrderEffect.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/OrderEffect.java
@@ -8,22 +8,22 @@
 public sealed interface OrderEffect extends Effect {
 
     /**
-     * An engine is asked for its report.
+     * Requests the report of an engine.
      *
      * @param engine The engine.
      */
     record ReadReport(RegisteredEndpoint engine) implements OrderEffect {}
 
     /**
-     * An engine is ordered to a version.
+     * Orders an engine to load a version.
      *
      * @param engine The engine.
      * @param model The model.
      * @param version The version.
-     * @param retainsRuns Whether runs in progress go on under the new version, rather than finish first.
+     * @param retainsRuns Whether runs in progress continue with the new version, rather than finish before the load.
      * @param holder The node that gives the order.
      * @param fence The fencing number of its lease.
-     * @param expectedSequence The number of orders that the engine must have accepted before.
+     * @param expectedSequence The number of orders that the engine must have accepted so far.
      */
     record LoadVersion(
             RegisteredEndpoint engine,
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/OrderEvent.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/OrderEvent.java
@@ -4,22 +4,22 @@
 import io.yuccaswitch.core.identity.EndpointName;
 import java.util.Optional;
 
-/** Answers of engines about their versions. */
+/** Answers of engines to report requests and orders. */
 public sealed interface OrderEvent extends Event {
 
     /**
-     * A report was asked for.
+     * A request for a report has completed.
      *
      * @param engine The engine.
-     * @param report The report, or empty if none arrived.
+     * @param report The report, or empty if the engine did not answer.
      */
     record ReportRead(EndpointName engine, Optional<EngineReport> report) implements OrderEvent {}
 
     /**
-     * An order was given.
+     * An order was sent.
      *
      * @param engine The engine.
-     * @param outcome What the engine answered.
+     * @param outcome The outcome.
      */
     record Ordered(EndpointName engine, OrderOutcome outcome) implements OrderEvent {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/OrderOutcome.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/OrderOutcome.java
@@ -1,17 +1,17 @@
 package io.yuccaswitch.core.modelversion;
 
-/** What an engine answered to an order. */
+/** The outcome of an order to an engine. */
 public enum OrderOutcome {
-    /** The engine carries the order out. */
+    /** The engine has started to execute the order. */
     STARTED,
-    /** What the order asks for is so already. */
+    /** The engine is already in the requested state. */
     HOLDS,
-    /** Another order is in progress, or the engine has accepted another order than this node knows of. */
+    /** Another order is in progress, or the engine has accepted an order that this node has not recorded. */
     CONFLICT,
-    /** The engine does not take the order. */
+    /** The engine rejected the order. */
     REJECTED,
-    /** The address belongs to another endpoint now. */
+    /** The address now belongs to another endpoint. */
     GONE,
-    /** No answer arrived, such that the order may still be carried out, also later. */
+    /** No answer arrived, so the engine may still execute the order, possibly later. */
     UNANSWERED
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/VersionOrderSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/VersionOrderSystem.java
@@ -22,42 +22,43 @@
 import java.util.TreeSet;
 
 /**
- * Brings engines to the versions that trainers name, a few at a time, as long as this node is permitted to give orders.
- * Each order follows a report of the engine, names the number of orders that the engine has accepted, and is followed
- * by reports until the version is there.
+ * Updates engines to the versions that trainers name, a few at a time, while this node is permitted to give orders.
+ * Each order follows a report of the engine, contains the number of orders that the engine has accepted, and is
+ * followed by reports until the engine has loaded the version.
  */
 final class VersionOrderSystem implements DecisionSystem {
 
-    /** The share of a pool's engines that load at once; beyond about this share the store of weights is the limit. */
-    private static final double LOADING_SHARE = 0.29;
+    /** The maximum share of a pool's engines that load concurrently; above it the weight store is the bottleneck. */
+    private static final double MAXIMUM_LOADING_SHARE = 0.29;
 
     /**
-     * How long a version is known before engines that lag by it alone are ordered to it. A trainer asks for its next
-     * step as soon as it has named a version, and that step allows the version before; an engine that loads refuses its
-     * first items, which are the longest (40 to 60 starts a step met such an engine, and lost up to 0.6 s).
+     * The delay before engines that lag by one version only are ordered to load a new version. A trainer requests its
+     * next step as soon as it has named a version, and that step also accepts the previous version. An engine that is
+     * loading refuses the first items of the step, which are the longest (40 to 60 starts a step met such an engine and
+     * lost up to 0.6 s).
      */
-    private static final Duration NAMING_DELAY = Duration.ofMillis(300);
+    private static final Duration NEW_VERSION_DELAY = Duration.ofMillis(300);
 
-    /** How long a report may take. */
-    private static final Duration REPORT_TIME = Duration.ofMillis(600);
+    /** The timeout of a report request. */
+    private static final Duration REPORT_TIMEOUT = Duration.ofMillis(600);
 
-    /** How long the answer to an order may take. */
-    private static final Duration ORDER_TIME = Duration.ofMillis(600);
+    /** The timeout of an order. */
+    private static final Duration ORDER_TIMEOUT = Duration.ofMillis(600);
 
-    /** How long a load takes at least, before which no report is worth its price. */
-    private static final Duration LOADING_TIME = Duration.ofSeconds(1);
+    /** The minimum duration of a load. A report requested earlier would only add load to the engine. */
+    private static final Duration MINIMUM_LOADING_TIME = Duration.ofSeconds(1);
 
-    /** The pause between reports while an engine loads, or after an answer that did not help. */
+    /** The interval of report requests while an engine is loading, and the delay after an order conflict. */
     private static final Duration REPORT_INTERVAL = Duration.ofMillis(300);
 
-    /** The pause after an order without an answer, which may still be carried out. */
-    private static final Duration UNANSWERED_PAUSE = Duration.ofMillis(700);
+    /** The delay after an order without an answer, which may still be executed. */
+    private static final Duration UNANSWERED_DELAY = Duration.ofMillis(700);
 
-    /** After how long an engine that does not come to a version is looked at anew. */
-    private static final Duration GIVE_UP_TIME = Duration.ofSeconds(8);
+    /** The timeout of the update of an engine, after which the engine is evaluated again. */
+    private static final Duration UPDATE_TIMEOUT = Duration.ofSeconds(8);
 
-    /** How long an engine that can't be asked is left alone. */
-    private static final Duration FAILURE_PAUSE = Duration.ofSeconds(1);
+    /** How long an engine that is unreachable or rejects an order is skipped. */
+    private static final Duration FAILURE_DELAY = Duration.ofSeconds(1);
 
     /** The lease. */
     private final DutyLease lease;
@@ -65,16 +66,16 @@
     /** The versions that trainers named. */
     private final NamedVersionSystem versions;
 
-    /** The engines. */
+    /** The registry of engines. */
     private final EndpointRegistrySystem registry;
 
     /** The configuration of routes. */
     private final RouteConfigurationSystem routes;
 
-    /** Which model each engine is kept up to date for, by pool. */
+    /** The assignments of models to engines, by pool. */
     private final Map<PoolName, EngineAssignment> assignments = new HashMap<>();
 
-    /** The engines that are being brought to a version. */
+    /** The engines that are being updated to a version. */
     private final EntityTable<EndpointName, EngineOrderRow> rows = new EntityTable<>();
 
     /**
@@ -82,7 +83,7 @@
      *
      * @param lease The lease.
      * @param versions The versions that trainers named.
-     * @param registry The engines.
+     * @param registry The registry of engines.
      * @param routes The configuration of routes.
      */
     VersionOrderSystem(
@@ -103,17 +104,17 @@
             assignments.clear();
             return;
         }
-        tick.events(OrderEvent.ReportRead.class).forEach(read -> takeReport(tick, read));
-        tick.events(OrderEvent.Ordered.class).forEach(ordered -> takeAnswer(tick, ordered));
+        tick.events(OrderEvent.ReportRead.class).forEach(read -> handleReport(tick, read));
+        tick.events(OrderEvent.Ordered.class).forEach(ordered -> handleAnswer(tick, ordered));
         rows.rows().forEach(row -> advance(tick, row));
         routes.inForce().ifPresent(configuration -> begin(tick, configuration));
     }
 
     /**
-     * Begins with engines that lag behind.
+     * Begins updates of lagging engines.
      *
      * @param tick The tick.
-     * @param configuration The configuration in force.
+     * @param configuration The active configuration.
      */
     private void begin(Tick tick, RouteConfiguration configuration) {
         if (lease.permission().isEmpty() || !versions.isListed()) {
@@ -127,7 +128,7 @@
     }
 
     /**
-     * Begins with engines of a pool that lag behind.
+     * Begins updates of the lagging engines of a pool.
      *
      * @param tick The tick.
      * @param pool The pool.
@@ -136,48 +137,48 @@
     private void begin(Tick tick, PoolName pool, Collection<String> served) {
         List<RegisteredEndpoint> engines = registry.working(pool);
         EngineAssignment assignment = assignments.computeIfAbsent(pool, _pool -> new EngineAssignment());
-        assignment.adapt(engines, served, versions.named());
-        long allowed = allowed(pool);
-        long active = active(pool);
+        assignment.update(engines, served, versions.newestVersions());
+        long maximumLoads = maximumLoads(pool);
+        long activeLoads = activeLoads(pool);
         engines.stream()
                 .filter(engine -> !rows.contains(engine.name()))
-                .flatMap(engine -> lagging(engine, assignment).stream())
+                .flatMap(engine -> findTarget(engine, assignment).stream())
                 .filter(target -> isDue(tick, target))
                 .sorted(Comparator.comparingLong((Target target) -> -target.lag())
                         .thenComparing(target -> target.engine().name()))
-                .limit(Math.max(0, allowed - active))
-                .forEach(target -> read(tick, target));
+                .limit(Math.max(0, maximumLoads - activeLoads))
+                .forEach(target -> requestReport(tick, target));
     }
 
     /**
-     * Returns whether an engine is to be brought to its version now.
+     * Returns whether the update of an engine is due.
      *
      * @param tick The tick.
      * @param target The engine and the version.
-     * @return {@code false} for a while after the version was named, if the engine lags by that version alone.
+     * @return {@code false} during the delay after the version was named, if the engine lags by one version only.
      */
     private boolean isDue(Tick tick, Target target) {
-        return target.lag() > 1 || versions.age(target.model(), tick.now()).compareTo(NAMING_DELAY) >= 0;
+        return target.lag() > 1 || versions.age(target.model(), tick.now()).compareTo(NEW_VERSION_DELAY) >= 0;
     }
 
     /**
-     * Returns how many engines of a pool may load at once.
+     * Returns how many engines of a pool may load concurrently.
      *
      * @param pool The pool.
      * @return The number.
      */
-    private long allowed(PoolName pool) {
-        return Math.max(1, Math.round(registry.working(pool).size() * LOADING_SHARE));
+    private long maximumLoads(PoolName pool) {
+        return Math.max(1, Math.round(registry.working(pool).size() * MAXIMUM_LOADING_SHARE));
     }
 
     /**
-     * Returns how many engines of a pool load or are about to. Those that do not answer don't count: two of them would
-     * hold back the loads of all others.
+     * Returns how many engines of a pool are loading or about to load. Engines that do not answer don't count: two of
+     * them would block the loads of all others.
      *
      * @param pool The pool.
      * @return The number.
      */
-    private long active(PoolName pool) {
+    private long activeLoads(PoolName pool) {
         return rows.view().stream()
                 .filter(EngineOrderRow::mayLoad)
                 .filter(row -> row.engine().pool().equals(pool))
@@ -185,27 +186,27 @@
     }
 
     /**
-     * Finds out to which version an engine is to be brought.
+     * Determines the version to which an engine has to be updated.
      *
      * @param engine The engine.
-     * @param assignment Which model each engine is kept up to date for.
+     * @param assignment The assignment of models to engines.
      * @return The target, or empty if the engine is up to date.
      */
-    private Optional<Target> lagging(RegisteredEndpoint engine, EngineAssignment assignment) {
+    private Optional<Target> findTarget(RegisteredEndpoint engine, EngineAssignment assignment) {
         return assignment.modelOf(engine.name()).flatMap(model -> {
-            long named = versions.named().getOrDefault(model, 0L);
-            long lag = named - engine.version(model).orElse(0);
-            return lag > 0 ? Optional.of(new Target(engine, model, named, lag)) : Optional.empty();
+            long newestVersion = versions.newestVersions().getOrDefault(model, 0L);
+            long lag = newestVersion - engine.version(model).orElse(0);
+            return lag > 0 ? Optional.of(new Target(engine, model, newestVersion, lag)) : Optional.empty();
         });
     }
 
     /**
-     * Asks an engine for its report before it is ordered to a version.
+     * Requests the report of an engine before it is ordered to load a version.
      *
      * @param tick The tick.
      * @param target The engine and the version.
      */
-    private void read(Tick tick, Target target) {
+    private void requestReport(Tick tick, Target target) {
         rows.put(
                 target.engine().name(),
                 new EngineOrderRow(
@@ -213,13 +214,13 @@
                         target.model(),
                         target.version(),
                         EngineOrderRow.Stage.READING,
-                        tick.now().plus(REPORT_TIME),
-                        tick.now().plus(GIVE_UP_TIME)));
+                        tick.now().plus(REPORT_TIMEOUT),
+                        tick.now().plus(UPDATE_TIMEOUT)));
         tick.emit(new OrderEffect.ReadReport(target.engine()));
     }
 
     /**
-     * Carries out what is due at an engine.
+     * Performs the next step of an update, if it is due.
      *
      * @param tick The tick.
      * @param row The engine's row.
@@ -227,9 +228,9 @@
     private void advance(Tick tick, EngineOrderRow row) {
         EndpointName name = row.engine().name();
         Optional<RegisteredEndpoint> current = registry.find(name);
-        boolean there = current.filter(engine -> engine.servesAtLeast(row.model(), row.version()))
+        boolean loaded = current.filter(engine -> engine.servesAtLeast(row.model(), row.version()))
                 .isPresent();
-        if (current.isEmpty() || there || !tick.now().isBefore(row.givenUpAt())) {
+        if (current.isEmpty() || loaded || !tick.now().isBefore(row.timeoutAt())) {
             rows.remove(name);
             return;
         }
@@ -237,37 +238,37 @@
             return;
         }
         EngineOrderRow.Stage next = row.mayLoad() ? EngineOrderRow.Stage.READING : EngineOrderRow.Stage.PROBING;
-        rows.put(name, row.withStage(next, tick.now(), REPORT_TIME));
+        rows.put(name, row.withStage(next, tick.now(), REPORT_TIMEOUT));
         tick.emit(new OrderEffect.ReadReport(row.engine()));
     }
 
     /**
-     * Takes a report: the version is there, or the engine is ordered to it.
+     * Handles a report: completes the update if the version is loaded, otherwise orders the engine to load it.
      *
      * @param tick The tick.
      * @param read The report.
      */
-    private void takeReport(Tick tick, OrderEvent.ReportRead read) {
-        Optional<EngineReport> told = read.report();
-        if (told.isPresent() && isOfAnotherStart(tick, read.engine(), told.get())) {
+    private void handleReport(Tick tick, OrderEvent.ReportRead read) {
+        Optional<EngineReport> received = read.report();
+        if (received.isPresent() && isFromOtherIncarnation(tick, read.engine(), received.get())) {
             return;
         }
-        told.ifPresent(report -> report.versions()
+        received.ifPresent(report -> report.versions()
                 .forEach((model, version) -> registry.noteVersion(tick, read.engine(), model, version)));
         Optional<EngineOrderRow> row = rows.find(read.engine()).filter(EngineOrderRow::awaitsReport);
         if (row.isEmpty()) {
             return;
         }
-        if (told.isEmpty()) {
-            rows.put(read.engine(), row.get().withStage(EngineOrderRow.Stage.UNREACHABLE, tick.now(), FAILURE_PAUSE));
+        if (received.isEmpty()) {
+            rows.put(read.engine(), row.get().withStage(EngineOrderRow.Stage.UNREACHABLE, tick.now(), FAILURE_DELAY));
             return;
         }
-        EngineReport report = told.get();
+        EngineReport report = received.get();
         PoolName pool = read.engine().pool();
-        boolean there = report.versions().getOrDefault(row.get().model(), 0L)
+        boolean loaded = report.versions().getOrDefault(row.get().model(), 0L)
                 >= row.get().version();
-        boolean mustWait = !row.get().mayLoad() && active(pool) >= allowed(pool);
-        if (there || mustWait) {
+        boolean mustWait = !row.get().mayLoad() && activeLoads(pool) >= maximumLoads(pool);
+        if (loaded || mustWait) {
             rows.remove(read.engine());
             return;
         }
@@ -279,15 +280,15 @@
     }
 
     /**
-     * Returns whether a report is not of the start of the engine that was asked. What an engine has loaded and how many
-     * orders it has accepted begins anew with each start, so nothing of such a report counts.
+     * Returns whether a report comes from another incarnation of the engine than the requested one. The loaded versions
+     * and the number of accepted orders are reset with each start, so the contents of such a report are ignored.
      *
      * @param tick The tick.
-     * @param engine The start that was asked.
+     * @param engine The incarnation from which the report was requested.
      * @param report The report.
-     * @return {@code true} if it is of another one.
+     * @return {@code true} if it comes from another incarnation.
      */
-    private boolean isOfAnotherStart(Tick tick, EndpointName engine, EngineReport report) {
+    private boolean isFromOtherIncarnation(Tick tick, EndpointName engine, EngineReport report) {
         EndpointName reporting = engine.withIncarnation(report.incarnation());
         if (engine.isBefore(reporting)) {
             registry.noteIncarnation(tick, engine, report.incarnation());
@@ -298,7 +299,7 @@
     }
 
     /**
-     * Orders an engine to a version, if this node is permitted to.
+     * Orders an engine to load a version, if this node is permitted to.
      *
      * @param tick The tick.
      * @param row The engine's row.
@@ -310,14 +311,20 @@
             rows.remove(row.engine().name());
             return;
         }
-        boolean retains = routes.inForce()
+        boolean retainsRuns = routes.inForce()
                 .filter(configuration ->
                         !configuration.demandsSingleVersion(row.engine().pool()))
                 .isPresent();
-        rows.put(row.engine().name(), row.withStage(EngineOrderRow.Stage.ORDERING, tick.now(), ORDER_TIME));
+        rows.put(row.engine().name(), row.withStage(EngineOrderRow.Stage.ORDERING, tick.now(), ORDER_TIMEOUT));
         lease.recordAction();
         tick.emit(new OrderEffect.LoadVersion(
-                row.engine(), row.model(), row.version(), retains, lease.holderName(), fence.getAsLong(), sequence));
+                row.engine(),
+                row.model(),
+                row.version(),
+                retainsRuns,
+                lease.holderName(),
+                fence.getAsLong(),
+                sequence));
         tick.decide(Decision.of(
                 "order",
                 row.engine().name().value(),
@@ -326,12 +333,12 @@
     }
 
     /**
-     * Takes the answer to an order.
+     * Handles the answer to an order.
      *
      * @param tick The tick.
      * @param ordered The answer.
      */
-    private void takeAnswer(Tick tick, OrderEvent.Ordered ordered) {
+    private void handleAnswer(Tick tick, OrderEvent.Ordered ordered) {
         lease.recordAction();
         Optional<EngineOrderRow> row =
                 rows.find(ordered.engine()).filter(found -> found.stage() == EngineOrderRow.Stage.ORDERING);
@@ -345,7 +352,8 @@
                 row.get().model() + " version " + row.get().version()));
         EndpointName name = ordered.engine();
         switch (ordered.outcome()) {
-            case STARTED -> rows.put(name, row.get().withStage(EngineOrderRow.Stage.LOADING, tick.now(), LOADING_TIME));
+            case STARTED ->
+                rows.put(name, row.get().withStage(EngineOrderRow.Stage.LOADING, tick.now(), MINIMUM_LOADING_TIME));
             case HOLDS -> {
                 registry.noteVersion(tick, name, row.get().model(), row.get().version());
                 rows.remove(name);
@@ -353,19 +361,19 @@
             case CONFLICT ->
                 rows.put(name, row.get().withStage(EngineOrderRow.Stage.WAITING, tick.now(), REPORT_INTERVAL));
             case UNANSWERED ->
-                rows.put(name, row.get().withStage(EngineOrderRow.Stage.WAITING, tick.now(), UNANSWERED_PAUSE));
+                rows.put(name, row.get().withStage(EngineOrderRow.Stage.WAITING, tick.now(), UNANSWERED_DELAY));
             case REJECTED, GONE ->
-                rows.put(name, row.get().withStage(EngineOrderRow.Stage.WAITING, tick.now(), FAILURE_PAUSE));
+                rows.put(name, row.get().withStage(EngineOrderRow.Stage.WAITING, tick.now(), FAILURE_DELAY));
         }
     }
 
     /**
-     * An engine that lags behind.
+     * A lagging engine.
      *
      * @param engine The engine.
      * @param model The model.
-     * @param version The version that it is to be brought to.
-     * @param lag By how many versions it lags.
+     * @param version The version to load.
+     * @param lag The number of versions by which the engine lags.
      */
     private record Target(RegisteredEndpoint engine, String model, long version, long lag) {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/VersionRelaySystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/VersionRelaySystem.java
@@ -15,20 +15,20 @@
 import java.util.Optional;
 import java.util.function.Function;
 
-/** Reads the versions for the node that gives orders, while that is cut off from the platform. */
+/** Reads the versions on behalf of the node that gives orders, while that node is partitioned from the platform. */
 final class VersionRelaySystem implements DecisionSystem {
 
-    /** The calls to the platform that wait for their answers. */
+    /** The pending calls to the platform. */
     private final PlatformCalls calls;
 
-    /** Reads a version. */
+    /** Decodes a version. */
     private final Function<StoredObject, Optional<NamedVersion>> decoder;
 
     /**
-     * Creates a system without requests.
+     * Creates a system without pending requests.
      *
-     * @param tokens Hands out the tokens of calls.
-     * @param decoder Reads a version, or returns empty where it can't be read.
+     * @param tokens Allocates the tokens of calls.
+     * @param decoder Decodes a version, or returns empty if the object is malformed.
      */
     VersionRelaySystem(PlatformTokens tokens, Function<StoredObject, Optional<NamedVersion>> decoder) {
         calls = new PlatformCalls(tokens);
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/VersionSystems.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/VersionSystems.java
@@ -12,23 +12,23 @@
 import java.util.Optional;
 import java.util.function.Function;
 
-/** Brings engines to the versions that trainers name: the versions, and the orders of the node that has the duty. */
+/** Updates engines to the versions that trainers name: combines the systems for versions, orders and relaying. */
 public final class VersionSystems implements DecisionSystem {
 
     /** The kind of the objects in which trainers name versions. */
     public static final String KIND = "model-version";
 
-    /** The parts, in the order in which they run. */
-    private final List<DecisionSystem> parts;
+    /** The systems, in the order in which they run. */
+    private final List<DecisionSystem> systems;
 
     /**
      * Creates a system that gives no orders.
      *
      * @param membership The nodes of the site.
-     * @param registry The engines.
+     * @param registry The registry of engines.
      * @param routes The configuration of routes.
-     * @param tokens Hands out the tokens of calls.
-     * @param decoder Reads a version, or returns empty where it can't be read.
+     * @param tokens Allocates the tokens of calls.
+     * @param decoder Decodes a version, or returns empty if the object is malformed.
      * @param lease The lease of the node that gives the orders.
      */
     public VersionSystems(
@@ -39,7 +39,7 @@
             Function<StoredObject, Optional<NamedVersion>> decoder,
             DutyLease lease) {
         NamedVersionSystem versions = new NamedVersionSystem(tokens, decoder, lease, membership);
-        parts = List.of(
+        systems = List.of(
                 versions,
                 new VersionOrderSystem(lease, versions, registry, routes),
                 new VersionRelaySystem(tokens, decoder));
@@ -47,6 +47,6 @@
 
     @Override
     public void run(Tick tick) {
-        parts.forEach(part -> part.run(tick));
+        systems.forEach(system -> system.run(tick));
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/package-info.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/package-info.java
@@ -1,2 +1,2 @@
-/** Versions of model weights that trainers name, and the orders that bring engines to them. */
+/** Versions of model weights that trainers name, and the orders that make engines load them. */
 package io.yuccaswitch.core.modelversion;
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/modelversion/VersionSystemsTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/modelversion/VersionSystemsTest.java
@@ -31,30 +31,30 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Who gives orders to engines, and which. */
+/** Tests which node gives orders to engines, and which orders. */
 final class VersionSystemsTest {
 
     private static final PoolName POOL = new PoolName("sampler");
-    private static final Duration SAFETY = Duration.ofSeconds(3);
+    private static final Duration SAFETY_TIME = Duration.ofSeconds(3);
 
     private final TestSite site = new TestSite();
     private final List<TestNode> nodes = new ArrayList<>();
     private final List<Order> orders = new ArrayList<>();
-    private final Map<String, PlayedEngine> engines = new HashMap<>();
+    private final Map<String, SimulatedEngine> engines = new HashMap<>();
     private boolean unanswered;
 
     @BeforeEach
     void startEngines() {
         site.platform().put(RouteConfigurationSystem.KIND, "main", "1");
         for (int i = 1; i <= 6; i++) {
-            engines.put("engine-" + i, new PlayedEngine());
+            engines.put("engine-" + i, new SimulatedEngine());
             register("engine-" + i);
         }
-        site.everyStep(_site -> play());
+        site.everyStep(_site -> serveEngines());
     }
 
     @Test
-    void aNamedVersionIsBroughtToTheModelsShareOfTheEnginesOnly() {
+    void aNamedVersionIsLoadedOnlyByTheModelsShareOfTheEngines() {
         start("node-1");
         run(500);
         name("model-a", 2);
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void eachModelKeepsItsEnginesFromVersionToVersion() {
+    void eachModelKeepsItsEnginesAcrossVersions() {
         start("node-1");
         run(500);
         for (long version = 2; version <= 5; version++) {
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void noMoreEnginesThanAllowedLoadAtOnce() {
+    void concurrentLoadsDoNotExceedTheLimit() {
         start("node-1");
         run(500);
         name("model-a", 2);
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void aHolderThatThePlatformDoesNotAnswerKeepsItsLeaseThroughOtherNodesAndLoadsWhatIsNamed() {
+    void aHolderThatThePlatformDoesNotAnswerKeepsItsLeaseThroughOtherNodesAndLoadsNamedVersions() {
         site.connect((_from, _to) -> false);
         start("node-1");
         run(500);
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void aHolderThatNeitherThePlatformNorOtherNodesAnswerIsSucceeded() {
+    void aHolderThatNeitherThePlatformNorOtherNodesAnswerIsReplaced() {
         site.connect((from, to) -> from.equals("node-1") || to.equals("node-1"));
         start("node-1");
         run(500);
@@ -137,7 +137,7 @@
     }
 
     @Test
-    void anEngineThatLagsByTwoVersionsIsOrderedAtOnce() {
+    void anEngineThatLagsByTwoVersionsIsOrderedImmediately() {
         start("node-1");
         run(500);
         name("model-a", 3);
@@ -146,41 +146,41 @@
     }
 
     @Test
-    void enginesThatDoNotAnswerHoldNoLoadsOfOthersBack() {
+    void enginesThatDoNotAnswerDoNotBlockLoadsOfOthers() {
         start("node-1");
         run(500);
-        engines.get("engine-1").dark = true;
-        engines.get("engine-2").dark = true;
+        engines.get("engine-1").unreachable = true;
+        engines.get("engine-2").unreachable = true;
         name("model-a", 2);
         name("model-b", 2);
         run(3500);
         assertThat(orders)
-                .as("two at a time, each within a second and a report")
+                .as("two concurrent loads, each taking one second plus a report")
                 .hasSize(4);
     }
 
     @Test
-    void anEngineThatAnswersAgainIsBroughtToTheVersion() {
+    void anEngineThatAnswersAgainIsUpdatedToTheVersion() {
         start("node-1");
         run(500);
-        engines.get("engine-1").dark = true;
+        engines.get("engine-1").unreachable = true;
         name("model-a", 2);
         name("model-b", 2);
         run(5000);
-        engines.get("engine-1").dark = false;
+        engines.get("engine-1").unreachable = false;
         run(3000);
         assertThat(orders).hasSize(6).anyMatch(order -> order.engine().equals("engine-1"));
     }
 
     @Test
-    void eachOrderNamesTheNumberOfOrdersThatTheEngineHasAccepted() {
+    void eachOrderContainsTheNumberOfOrdersThatTheEngineHasAccepted() {
         start("node-1");
         run(500);
         name("model-a", 2);
         run(5000);
         name("model-a", 3);
         run(5000);
-        assertThat(orders.stream().map(Order::expected).distinct()).containsExactlyInAnyOrder(0L, 1L);
+        assertThat(orders.stream().map(Order::expectedSequence).distinct()).containsExactlyInAnyOrder(0L, 1L);
     }
 
     @Test
@@ -210,20 +210,20 @@
     }
 
     @Test
-    void nobodyGivesOrdersWhileThePlatformIsAway() {
+    void noNodeGivesOrdersWhileThePlatformIsUnreachable() {
         start("node-1");
         run(500);
         name("model-a", 2);
         site.platform().failWhere((_node, call) -> call.purpose() != null);
         run(2000);
         int before = orders.size();
-        engines.put("engine-7", new PlayedEngine());
+        engines.put("engine-7", new SimulatedEngine());
         run(5000);
         assertThat(orders).hasSize(before);
     }
 
     @Test
-    void aSuccessorWaitsUntilTheLastOrderOfTheFormerHolderIsLongPast() {
+    void aSuccessorWaitsForTheSafetyTimeAfterTheLastOrderOfTheFormerHolder() {
         start("node-1");
         run(500);
         TestNode second = start("node-2");
@@ -238,12 +238,12 @@
                 .filter(order -> order.holder().equals(second.name()))
                 .findFirst()
                 .orElseThrow();
-        assertThat(Duration.ofNanos(first.at() - lastOrder)).isGreaterThan(SAFETY);
+        assertThat(Duration.ofNanos(first.sentAtNanos() - lastOrder)).isGreaterThan(SAFETY_TIME);
         assertThat(first.fence()).isGreaterThan(orders.get(0).fence());
     }
 
     @Test
-    void aHolderThatWasFrozenGivesNoOrderAfterItsPermission() {
+    void aHolderThatWasFrozenGivesNoOrderAfterItsPermissionHasExpired() {
         TestNode first = start("node-1");
         run(500);
         start("node-2");
@@ -260,7 +260,7 @@
     }
 
     @Test
-    void aHolderThatWasSuspendedGivesNoOrderAfterItsPermissionThoughItsClockStoodStill() {
+    void aHolderWhoseClockStoppedDuringASuspensionGivesNoOrderAfterItsPermissionHasExpired() {
         TestNode first = start("node-1");
         run(500);
         start("node-2");
@@ -282,7 +282,7 @@
     }
 
     @Test
-    void aHolderThatWasSuspendedForAMomentGoesOnOnceItsLeaseIsRenewed() {
+    void aHolderThatWasSuspendedBrieflyContinuesAfterItsLeaseIsRenewed() {
         TestNode first = start("node-1");
         run(500);
         start("node-2");
@@ -296,7 +296,7 @@
     }
 
     @Test
-    void aLeaseThatIsGivenBackLongAfterTheLastOrderIsTakenAtOnce() {
+    void aLeaseReleasedLongAfterTheLastOrderIsAcquiredImmediately() {
         site.connect((_from, _to) -> false);
         TestNode first = start("node-1");
         run(500);
@@ -310,7 +310,7 @@
     }
 
     @Test
-    void aLeaseThatIsGivenBackRightAfterAnOrderIsTakenOnlyAfterTheSafetyTime() {
+    void aLeaseReleasedRightAfterAnOrderIsAcquiredOnlyAfterTheSafetyTime() {
         site.connect((_from, _to) -> false);
         TestNode first = start("node-1");
         run(500);
@@ -323,19 +323,21 @@
         run(9000);
         long last = orders.stream()
                 .filter(order -> order.holder().equals("node-1"))
-                .mapToLong(Order::at)
+                .mapToLong(Order::sentAtNanos)
                 .max()
                 .orElseThrow();
         long next = orders.stream()
                 .filter(order -> order.holder().equals("node-2"))
-                .mapToLong(Order::at)
+                .mapToLong(Order::sentAtNanos)
                 .min()
                 .orElseThrow();
-        assertThat(Duration.ofNanos(next - last)).isGreaterThanOrEqualTo(SAFETY).isLessThan(SAFETY.plusSeconds(2));
+        assertThat(Duration.ofNanos(next - last))
+                .isGreaterThanOrEqualTo(SAFETY_TIME)
+                .isLessThan(SAFETY_TIME.plusSeconds(2));
     }
 
     @Test
-    void aLeaseThatWasGivenBackIsTakenAfterTheSafetyTime() {
+    void aReleasedLeaseIsAcquiredAfterTheSafetyTime() {
         TestNode first = start("node-1");
         run(500);
         start("node-2");
@@ -379,7 +381,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"node-1", "node-2", "node-3", "node-4"})
-    void aRestartedHolderGivesOrdersAgainWithoutAWait(String holder) {
+    void aRestartedHolderGivesOrdersAgainImmediately(String holder) {
         start(holder);
         run(500);
         Stream.of("node-1", "node-2", "node-3", "node-4")
@@ -400,7 +402,7 @@
     }
 
     @Test
-    void aRenewalWhoseAnswerWasLostDoesNotCostTheLease() {
+    void aRenewalWhoseAnswerWasLostDoesNotLoseTheLease() {
         start("node-1");
         run(500);
         site.platform().loseAnswersWhere((_node, call) -> call instanceof PlatformEffect.Write);
@@ -413,28 +415,28 @@
     }
 
     @Test
-    void anEngineThatStartedAgainUnderItsNameIsOrderedByItsNewCount() {
+    void anEngineThatRestartedUnderItsNameIsOrderedWithItsNewOrderCount() {
         start("node-1");
         run(500);
         name("model-a", 2);
         run(5000);
-        engines.values().forEach(engine -> engine.startAgain(5));
+        engines.values().forEach(engine -> engine.restart(5));
         engines.keySet().forEach(this::register);
         orders.clear();
         run(1000);
         name("model-a", 3);
         run(5000);
-        assertThat(orders).hasSize(3).allMatch(order -> order.expected() == 0 && order.version() == 3);
+        assertThat(orders).hasSize(3).allMatch(order -> order.expectedSequence() == 0 && order.version() == 3);
     }
 
     @Test
-    void aLoadThatAnEarlierStartHadAcknowledgedIsOrderedAgain() {
+    void aLoadThatAnEarlierIncarnationAcknowledgedIsOrderedAgain() {
         start("node-1");
         run(500);
         name("model-a", 2);
         run(650);
         String loading = orders.get(0).engine();
-        engines.get(loading).startAgain(5);
+        engines.get(loading).restart(5);
         register(loading);
         run(6000);
         assertThat(orders).filteredOn(order -> order.engine().equals(loading)).hasSize(2);
@@ -442,26 +444,26 @@
     }
 
     @Test
-    void aReportOfALaterStartIsBelievedBeforeTheEntryTellsOfIt() {
-        engines.values().forEach(engine -> engine.born = 3);
+    void aReportOfALaterIncarnationIsAppliedBeforeTheRegistryEntryChanges() {
+        engines.values().forEach(engine -> engine.incarnation = 3);
         engines.keySet().forEach(this::register);
         start("node-1");
         run(500);
-        engines.values().forEach(engine -> engine.startAgain(5));
+        engines.values().forEach(engine -> engine.restart(5));
         name("model-a", 2);
         run(5000);
-        assertThat(orders).hasSize(3).allMatch(order -> order.expected() == 0);
+        assertThat(orders).hasSize(3).allMatch(order -> order.expectedSequence() == 0);
         assertThat(engines.values().stream().filter(engine -> engine.versions.get("model-a") == 2))
                 .hasSize(3);
     }
 
     @Test
-    void aLateReportOfAnEarlierStartOrdersNothing() {
-        engines.values().forEach(engine -> engine.born = 5);
+    void aLateReportOfAnEarlierIncarnationCausesNoOrder() {
+        engines.values().forEach(engine -> engine.incarnation = 5);
         engines.keySet().forEach(this::register);
         start("node-1");
         run(500);
-        engines.values().forEach(engine -> engine.born = 3);
+        engines.values().forEach(engine -> engine.incarnation = 3);
         name("model-a", 2);
         run(5000);
         assertThat(orders).isEmpty();
@@ -473,7 +475,7 @@
             EndpointRegistrySystem registry = new EndpointRegistrySystem(watches, tokens, this::endpoint);
             RouteConfigurationSystem routes =
                     new RouteConfigurationSystem(watches, tokens, VersionSystemsTest::configuration);
-            DutyLease lease = new DutyLease(self, tokens, SAFETY);
+            DutyLease lease = new DutyLease(self, tokens, SAFETY_TIME);
             return List.of(
                     routes,
                     registry,
@@ -497,7 +499,7 @@
         site.run(Duration.ofMillis(millis));
     }
 
-    private void play() {
+    private void serveEngines() {
         long now = site.now().nanoseconds();
         engines.forEach((name, engine) -> {
             if (engine.finish(now)) {
@@ -506,17 +508,17 @@
         });
         for (TestNode node : List.copyOf(nodes)) {
             for (OrderEffect.ReadReport read : node.take(OrderEffect.ReadReport.class)) {
-                PlayedEngine engine = engines.get(read.engine().name().value());
+                SimulatedEngine engine = engines.get(read.engine().name().value());
                 node.accept(new OrderEvent.ReportRead(
-                        read.engine().name(), engine.dark ? Optional.empty() : Optional.of(engine.report())));
+                        read.engine().name(), engine.unreachable ? Optional.empty() : Optional.of(engine.report())));
             }
             for (OrderEffect.LoadVersion order : node.take(OrderEffect.LoadVersion.class)) {
-                take(node, order, now);
+                handleOrder(node, order, now);
             }
         }
     }
 
-    private void take(TestNode node, OrderEffect.LoadVersion order, long now) {
+    private void handleOrder(TestNode node, OrderEffect.LoadVersion order, long now) {
         EndpointName name = order.engine().name();
         orders.add(new Order(
                 name.value(),
@@ -533,7 +535,7 @@
     private Optional<RegisteredEndpoint> endpoint(StoredObject object) {
         String name = object.key().name();
         return Optional.of(new RegisteredEndpoint(
-                new EndpointName(POOL, name, engines.get(name).born),
+                new EndpointName(POOL, name, engines.get(name).incarnation),
                 name + ":80",
                 new AvailabilityZone("zone-a"),
                 4,
@@ -555,27 +557,33 @@
     }
 
     private record Order(
-            String engine, String model, long version, String holder, long fence, long expected, long at) {}
+            String engine,
+            String model,
+            long version,
+            String holder,
+            long fence,
+            long expectedSequence,
+            long sentAtNanos) {}
 
-    /** An engine that loads for nine tenths of a second. */
-    private static final class PlayedEngine {
+    /** A simulated engine whose loads take 900 ms. */
+    private static final class SimulatedEngine {
 
         private static final long LOAD_NANOS = Duration.ofMillis(900).toNanos();
 
         private final Map<String, Long> versions = new HashMap<>(Map.of("model-a", 1L, "model-b", 1L));
-        private boolean dark;
-        private long born;
+        private boolean unreachable;
+        private long incarnation;
         private long accepted;
         private long loadingUntil;
         private String model = "";
         private long version;
 
         EngineReport report() {
-            return new EngineReport(born, loadingUntil > 0, accepted, versions);
+            return new EngineReport(incarnation, loadingUntil > 0, accepted, versions);
         }
 
-        void startAgain(long at) {
-            born = at;
+        void restart(long newIncarnation) {
+            incarnation = newIncarnation;
             accepted = 0;
             loadingUntil = 0;
         }
