--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/Endpoint.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/Endpoint.java
@@ -10,11 +10,11 @@
  * A row of the table of endpoints.
  *
  * @param name The endpoint's name.
- * @param kind What the endpoint is.
+ * @param kind The kind of the endpoint's pool.
  * @param address The endpoint's address as {@code host:port}.
- * @param availabilityZone The availability zone that the endpoint lies in.
- * @param condition Whether the endpoint takes new work.
- * @param incarnation The incarnation that the endpoint last reported, or empty if it reported none yet.
+ * @param availabilityZone The availability zone of the endpoint.
+ * @param condition The endpoint's condition.
+ * @param incarnation The incarnation that the endpoint last reported, or empty if it has not reported yet.
  * @param load The endpoint's latest load report, or empty if there is none yet.
  * @param loadedVersions The weight versions that the endpoint last reported, by model or adapter.
  */
@@ -44,7 +44,7 @@
     }
 
     /**
-     * Returns this endpoint after a report of its own.
+     * Returns this endpoint after it reported its state.
      *
      * @param reportedIncarnation The incarnation that the endpoint reported.
      * @param report The load that the endpoint reported.
@@ -64,7 +64,7 @@
     }
 
     /**
-     * Returns this endpoint without its load report, which has become too old.
+     * Returns this endpoint without its load report, which is stale.
      *
      * @return The changed endpoint.
      */
@@ -74,10 +74,10 @@
     }
 
     /**
-     * Returns this endpoint with the kind and availability zone that the configuration gives it.
+     * Returns this endpoint with the kind and availability zone of a configuration.
      *
-     * @param changedKind What the endpoint is.
-     * @param changedZone The availability zone that the endpoint lies in.
+     * @param changedKind The new kind of the endpoint's pool.
+     * @param changedZone The new availability zone.
      * @return The changed endpoint.
      */
     public Endpoint withSettings(PoolKind changedKind, AvailabilityZone changedZone) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/EndpointCondition.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/EndpointCondition.java
@@ -1,11 +1,11 @@
 package io.yuccaswitch.core.endpoint;
 
-/** Whether an endpoint takes new work. */
+/** The condition of an endpoint. */
 public enum EndpointCondition {
-    /** The endpoint takes new work. */
+    /** The endpoint accepts new requests. */
     LIVE,
-    /** The endpoint finishes what it has and takes no new work. */
+    /** The endpoint finishes its current requests and accepts no new ones. */
     LEAVING,
-    /** The endpoint can't be reached or refuses everything. */
+    /** The endpoint is unreachable or rejects all requests. */
     DOWN
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/EndpointEffect.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/EndpointEffect.java
@@ -3,11 +3,11 @@
 import io.yuccaswitch.core.decision.Effect;
 import io.yuccaswitch.core.identity.EndpointName;
 
-/** Something to ask of an endpoint that is not a request of a caller. */
+/** An effect that sends a service call to an endpoint, as opposed to a caller's request. */
 public sealed interface EndpointEffect extends Effect {
 
     /**
-     * Asks an endpoint for its state, to be answered by {@link EndpointEvent.Reported} or
+     * Requests the state of an endpoint. The result is {@link EndpointEvent.Reported} or
      * {@link EndpointEvent.Unreachable}.
      *
      * @param endpoint The endpoint's name.
@@ -16,8 +16,7 @@
     record Probe(EndpointName endpoint, String address) implements EndpointEffect {}
 
     /**
-     * Reads what changed in the prefix cache of an endpoint, to be answered by any number of
-     * {@link EndpointEvent.PrefixCached}.
+     * Reads the changes of an endpoint's prefix cache. The result is any number of {@link EndpointEvent.PrefixCached}.
      *
      * @param endpoint The endpoint's name.
      * @param address The endpoint's address.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/EndpointMessage.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/EndpointMessage.java
@@ -14,7 +14,8 @@
     EndpointName endpoint();
 
     /**
-     * An endpoint said itself that it is leaving. The receiver passes the news on if it is new to it.
+     * Announces that an endpoint itself reported that it is leaving. The receiver forwards the message if it had not
+     * recorded this yet.
      *
      * @param endpoint The endpoint's name.
      * @param incarnation The incarnation that is leaving.
@@ -22,8 +23,8 @@
     record Leaving(EndpointName endpoint, String incarnation) implements EndpointMessage {}
 
     /**
-     * Tells whether the platform lists the VM of an endpoint as leaving. The receiver passes the news on if it is new
-     * to it.
+     * Reports whether the platform lists the VM of an endpoint as leaving. The receiver forwards the message if it had
+     * not recorded the VM as listed yet.
      *
      * @param endpoint The endpoint's name.
      * @param leaving {@code true} if the VM is listed as leaving.
@@ -31,8 +32,8 @@
     record Listed(EndpointName endpoint, boolean leaving) implements EndpointMessage {}
 
     /**
-     * Asks a node that reads the platform's list whether the VM of an endpoint is listed as leaving, to be answered by
-     * {@link Listed} if the list was read of late.
+     * Queries the node that reads the platform's list whether the VM of an endpoint is listed as leaving. The answer is
+     * {@link Listed}, which is sent only if the list is not stale.
      *
      * @param endpoint The endpoint's name.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/EndpointSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/EndpointSystem.java
@@ -20,39 +20,39 @@
 import java.util.Optional;
 
 /**
- * Keeps the table of endpoints: rows follow the configuration in force, load and versions follow the endpoints'
- * reports, and the condition follows from failures and from news about leaving, whichever source tells first. It runs
- * before the systems that route requests.
+ * Maintains the table of endpoints. The active configuration determines the rows, the endpoints' reports determine load
+ * and loaded versions, and failures and announcements of leaving determine the condition, whichever source reports
+ * first. This system runs before the systems that route requests.
  */
 public final class EndpointSystem implements DecisionSystem {
 
     /** The kind of this system's decisions. */
     static final String DECISION_KIND = "endpoint";
 
-    /** The interval at which old load reports are looked for. */
-    private static final Duration SWEEP_INTERVAL = Duration.ofMillis(250);
+    /** The interval of the checks for stale load reports. */
+    private static final Duration STALE_REPORT_CHECK_INTERVAL = Duration.ofMillis(250);
 
     /** The table. */
     private final EndpointTable table;
 
-    /** Tells other nodes what is news to this one. */
-    private final LeavingNews news;
+    /** Announces newly recorded leaving endpoints to other nodes. */
+    private final LeavingNews announcer;
 
-    /** The configuration in force, or empty before the first one. */
+    /** The active configuration, or empty before the first one. */
     private Optional<FleetConfiguration> configuration = Optional.empty();
 
-    /** The time at which old load reports are looked for next. */
-    private MonotonicTime nextSweep = new MonotonicTime(Long.MIN_VALUE);
+    /** The time of the next check for stale load reports. */
+    private MonotonicTime nextStaleReportCheck = new MonotonicTime(Long.MIN_VALUE);
 
     /**
      * Creates a new system.
      *
-     * @param table The table that this system writes.
-     * @param news Tells other nodes what is news to this one.
+     * @param table The table that this system maintains.
+     * @param announcer Announces newly recorded leaving endpoints to other nodes.
      */
-    public EndpointSystem(EndpointTable table, LeavingNews news) {
+    public EndpointSystem(EndpointTable table, LeavingNews announcer) {
         this.table = table;
-        this.news = news;
+        this.announcer = announcer;
     }
 
     /** {@inheritDoc} */
@@ -72,13 +72,13 @@
                 applyMessage(tick, message);
             }
         }
-        dropOldReports(tick);
+        dropStaleReports(tick);
     }
 
     /**
-     * Brings the rows in line with a configuration.
+     * Updates all rows to a configuration.
      *
-     * @param changed The configuration that came into force.
+     * @param changed The configuration that became active.
      */
     private void configure(FleetConfiguration changed) {
         configuration = Optional.of(changed);
@@ -96,16 +96,17 @@
     }
 
     /**
-     * Brings a row in line with its settings. An endpoint at another address is taken as a new one.
+     * Updates a row to its settings. An endpoint whose address has changed is treated as a new one.
      *
      * @param name The endpoint's name.
      * @param pool The settings of the pool.
      * @param settings The settings of the endpoint.
      */
     private void configure(EndpointName name, PoolSettings pool, EndpointSettings settings) {
-        Optional<Endpoint> known = table.find(name).filter(row -> row.address().equals(settings.address()));
-        if (known.isPresent()) {
-            table.put(known.get().withSettings(pool.kind(), settings.availabilityZone()));
+        Optional<Endpoint> existing =
+                table.find(name).filter(row -> row.address().equals(settings.address()));
+        if (existing.isPresent()) {
+            table.put(existing.get().withSettings(pool.kind(), settings.availabilityZone()));
             return;
         }
         table.add(new Endpoint(
@@ -122,17 +123,17 @@
     /**
      * Finds the settings of an endpoint.
      *
-     * @param from The configuration.
+     * @param fleet The configuration.
      * @param name The endpoint's name.
      * @return The settings, or empty if the configuration does not name the endpoint.
      */
-    private static Optional<EndpointSettings> settings(FleetConfiguration from, EndpointName name) {
-        return Optional.ofNullable(from.pools().get(name.pool()))
+    private static Optional<EndpointSettings> settings(FleetConfiguration fleet, EndpointName name) {
+        return Optional.ofNullable(fleet.pools().get(name.pool()))
                 .map(pool -> pool.endpoints().get(name.value()));
     }
 
     /**
-     * Applies what was learned about an endpoint.
+     * Applies an observation of an endpoint.
      *
      * @param tick The tick.
      * @param event The event.
@@ -146,11 +147,11 @@
             applyReport(tick, endpoint.get(), reported);
         } else if (event instanceof EndpointEvent.Unreachable unreachable) {
             table.putProbe(event.endpoint(), table.probe(event.endpoint()).withProbeFailure());
-            settle(tick, event.endpoint(), "unreachable: " + unreachable.reason());
+            refreshCondition(tick, event.endpoint(), "unreachable: " + unreachable.reason());
         } else if (event instanceof EndpointEvent.Leaving leaving) {
-            learnLeaving(tick, endpoint.get(), leaving.incarnation(), leaving.source());
+            recordLeaving(tick, endpoint.get(), leaving.incarnation(), leaving.source());
         } else if (event instanceof EndpointEvent.Listed listed) {
-            learnListed(tick, endpoint.get(), listed.leaving(), "the platform's list");
+            recordListed(tick, endpoint.get(), listed.leaving(), "the platform's list");
         } else if (event instanceof EndpointEvent.PrefixCached cached) {
             table.prefixes().apply(cached);
         }
@@ -160,26 +161,26 @@
      * Applies an endpoint's own report.
      *
      * @param tick The tick.
-     * @param endpoint The endpoint as it was known.
+     * @param endpoint The endpoint before the report.
      * @param report The report.
      */
     private void applyReport(Tick tick, Endpoint endpoint, EndpointEvent.Reported report) {
         EndpointName name = endpoint.name();
-        boolean anew = !endpoint.incarnation().equals(Optional.of(report.incarnation()));
-        if (anew) {
+        boolean newIncarnation = !endpoint.incarnation().equals(Optional.of(report.incarnation()));
+        if (newIncarnation) {
             table.prefixes().forget(name);
         }
         table.put(endpoint.withReport(report.incarnation(), report.load(), report.loadedVersions()));
         table.putProbe(name, table.probe(name).withReport());
         table.putLeaving(name, table.leaving(name).withIncarnation(report.incarnation()));
         if (report.leaving()) {
-            learnLeaving(tick, table.find(name).orElseThrow(), report.incarnation(), "own report");
+            recordLeaving(tick, table.find(name).orElseThrow(), report.incarnation(), "the endpoint itself");
         }
-        settle(tick, name, anew ? "incarnation " + report.incarnation() + " reported" : "reported");
+        refreshCondition(tick, name, newIncarnation ? "incarnation " + report.incarnation() + " reported" : "reported");
     }
 
     /**
-     * Applies what an attempt showed about its endpoint: a connection that can't be made counts like a failed probe.
+     * Applies the result of an attempt to its endpoint: a failure to connect is treated like a failed probe.
      *
      * @param tick The tick.
      * @param event The end of the attempt.
@@ -190,12 +191,12 @@
         }
         if (result.code().equals(FailureCodes.CONNECT_FAILED)) {
             table.putProbe(event.endpoint(), table.probe(event.endpoint()).withAttemptFailure());
-            settle(tick, event.endpoint(), "no connection for a request");
+            refreshCondition(tick, event.endpoint(), "could not connect for a request");
         }
     }
 
     /**
-     * Applies another node's word.
+     * Applies a message of another node.
      *
      * @param tick The tick.
      * @param message The message.
@@ -206,93 +207,94 @@
             return;
         }
         if (message instanceof EndpointMessage.Leaving leaving) {
-            learnLeaving(tick, endpoint.get(), leaving.incarnation(), "peer");
+            recordLeaving(tick, endpoint.get(), leaving.incarnation(), "a peer");
         } else if (message instanceof EndpointMessage.Listed listed) {
-            learnListed(tick, endpoint.get(), listed.leaving(), "peer's word of the platform's list");
+            recordListed(tick, endpoint.get(), listed.leaving(), "a peer that read the platform's list");
         }
     }
 
     /**
-     * Learns from the endpoint's own word, from whatever messenger, that it is leaving.
+     * Records that an endpoint is leaving, as it reported itself directly or through another source.
      *
      * @param tick The tick.
      * @param endpoint The endpoint.
-     * @param incarnation The incarnation that is leaving, or an empty text if the messenger does not know.
-     * @param source The messenger, for logs.
+     * @param incarnation The incarnation that is leaving, or an empty string if the source does not specify it.
+     * @param source The source of the information, for logs.
      */
-    private void learnLeaving(Tick tick, Endpoint endpoint, String incarnation, String source) {
-        LeavingKnowledge before = table.leaving(endpoint.name());
-        LeavingKnowledge after = before.withLeaving(incarnation, endpoint.incarnation());
+    private void recordLeaving(Tick tick, Endpoint endpoint, String incarnation, String source) {
+        LeavingState before = table.leaving(endpoint.name());
+        LeavingState after = before.withLeaving(incarnation, endpoint.incarnation());
         if (after.equals(before)) {
             return;
         }
         table.putLeaving(endpoint.name(), after);
-        settle(tick, endpoint.name(), "leaving, told by " + source);
+        refreshCondition(tick, endpoint.name(), "leaving, reported by " + source);
         if (!incarnation.isEmpty()) {
-            news.spread(tick, new EndpointMessage.Leaving(endpoint.name(), incarnation));
+            announcer.announce(tick, new EndpointMessage.Leaving(endpoint.name(), incarnation));
         }
     }
 
     /**
-     * Learns what the platform's list says about an endpoint's VM.
+     * Records whether the platform lists the VM of an endpoint as leaving.
      *
      * @param tick The tick.
      * @param endpoint The endpoint.
      * @param leaving Whether the VM is listed as leaving.
-     * @param source The messenger, for logs.
+     * @param source The source of the information, for logs.
      */
-    private void learnListed(Tick tick, Endpoint endpoint, boolean leaving, String source) {
+    private void recordListed(Tick tick, Endpoint endpoint, boolean leaving, String source) {
         EndpointName name = endpoint.name();
-        LeavingKnowledge before = table.leaving(name);
-        LeavingKnowledge after =
+        LeavingState before = table.leaving(name);
+        LeavingState after =
                 leaving ? before.withListed(tick.now(), endpoint.incarnation()) : before.withNotListed(tick.now());
         table.putLeaving(name, after);
-        settle(tick, name, leaving ? "listed as leaving, told by " + source : "no longer listed as leaving");
+        refreshCondition(
+                tick, name, leaving ? "listed as leaving, reported by " + source : "no longer listed as leaving");
         if (before.listing().isEmpty() && after.listing().isPresent()) {
-            news.spread(tick, new EndpointMessage.Listed(name, true));
+            announcer.announce(tick, new EndpointMessage.Listed(name, true));
         }
     }
 
     /**
-     * Computes an endpoint's condition anew and explains a change.
+     * Recomputes an endpoint's condition and records a decision if it has changed.
      *
      * @param tick The tick.
      * @param name The endpoint's name.
      * @param reason The reason for a change.
      */
-    private void settle(Tick tick, EndpointName name, String reason) {
-        table.settleCondition(name)
+    private void refreshCondition(Tick tick, EndpointName name, String reason) {
+        table.updateCondition(name)
                 .ifPresent(endpoint -> tick.decide(Decision.of(
                         DECISION_KIND, name.toString(), endpoint.condition().name(), reason)));
     }
 
     /**
-     * Drops load reports that are too old to be believed.
+     * Drops stale load reports.
      *
      * @param tick The tick.
      */
-    private void dropOldReports(Tick tick) {
-        if (configuration.isEmpty() || tick.now().isBefore(nextSweep)) {
+    private void dropStaleReports(Tick tick) {
+        if (configuration.isEmpty() || tick.now().isBefore(nextStaleReportCheck)) {
             return;
         }
-        nextSweep = tick.now().plus(SWEEP_INTERVAL);
+        nextStaleReportCheck = tick.now().plus(STALE_REPORT_CHECK_INTERVAL);
         for (Endpoint endpoint : List.copyOf(table.view())) {
             PoolSettings pool = configuration.get().pools().get(endpoint.name().pool());
-            if (endpoint.load().isPresent() && pool != null && tooOld(tick, endpoint, pool.routing())) {
+            if (endpoint.load().isPresent() && pool != null && isStale(tick, endpoint, pool.routing())) {
                 table.put(endpoint.withoutLoad());
             }
         }
     }
 
     /**
-     * Returns whether an endpoint's load report is too old.
+     * Returns whether an endpoint's load report is stale.
      *
      * @param tick The tick.
      * @param endpoint The endpoint.
      * @param settings The settings of its pool.
-     * @return {@code true} if the report no longer counts.
+     * @return {@code true} if the report is stale.
      */
-    private static boolean tooOld(Tick tick, Endpoint endpoint, RoutingSettings settings) {
+    private static boolean isStale(Tick tick, Endpoint endpoint, RoutingSettings settings) {
         return endpoint.load()
                 .map(load -> tick.now().since(load.receivedAt()).compareTo(settings.loadReportMaximumAge()) > 0)
                 .orElse(false);
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/EndpointTable.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/EndpointTable.java
@@ -15,27 +15,27 @@
 import java.util.TreeSet;
 
 /**
- * The table of the endpoints that the configuration names, with what this node believes of each. It is written by
- * {@link EndpointSystem} alone.
+ * The table of the configured endpoints, with the state of each at this node. Only {@link EndpointSystem} and
+ * {@link ProbeSystem} write to it.
  */
 public final class EndpointTable implements EndpointView {
 
-    /** The endpoints as other systems see them. */
+    /** The rows of the endpoints, as visible to other systems. */
     private final EntityTable<EndpointName, Endpoint> endpoints = new EntityTable<>();
 
-    /** What is known about the leaving of endpoints. */
-    private final EntityTable<EndpointName, LeavingKnowledge> leaving = new EntityTable<>();
+    /** The leaving state of each endpoint. */
+    private final EntityTable<EndpointName, LeavingState> leaving = new EntityTable<>();
 
-    /** Where the probing of endpoints stands. */
+    /** The probe state of each endpoint. */
     private final EntityTable<EndpointName, ProbeState> probes = new EntityTable<>();
 
-    /** What is believed of the prefix caches. */
+    /** The estimated contents of the prefix caches. */
     private final PrefixIndex prefixes = new PrefixIndex();
 
-    /** The names of the endpoints by pool, in order. */
+    /** The names of the endpoints of each pool, sorted. */
     private final Map<PoolName, SortedSet<EndpointName>> pools = new HashMap<>();
 
-    /** The endpoints by address. */
+    /** The names of the endpoints by address. */
     private final Map<String, EndpointName> addresses = new HashMap<>();
 
     /** The number of changes of the set of endpoints or of a condition. */
@@ -60,7 +60,7 @@
     }
 
     /**
-     * Returns all endpoints of a pool in whatever condition, ordered by name.
+     * Returns all endpoints of a pool regardless of their condition, ordered by name.
      *
      * @param pool The pool.
      * @return The endpoints of the pool.
@@ -122,27 +122,27 @@
     }
 
     /**
-     * Returns what is known about the leaving of an endpoint.
+     * Returns the leaving state of an endpoint.
      *
      * @param name The endpoint's name.
-     * @return The knowledge.
+     * @return The leaving state.
      */
-    LeavingKnowledge leaving(EndpointName name) {
-        return leaving.find(name).orElse(LeavingKnowledge.NOTHING);
+    LeavingState leaving(EndpointName name) {
+        return leaving.find(name).orElse(LeavingState.EMPTY);
     }
 
     /**
-     * Returns where the probing of an endpoint stands.
+     * Returns the probe state of an endpoint.
      *
      * @param name The endpoint's name.
-     * @return The state.
+     * @return The probe state.
      */
     ProbeState probe(EndpointName name) {
-        return probes.find(name).orElse(ProbeState.NEW);
+        return probes.find(name).orElse(ProbeState.INITIAL);
     }
 
     /**
-     * Returns what is believed of the prefix caches.
+     * Returns the estimated contents of the prefix caches.
      *
      * @return The index.
      */
@@ -151,7 +151,7 @@
     }
 
     /**
-     * Adds an endpoint, or replaces one whose address has changed, of which nothing is known yet.
+     * Adds an endpoint. An existing endpoint of this name is replaced and all of its state is discarded.
      *
      * @param endpoint The endpoint.
      */
@@ -164,7 +164,7 @@
     }
 
     /**
-     * Removes an endpoint with all that is known of it.
+     * Removes an endpoint and all of its state.
      *
      * @param name The endpoint's name.
      */
@@ -191,17 +191,17 @@
     }
 
     /**
-     * Replaces what is known about the leaving of an endpoint.
+     * Replaces the leaving state of an endpoint.
      *
      * @param name The endpoint's name.
-     * @param knowledge The new knowledge.
+     * @param state The new state.
      */
-    void putLeaving(EndpointName name, LeavingKnowledge knowledge) {
-        leaving.put(name, knowledge);
+    void putLeaving(EndpointName name, LeavingState state) {
+        leaving.put(name, state);
     }
 
     /**
-     * Replaces where the probing of an endpoint stands.
+     * Replaces the probe state of an endpoint.
      *
      * @param name The endpoint's name.
      * @param state The new state.
@@ -211,13 +211,13 @@
     }
 
     /**
-     * Computes an endpoint's condition anew from all that is known, such that the order in which news came does not
-     * matter.
+     * Recomputes an endpoint's condition from its complete state, so that the result does not depend on the order of
+     * updates.
      *
      * @param name The endpoint's name.
      * @return The endpoint if its condition has changed, or empty if it has not.
      */
-    Optional<Endpoint> settleCondition(EndpointName name) {
+    Optional<Endpoint> updateCondition(EndpointName name) {
         Optional<Endpoint> endpoint = endpoints.find(name);
         if (endpoint.isEmpty()) {
             return Optional.empty();
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/FailureCodes.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/FailureCodes.java
@@ -1,30 +1,30 @@
 package io.yuccaswitch.core.endpoint;
 
-/** The codes of failed attempts that the client of endpoints gives and other systems look at. */
+/** The codes of failed attempts that the endpoint client sets and other systems evaluate. */
 public final class FailureCodes {
 
-    /** No connection to the endpoint could be made, so no byte was sent. */
+    /** The connection to the endpoint could not be established, so no byte was sent. */
     public static final String CONNECT_FAILED = "connect-failed";
 
-    /** The attempt was cancelled before its first byte was sent, or after. */
+    /** The attempt was cancelled, either before or after its first byte was sent. */
     public static final String CANCELLED = "cancelled";
 
     /** The deadline passed. */
     public static final String DEADLINE_EXCEEDED = "deadline-exceeded";
 
-    /** The connection broke after bytes were sent, or the answer's end was not seen. */
+    /** The connection broke after bytes were sent, or the answer was incomplete. */
     public static final String CONNECTION_LOST = "connection-lost";
 
-    /** The answer bore another request's identifier. */
+    /** The answer carried the identifier of another request. */
     public static final String CROSSED_ANSWER = "crossed-answer";
 
-    /** The answer bore no identifier. */
+    /** The answer carried no request identifier. */
     public static final String UNIDENTIFIED_ANSWER = "unidentified-answer";
 
-    /** The answer was larger than what is accepted. */
+    /** The answer exceeded the maximum size. */
     public static final String ANSWER_TOO_LARGE = "answer-too-large";
 
-    /** The answer could not be understood, or contradicted itself. */
+    /** The answer could not be parsed or was inconsistent. */
     public static final String MALFORMED_ANSWER = "malformed-answer";
 
     /** The endpoint refused the request because it is leaving. */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/LeavingNews.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/LeavingNews.java
@@ -8,39 +8,40 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Tells other nodes about a leaving endpoint. */
+/** Announces leaving endpoints to other nodes. */
 @FunctionalInterface
 public interface LeavingNews {
 
-    /** Tells nobody. */
+    /** Sends no announcements. */
     LeavingNews NO_OP = (_tick, _message) -> {};
 
     /**
-     * Spreads news that this node has just learned.
+     * Announces a leaving endpoint that this node has newly recorded.
      *
      * @param tick The tick.
-     * @param message The news.
+     * @param message The message to send.
      */
-    void spread(Tick tick, EndpointMessage message);
+    void announce(Tick tick, EndpointMessage message);
 
     /**
-     * Tells all nodes of a small site, and a few random ones of a large one. Each node passes on what is news to it, so
-     * a few receivers suffice to reach nearly all nodes, and an endpoint's own refusal tells the rest.
+     * Sends announcements to all nodes of a small site, or to a few random nodes of a large one. Each node forwards an
+     * announcement that is new to it, so a few receivers suffice to reach nearly all nodes. The remaining nodes learn
+     * that the endpoint is leaving when it rejects a request.
      *
-     * @param membership The nodes.
+     * @param membership The membership of the site.
      */
     record ToFewNodes(MembershipView membership) implements LeavingNews {
 
-        /** The largest number of nodes that are told by one. */
+        /** The maximum number of nodes to which one node sends an announcement. */
         static final int FAN_OUT = 8;
 
         /** {@inheritDoc} */
         @Override
-        public void spread(Tick tick, EndpointMessage message) {
+        public void announce(Tick tick, EndpointMessage message) {
             NodeName self = membership.self().identity().name();
             List<Member> others = new ArrayList<>(membership.working());
             others.removeIf(member -> member.identity().name().equals(self));
-            for (int told = 0; told < FAN_OUT && !others.isEmpty(); told++) {
+            for (int sent = 0; sent < FAN_OUT && !others.isEmpty(); sent++) {
                 Member receiver = others.remove(tick.random().nextInt(others.size()));
                 tick.emit(new PeerEffect.Send(receiver.identity().name(), message));
             }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/PrefixHashes.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/PrefixHashes.java
@@ -5,13 +5,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Computes the hashes by which engines and this service name the prefixes of prompts. */
+/** Computes the hashes by which engines and this service identify prompt prefixes. */
 public final class PrefixHashes {
 
-    /** The number of characters by which each prefix is longer than the one before. */
+    /** The number of characters by which each prefix is longer than the previous one. */
     public static final int BLOCK_LENGTH = 256;
 
-    /** The largest number of prefixes of a prompt. */
+    /** The maximum number of prefixes of a prompt. */
     public static final int MAXIMUM_PREFIXES = 16;
 
     /** This class has no instances. */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/PrefixIndex.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/PrefixIndex.java
@@ -7,36 +7,36 @@
 import java.util.Map;
 
 /**
- * What is believed of the prefix caches of endpoints. It follows events that come late and with gaps, so it is only a
- * hint: a lost eviction stays believed until newer prefixes displace it.
+ * An estimate of the contents of the endpoints' prefix caches. It is built from events that arrive late and may be
+ * lost, so it is only a hint: a prefix whose eviction event was lost remains until newer prefixes displace it.
  */
 final class PrefixIndex {
 
-    /** The largest number of prefixes that are remembered of an endpoint. */
+    /** The maximum number of prefixes that are retained for an endpoint. */
     static final int MAXIMUM_PREFIXES = 1024;
 
-    /** The remembered prefixes of each endpoint, the one whose news is oldest first. */
+    /** The cached prefixes of each endpoint, ordered from the least to the most recently reported. */
     private final Map<EndpointName, Map<Long, Boolean>> prefixes = new HashMap<>();
 
     /**
-     * Takes in an event.
+     * Applies a cache event.
      *
      * @param event The event.
      */
     void apply(EndpointEvent.PrefixCached event) {
-        Map<Long, Boolean> known = prefixes.computeIfAbsent(event.endpoint(), _name -> new LinkedHashMap<>());
-        known.remove(event.prefixHash());
+        Map<Long, Boolean> hashes = prefixes.computeIfAbsent(event.endpoint(), _name -> new LinkedHashMap<>());
+        hashes.remove(event.prefixHash());
         if (!event.cached()) {
             return;
         }
-        known.put(event.prefixHash(), Boolean.TRUE);
-        if (known.size() > MAXIMUM_PREFIXES) {
-            known.remove(known.keySet().iterator().next());
+        hashes.put(event.prefixHash(), Boolean.TRUE);
+        if (hashes.size() > MAXIMUM_PREFIXES) {
+            hashes.remove(hashes.keySet().iterator().next());
         }
     }
 
     /**
-     * Forgets everything about an endpoint, whose process has started anew or which is gone.
+     * Removes all prefixes of an endpoint that has restarted or was removed.
      *
      * @param endpoint The endpoint.
      */
@@ -45,17 +45,17 @@
     }
 
     /**
-     * Counts the leading prefixes of a prompt that an endpoint is believed to keep.
+     * Counts the leading prefixes of a prompt that an endpoint probably has in its cache.
      *
      * @param endpoint The endpoint.
      * @param prefixHashes The hashes of the prompt's prefixes, from the shortest to the longest.
      * @return The number of leading prefixes.
      */
     int count(EndpointName endpoint, List<Long> prefixHashes) {
-        Map<Long, Boolean> known = prefixes.getOrDefault(endpoint, Map.of());
+        Map<Long, Boolean> hashes = prefixes.getOrDefault(endpoint, Map.of());
         int count = 0;
         for (Long hash : prefixHashes) {
-            if (!known.containsKey(hash)) {
+            if (!hashes.containsKey(hash)) {
                 return count;
             }
             count++;
@@ -64,7 +64,7 @@
     }
 
     /**
-     * Returns the number of prefixes that are remembered of an endpoint.
+     * Returns the number of prefixes that are retained for an endpoint.
      *
      * @param endpoint The endpoint.
      * @return The number of prefixes.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/ProbeState.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/ProbeState.java
@@ -5,44 +5,44 @@
 import java.util.Optional;
 
 /**
- * Where a node stands with asking an endpoint for its state.
+ * The state of a node's probes of an endpoint.
  *
- * @param failures The number of failures in a row.
- * @param sentAt The time of the probe that is not answered yet, or empty if there is none.
+ * @param failures The number of consecutive failures.
+ * @param sentAt The time at which the probe in flight was sent, or empty if there is none.
  * @param dueAt The time at which the next probe is due.
- * @param cacheDueAt The time at which cache events are to be read next.
+ * @param cacheDueAt The time at which the next read of cache events is due.
  */
 record ProbeState(int failures, Optional<MonotonicTime> sentAt, MonotonicTime dueAt, MonotonicTime cacheDueAt) {
 
-    /** The number of failures in a row after which an endpoint is down. */
-    static final int DOWN_AFTER = 3;
+    /** The number of consecutive failures after which an endpoint is down. */
+    static final int DOWN_FAILURE_THRESHOLD = 3;
 
-    /** The state of an endpoint that was never asked. */
-    static final ProbeState NEW =
+    /** The state of an endpoint that has not been probed yet. */
+    static final ProbeState INITIAL =
             new ProbeState(0, Optional.empty(), new MonotonicTime(Long.MIN_VALUE), new MonotonicTime(Long.MIN_VALUE));
 
-    /** The time after which a probe counts as lost in case that no answer ever comes. */
-    private static final Duration LOST_AFTER = Duration.ofSeconds(30);
+    /** The time after which a probe without an answer is considered lost. */
+    private static final Duration PROBE_TIMEOUT = Duration.ofSeconds(30);
 
     /**
-     * Returns whether an endpoint that failed so often is down.
+     * Returns whether the endpoint is down due to consecutive failures.
      *
      * @return {@code true} if it is down.
      */
     boolean down() {
-        return failures >= DOWN_AFTER;
+        return failures >= DOWN_FAILURE_THRESHOLD;
     }
 
     /**
-     * Returns whether a probe is to be sent.
+     * Returns whether a probe is due.
      *
      * @param now The current time.
-     * @return {@code true} if one is due and none is under way.
+     * @return {@code true} if a probe is due and none is in flight.
      */
     boolean due(MonotonicTime now) {
-        boolean underWay =
-                sentAt.map(sent -> now.since(sent).compareTo(LOST_AFTER) < 0).orElse(false);
-        return !underWay && !now.isBefore(dueAt);
+        boolean inFlight =
+                sentAt.map(sent -> now.since(sent).compareTo(PROBE_TIMEOUT) < 0).orElse(false);
+        return !inFlight && !now.isBefore(dueAt);
     }
 
     /**
@@ -57,9 +57,9 @@
     }
 
     /**
-     * Returns this state after cache events were asked for.
+     * Returns this state after a read of cache events was requested.
      *
-     * @param next The time at which they are to be read next.
+     * @param next The time at which the next read is due.
      * @return The changed state.
      */
     ProbeState withCacheDueAt(MonotonicTime next) {
@@ -85,7 +85,7 @@
     }
 
     /**
-     * Returns this state after a request could not be sent to the endpoint.
+     * Returns this state after an attempt of a request could not connect to the endpoint.
      *
      * @return The changed state.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/ProbeSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/ProbeSystem.java
@@ -18,19 +18,20 @@
 import java.util.Set;
 
 /**
- * Asks endpoints for their load: the ones that this node routes to at the configured interval, and those that it has
- * found to be down at a growing one, such that they are found again. It runs after {@link EndpointSystem}.
+ * Probes endpoints for their load. Endpoints that this node routes to are probed at the configured interval; endpoints
+ * that are down are probed at an increasing interval to detect their recovery. This system runs after
+ * {@link EndpointSystem}.
  */
 public final class ProbeSystem implements DecisionSystem {
 
-    /** The longest interval at which an endpoint that is down is asked. */
-    private static final Duration LONGEST_INTERVAL = Duration.ofSeconds(5);
+    /** The maximum interval between probes of an endpoint that is down. */
+    private static final Duration MAXIMUM_DOWN_INTERVAL = Duration.ofSeconds(5);
 
-    /** The number of load reports for one reading of cache events. */
-    private static final int REPORTS_PER_CACHE_READING = 4;
+    /** The number of load report intervals between two reads of cache events. */
+    private static final int REPORT_INTERVALS_PER_CACHE_READ = 4;
 
-    /** The share of an interval by which probes are spread, so that nodes don't ask in step. */
-    private static final double JITTER = 0.2;
+    /** The maximum fraction by which an interval is randomly shortened, so that nodes don't probe in lockstep. */
+    private static final double JITTER_FRACTION = 0.2;
 
     /** The name of this node. */
     private final NodeName node;
@@ -41,14 +42,14 @@
     /** The table of endpoints. */
     private final EndpointTable table;
 
-    /** The configuration in force, or empty before the first one. */
+    /** The active configuration, or empty before the first one. */
     private Optional<FleetConfiguration> configuration = Optional.empty();
 
-    /** The version of the table from which the probed endpoints were picked. */
-    private long pickedVersion = -1;
+    /** The version of the table from which the probed endpoints were selected. */
+    private long selectedVersion = -1;
 
-    /** The endpoints that are probed. */
-    private Set<EndpointName> picked = Set.of();
+    /** The endpoints to probe. */
+    private Set<EndpointName> selected = Set.of();
 
     /**
      * Creates a new system.
@@ -68,31 +69,31 @@
     public void run(Tick tick) {
         for (ConfigurationEvent.InForce event : tick.events(ConfigurationEvent.InForce.class)) {
             configuration = Optional.of(event.configuration());
-            pickedVersion = -1;
+            selectedVersion = -1;
         }
         if (configuration.isEmpty()) {
             return;
         }
-        if (pickedVersion != table.version()) {
-            picked = pick(configuration.get());
-            pickedVersion = table.version();
+        if (selectedVersion != table.version()) {
+            selected = select(configuration.get());
+            selectedVersion = table.version();
         }
-        for (EndpointName name : picked) {
+        for (EndpointName name : selected) {
             table.find(name).ifPresent(endpoint -> probe(tick, endpoint, settings(name.pool())));
         }
     }
 
     /**
-     * Picks the endpoints to probe: those that requests go to, those that they would go to if all were live, and all
-     * that this node has found to be down.
+     * Selects the endpoints to probe: those that requests are routed to, those that would be used if all endpoints were
+     * live, and all that are down.
      *
-     * @param from The configuration.
+     * @param fleet The active configuration.
      * @return The names of the endpoints.
      */
-    private Set<EndpointName> pick(FleetConfiguration from) {
+    private Set<EndpointName> select(FleetConfiguration fleet) {
         Set<EndpointName> names = new LinkedHashSet<>();
         for (PoolName pool : table.poolNames()) {
-            PoolSettings settings = from.pools().get(pool);
+            PoolSettings settings = fleet.pools().get(pool);
             int size = settings == null ? 0 : settings.routing().subsetSize();
             EndpointSubset.pick(node, availabilityZone, table.candidates(pool), size)
                     .forEach(endpoint -> names.add(endpoint.name()));
@@ -108,7 +109,7 @@
     }
 
     /**
-     * Asks an endpoint if that is due.
+     * Probes an endpoint if a probe is due.
      *
      * @param tick The tick.
      * @param endpoint The endpoint.
@@ -122,66 +123,67 @@
         tick.emit(new EndpointEffect.Probe(endpoint.name(), endpoint.address()));
         Duration interval = interval(state, settings.loadReportInterval());
         ProbeState sent = state.withSent(tick.now(), tick.now().plus(jittered(tick, interval)));
-        table.putProbe(endpoint.name(), readsCache(tick, endpoint, settings, sent));
+        table.putProbe(endpoint.name(), readCacheEvents(tick, endpoint, settings, sent));
     }
 
     /**
-     * Reads the cache events of an endpoint if that is due.
+     * Reads the cache events of an endpoint if a read is due.
      *
      * @param tick The tick.
      * @param endpoint The endpoint.
      * @param settings The settings of its pool.
-     * @param state Where the probing stands.
+     * @param state The state of the probes.
      * @return The changed state.
      */
-    private static ProbeState readsCache(Tick tick, Endpoint endpoint, RoutingSettings settings, ProbeState state) {
-        boolean wanted = endpoint.kind() == PoolKind.ENGINE
+    private static ProbeState readCacheEvents(
+            Tick tick, Endpoint endpoint, RoutingSettings settings, ProbeState state) {
+        boolean enabled = endpoint.kind() == PoolKind.ENGINE
                 && endpoint.condition() == EndpointCondition.LIVE
                 && settings.prefixAffinity() > 0;
-        if (!wanted || tick.now().isBefore(state.cacheDueAt())) {
+        if (!enabled || tick.now().isBefore(state.cacheDueAt())) {
             return state;
         }
         tick.emit(new EndpointEffect.ReadCacheEvents(endpoint.name(), endpoint.address()));
         return state.withCacheDueAt(
-                tick.now().plus(settings.loadReportInterval().multipliedBy(REPORTS_PER_CACHE_READING)));
+                tick.now().plus(settings.loadReportInterval().multipliedBy(REPORT_INTERVALS_PER_CACHE_READ)));
     }
 
     /**
      * Computes the time until the next probe.
      *
-     * @param state Where the probing stands.
-     * @param ordinary The configured interval.
+     * @param state The state of the probes.
+     * @param configured The configured interval.
      * @return The interval, which doubles with each failure of an endpoint that is down.
      */
-    private static Duration interval(ProbeState state, Duration ordinary) {
+    private static Duration interval(ProbeState state, Duration configured) {
         if (!state.down()) {
-            return ordinary;
+            return configured;
         }
-        Duration longest = LONGEST_INTERVAL.compareTo(ordinary) > 0 ? LONGEST_INTERVAL : ordinary;
-        Duration interval = ordinary;
-        for (int failures = ProbeState.DOWN_AFTER; failures <= state.failures(); failures++) {
+        Duration maximum = MAXIMUM_DOWN_INTERVAL.compareTo(configured) > 0 ? MAXIMUM_DOWN_INTERVAL : configured;
+        Duration interval = configured;
+        for (int failures = ProbeState.DOWN_FAILURE_THRESHOLD; failures <= state.failures(); failures++) {
             interval = interval.multipliedBy(2);
-            if (interval.compareTo(longest) >= 0) {
-                return longest;
+            if (interval.compareTo(maximum) >= 0) {
+                return maximum;
             }
         }
         return interval;
     }
 
     /**
-     * Spreads an interval.
+     * Applies jitter to an interval.
      *
      * @param tick The tick.
      * @param interval The interval.
-     * @return The interval, shortened by a random part.
+     * @return The interval, shortened by a random fraction of up to {@link #JITTER_FRACTION}.
      */
     private static Duration jittered(Tick tick, Duration interval) {
-        double share = 1 - JITTER * tick.random().nextDouble();
-        return Duration.ofNanos((long) (interval.toNanos() * share));
+        double factor = 1 - JITTER_FRACTION * tick.random().nextDouble();
+        return Duration.ofNanos((long) (interval.toNanos() * factor));
     }
 
     /**
-     * Returns how requests of a pool are routed.
+     * Returns the routing settings of a pool.
      *
      * @param pool The pool.
      * @return The settings.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/VirtualMachineListSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/VirtualMachineListSystem.java
@@ -23,20 +23,20 @@
 import java.util.Optional;
 
 /**
- * Reads the platform's list of VMs, on one node of each availability zone so that the platform's calls don't grow with
- * the nodes, and raises {@link EndpointEvent.Listed} for endpoints whose VM is leaving. A node that does not read the
- * list, but was told that an endpoint is listed, goes on asking the one that does until the list says otherwise. It
- * runs before {@link EndpointSystem}.
+ * Reads the platform's list of VMs and raises {@link EndpointEvent.Listed} for endpoints whose VM is leaving. Only one
+ * node of each availability zone reads the list, so that the number of calls to the platform does not grow with the
+ * number of nodes. Another node that was notified of a listed endpoint keeps querying the reading node until the
+ * endpoint is no longer listed as leaving. This system runs before {@link EndpointSystem}.
  */
 public final class VirtualMachineListSystem implements DecisionSystem {
 
-    /** The interval at which a node asks about endpoints that it was told are listed. */
+    /** The interval at which a node that does not read the list queries the state of listed endpoints. */
     static final Duration QUERY_INTERVAL = Duration.ofSeconds(5);
 
-    /** The age past which the list is too old to answer from, in intervals of reading. */
-    private static final int LONGEST_AGE_INTERVALS = 3;
+    /** The age from which the list is stale and no longer used for answers, in read intervals. */
+    private static final int MAXIMUM_AGE_INTERVALS = 3;
 
-    /** The key by which the reading node of an availability zone is picked. */
+    /** The rendezvous hashing key that selects the reading node of an availability zone. */
     private static final String READER_KEY = "virtual-machine-list";
 
     /** The availability zone of this node. */
@@ -45,28 +45,28 @@
     /** The table of endpoints. */
     private final EndpointTable table;
 
-    /** The nodes. */
+    /** The membership of the site. */
     private final MembershipView membership;
 
-    /** Hands out the tokens of calls to the platform. */
+    /** Allocates the tokens of calls to the platform. */
     private final PlatformTokens tokens;
 
-    /** The interval at which the list is read, or empty before a configuration is in force. */
+    /** The interval at which the list is read, or empty before a configuration is active. */
     private Optional<Duration> readInterval = Optional.empty();
 
-    /** Whether each address is listed as leaving, as the list said when it was last read. */
+    /** Whether each address was listed as leaving when the list was last read. */
     private final Map<String, Boolean> listed = new HashMap<>();
 
-    /** The token of the call under way, or empty if there is none. */
-    private Optional<Long> call = Optional.empty();
+    /** The token of the call in flight, or empty if there is none. */
+    private Optional<Long> pendingToken = Optional.empty();
 
-    /** The time at which the list was last read, or empty if it never was. */
+    /** The time at which the list was last read, or empty if it has not been read yet. */
     private Optional<MonotonicTime> readAt = Optional.empty();
 
-    /** The time at which the list is to be read next. */
+    /** The time at which the next read of the list is due. */
     private MonotonicTime readDueAt = new MonotonicTime(Long.MIN_VALUE);
 
-    /** The time at which the reading node is to be asked next. */
+    /** The time at which the next query to the reading node is due. */
     private MonotonicTime queryDueAt = new MonotonicTime(Long.MIN_VALUE);
 
     /**
@@ -74,8 +74,8 @@
      *
      * @param availabilityZone The availability zone of this node.
      * @param table The table of endpoints.
-     * @param membership The nodes.
-     * @param tokens Hands out the tokens of calls to the platform.
+     * @param membership The membership of the site.
+     * @param tokens Allocates the tokens of calls to the platform.
      */
     public VirtualMachineListSystem(
             AvailabilityZone availabilityZone, EndpointTable table, MembershipView membership, PlatformTokens tokens) {
@@ -89,8 +89,8 @@
     @Override
     public void run(Tick tick) {
         for (PlatformEvent event : tick.events(PlatformEvent.class)) {
-            if (call.equals(Optional.of(event.token()))) {
-                call = Optional.empty();
+            if (pendingToken.equals(Optional.of(event.token()))) {
+                pendingToken = Optional.empty();
             }
             if (event instanceof PlatformEvent.VirtualMachinesListed list) {
                 apply(tick, list.virtualMachines());
@@ -110,29 +110,29 @@
         }
         if (!tick.now().isBefore(queryDueAt)) {
             queryDueAt = tick.now().plus(QUERY_INTERVAL);
-            ask(tick);
+            queryReader(tick);
         }
     }
 
     /**
-     * Reads the list if that is this node's part.
+     * Reads the list if this is the reading node and no call is in flight.
      *
      * @param tick The tick.
      */
     private void read(Tick tick) {
-        if (call.isPresent() || !isReader()) {
+        if (pendingToken.isPresent() || !isReader()) {
             return;
         }
         long token = tokens.next();
-        call = Optional.of(token);
+        pendingToken = Optional.of(token);
         tick.emit(new PlatformEffect.ListVirtualMachines(token, PlatformPurpose.MEMBERSHIP));
     }
 
     /**
-     * Takes in the list.
+     * Applies the list.
      *
      * @param tick The tick.
-     * @param virtualMachines The VMs as the platform lists them.
+     * @param virtualMachines The VMs that the platform lists.
      */
     private void apply(Tick tick, List<VirtualMachine> virtualMachines) {
         readAt = Optional.of(tick.now());
@@ -147,14 +147,14 @@
     }
 
     /**
-     * Answers another node's question from the list, if it was read of late.
+     * Answers another node's query if the list is not stale.
      *
      * @param tick The tick.
-     * @param event The message's arrival.
-     * @param query The question.
+     * @param event The event that received the message.
+     * @param query The query.
      */
     private void answer(Tick tick, PeerEvent.Received event, EndpointMessage.ListedQuery query) {
-        if (!fresh(tick)) {
+        if (!isFresh(tick)) {
             return;
         }
         table.find(query.endpoint())
@@ -164,25 +164,25 @@
     }
 
     /**
-     * Returns whether the list was read of late.
+     * Returns whether the list is recent enough to answer queries.
      *
      * @param tick The tick.
-     * @return {@code true} if it can be answered from.
+     * @return {@code true} if the list is not stale.
      */
-    private boolean fresh(Tick tick) {
+    private boolean isFresh(Tick tick) {
         if (readAt.isEmpty() || readInterval.isEmpty()) {
             return false;
         }
-        Duration longest = readInterval.get().multipliedBy(LONGEST_AGE_INTERVALS);
-        return tick.now().since(readAt.get()).compareTo(longest) < 0;
+        Duration maximumAge = readInterval.get().multipliedBy(MAXIMUM_AGE_INTERVALS);
+        return tick.now().since(readAt.get()).compareTo(maximumAge) < 0;
     }
 
     /**
-     * Asks the node that reads the list about the endpoints that this node was told are listed.
+     * Queries the reading node for the endpoints that are recorded as listed at this node.
      *
      * @param tick The tick.
      */
-    private void ask(Tick tick) {
+    private void queryReader(Tick tick) {
         if (isReader()) {
             return;
         }
@@ -206,9 +206,9 @@
     }
 
     /**
-     * Picks the node of this availability zone that reads the list.
+     * Selects the node of this availability zone that reads the list.
      *
-     * @return The node, or empty if no node of the zone works.
+     * @return The node, or empty if the zone has no working node.
      */
     private Optional<Member> reader() {
         List<Member> candidates = membership.working().stream()
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/package-info.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/package-info.java
@@ -1,5 +1,2 @@
-/**
- * Endpoints as the decision core knows them: where they are, how loaded they say they are, and which weight versions
- * they hold.
- */
+/** The endpoints in the decision core: their addresses, conditions, reported load and loaded weight versions. */
 package io.yuccaswitch.core.endpoint;
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/endpoint/EndpointFixture.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/endpoint/EndpointFixture.java
@@ -38,7 +38,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The systems of endpoints on one node, with events and a clock that a test moves by hand. */
+/** Runs the endpoint systems of one node with events and a clock that the test controls. */
 final class EndpointFixture {
 
     static final PoolName POOL = new PoolName("matcher-lm");
@@ -76,8 +76,8 @@
         return result;
     }
 
-    /** Lets time pass in steps of 50 ms, with a tick after each. */
-    void pass(Duration duration) {
+    /** Advances the clock in steps of 50 ms, with a tick after each step. */
+    void advance(Duration duration) {
         MonotonicTime end = now.plus(duration);
         while (now.isBefore(end)) {
             now = now.plus(Duration.ofMillis(50));
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/endpoint/EndpointSystemTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/endpoint/EndpointSystemTest.java
@@ -23,13 +23,16 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-/** Rows follow the configuration, reports and failures, and a leaving endpoint is left alone whoever tells first. */
+/**
+ * Rows follow the configuration, reports and failures, and a leaving endpoint gets no new requests, whichever source
+ * reports it first.
+ */
 final class EndpointSystemTest {
 
     private final EndpointFixture fixture = EndpointFixture.withEndpoints(3);
 
     @Test
-    void rowsFollowTheConfigurationAndKeepWhatIsKnown() {
+    void rowsFollowTheConfigurationAndKeepTheirState() {
         fixture.tick(fixture.reported(0, "i1", true), fixture.reported(1, "j1", false));
         fixture.tick(EndpointFixture.inForce(2, 5, 16));
         assertThat(fixture.table.view()).hasSize(5);
@@ -41,17 +44,17 @@
     }
 
     @Test
-    void aReportIsKeptUntilItIsTooOld() {
+    void aReportIsKeptUntilItIsStale() {
         fixture.tick(fixture.reported(0, "i1", false));
-        fixture.pass(EndpointFixture.MAXIMUM_AGE.minusMillis(100));
+        fixture.advance(EndpointFixture.MAXIMUM_AGE.minusMillis(100));
         assertThat(fixture.table.find(name(0)).orElseThrow().load()).isPresent();
-        fixture.pass(Duration.ofMillis(500));
+        fixture.advance(Duration.ofMillis(500));
         assertThat(fixture.table.find(name(0)).orElseThrow().load()).isEmpty();
         assertThat(fixture.table.find(name(0)).orElseThrow().loadedVersions()).containsEntry("base", 3L);
     }
 
     @Test
-    void anEndpointIsDownAfterFailuresInARowAndBackWithOneReport() {
+    void anEndpointIsDownAfterConsecutiveFailuresAndLiveAfterOneReport() {
         fixture.tick(unreachable(0), unreachable(0));
         fixture.tick(fixture.reported(0, "i1", false));
         fixture.tick(unreachable(0), unreachable(0));
@@ -67,13 +70,13 @@
     }
 
     @Test
-    void requestsThatFindNoConnectionCountAsFailures() {
-        fixture.tick(noConnection(0), noConnection(0), noConnection(0));
+    void requestsThatCannotConnectAreTreatedAsFailures() {
+        fixture.tick(connectFailed(0), connectFailed(0), connectFailed(0));
         assertThat(fixture.condition(0)).isEqualTo(EndpointCondition.DOWN);
     }
 
     @Test
-    void eachSourceAloneMakesAnEndpointLeaveAndADecisionSaysWhich() {
+    void eachSourceAloneMarksAnEndpointAsLeavingWithADecision() {
         fixture.tick(fixture.reported(0, "i0", true));
         fixture.tick(new Leaving(name(1), "", "own refusal"));
         fixture.tick(EndpointFixture.received("vm-2", new EndpointMessage.Leaving(name(2), "i2")));
@@ -84,16 +87,18 @@
     }
 
     @Test
-    void aNewIncarnationLivesAgain() {
+    void aNewIncarnationIsLive() {
         fixture.tick(fixture.reported(0, "i1", true));
         fixture.tick(fixture.reported(0, "i2", false));
         assertThat(fixture.condition(0)).isEqualTo(EndpointCondition.LIVE);
         fixture.tick(EndpointFixture.received("vm-2", new EndpointMessage.Leaving(name(0), "i1")));
-        assertThat(fixture.condition(0)).as("old news").isEqualTo(EndpointCondition.LIVE);
+        assertThat(fixture.condition(0))
+                .as("late announcement about the replaced incarnation")
+                .isEqualTo(EndpointCondition.LIVE);
     }
 
     @Test
-    void aRefusalBeforeAnyReportIsAboutTheIncarnationThatReportsFirst() {
+    void aRejectionBeforeAnyReportAppliesToTheFirstReportedIncarnation() {
         fixture.tick(new Leaving(name(0), "", "own refusal"));
         fixture.tick(fixture.reported(0, "i1", false));
         assertThat(fixture.condition(0)).isEqualTo(EndpointCondition.LEAVING);
@@ -102,15 +107,15 @@
     }
 
     @Property(tries = 300, seed = "20261202")
-    void leavingBeatsLiveInWhateverOrderTheNewsComes(@ForAll("news") List<Event> news) {
+    void leavingOverridesLiveInAnyOrderOfUpdates(@ForAll("updates") List<Event> updates) {
         EndpointFixture shuffled = EndpointFixture.withEndpoints(1);
-        news.forEach(shuffled::tick);
+        updates.forEach(shuffled::tick);
         shuffled.tick(shuffled.reported(0, "i1", false));
         assertThat(shuffled.condition(0)).isEqualTo(EndpointCondition.LEAVING);
     }
 
     @Provide
-    Arbitrary<List<Event>> news() {
+    Arbitrary<List<Event>> updates() {
         EndpointFixture source = EndpointFixture.withEndpoints(1);
         List<Event> leaving = List.of(
                 source.reported(0, "i1", true),
@@ -120,23 +125,23 @@
                 source.reported(0, "i1", false),
                 source.reported(0, "i0", false),
                 unreachable(0),
-                noConnection(0),
+                connectFailed(0),
                 new EndpointEvent.Listed(name(0), false),
                 EndpointFixture.received("vm-3", new EndpointMessage.Listed(name(0), false)),
                 EndpointFixture.received("vm-3", new EndpointMessage.Leaving(name(0), "i0")));
         Arbitrary<List<Event>> background = Arbitraries.of(others).list().ofMaxSize(8);
         return Arbitraries.of(leaving)
-                .flatMap(news -> background.flatMap(events -> Arbitraries.integers()
+                .flatMap(announcement -> background.flatMap(events -> Arbitraries.integers()
                         .between(0, events.size())
                         .map(index -> {
                             List<Event> all = new ArrayList<>(events);
-                            all.add(index, news);
+                            all.add(index, announcement);
                             return all;
                         })));
     }
 
     @Test
-    void newsOfLeavingIsPassedOnOnce() {
+    void aLeavingEndpointIsAnnouncedOnce() {
         fixture.tick(new Leaving(name(0), "i1", "own refusal"));
         assertThat(fixture.take(PeerEffect.Send.class))
                 .extracting(send -> send.target().value())
@@ -147,7 +152,7 @@
     }
 
     @Test
-    void aLargeSiteTellsAFewNodesEach() {
+    void inALargeSiteEachNodeAnnouncesToAFewOthers() {
         String[] nodes =
                 IntStream.range(0, 350).mapToObj(index -> "vm-" + index).toArray(String[]::new);
         EndpointFixture large = new EndpointFixture("vm-0", nodes);
@@ -160,7 +165,7 @@
     }
 
     @Test
-    void cachedPrefixesAreCountedFromTheShortestOn() {
+    void cachedPrefixesAreCountedFromTheShortestUpToTheFirstGap() {
         fixture.tick(cached(1, true), cached(2, true), cached(4, true));
         assertThat(fixture.table.cachedPrefixes(name(0), List.of(1L, 2L, 3L, 4L)))
                 .isEqualTo(2);
@@ -169,7 +174,7 @@
     }
 
     @Test
-    void whatIsKnownOfAPrefixCacheIsBoundedAndEndsWithTheIncarnation() {
+    void retainedPrefixesAreBoundedAndDiscardedWithTheIncarnation() {
         fixture.tick(fixture.reported(0, "i1", false));
         fixture.tick(
                 LongStream.range(0, 5000).mapToObj(hash -> cached(hash, true)).toArray(Event[]::new));
@@ -180,13 +185,13 @@
     }
 
     @Test
-    void newsAboutEndpointsThatAreNotConfiguredIsIgnored() {
+    void eventsForUnconfiguredEndpointsAreIgnored() {
         fixture.tick(
                 fixture.reported(9, "i1", true),
                 unreachable(9),
                 new Leaving(name(9), "", "own refusal"),
                 new PrefixCached(name(9), 1, true),
-                noConnection(9),
+                connectFailed(9),
                 EndpointFixture.received("vm-2", new EndpointMessage.Listed(name(9), true)));
         assertThat(fixture.table.view()).hasSize(3);
         assertThat(fixture.table.prefixes().size(name(9))).isZero();
@@ -200,7 +205,7 @@
         return new Unreachable(name(endpoint), "test");
     }
 
-    private static Event noConnection(int endpoint) {
+    private static Event connectFailed(int endpoint) {
         return new RequestEvent.AttemptEnded(
                 new RequestId("a"), 1, name(endpoint), new AttemptResult.NotRun(FailureCodes.CONNECT_FAILED, false));
     }
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/endpoint/ProbeSystemTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/endpoint/ProbeSystemTest.java
@@ -10,32 +10,32 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** A node asks the endpoints that it routes to, and finds again those that were down. */
+/** A node probes the endpoints that it routes to, and detects the recovery of endpoints that were down. */
 final class ProbeSystemTest {
 
     @Test
-    void anEndpointIsAskedAtTheIntervalAndNotWhileAnAnswerIsMissing() {
+    void anEndpointIsProbedAtTheIntervalButNotWhileAProbeIsInFlight() {
         EndpointFixture fixture = EndpointFixture.withEndpoints(1);
         assertThat(fixture.take(EndpointEffect.Probe.class)).hasSize(1);
-        fixture.pass(Duration.ofSeconds(3));
+        fixture.advance(Duration.ofSeconds(3));
         assertThat(fixture.take(EndpointEffect.Probe.class)).isEmpty();
         for (int answer = 0; answer < 10; answer++) {
             fixture.tick(fixture.reported(0, "i1", false));
-            fixture.pass(EndpointFixture.INTERVAL);
+            fixture.advance(EndpointFixture.INTERVAL);
         }
         assertThat(fixture.take(EndpointEffect.Probe.class)).hasSizeBetween(9, 11);
     }
 
     @Test
-    void aProbeWhoseAnswerNeverComesIsNotWaitedForForEver() {
+    void aProbeWithoutAnAnswerTimesOut() {
         EndpointFixture fixture = EndpointFixture.withEndpoints(1);
         fixture.take(EndpointEffect.Probe.class);
-        fixture.pass(Duration.ofSeconds(31));
+        fixture.advance(Duration.ofSeconds(31));
         assertThat(fixture.take(EndpointEffect.Probe.class)).hasSize(1);
     }
 
     @Test
-    void onlyTheOwnSubsetIsAskedAndItPrefersTheOwnZone() {
+    void onlyTheNodesSubsetIsProbedAndItPrefersTheNodesZone() {
         EndpointFixture fixture = new EndpointFixture("vm-1", "vm-1");
         fixture.tick(EndpointFixture.inForce(1, 100, 8));
         List<EndpointEffect.Probe> probes = fixture.take(EndpointEffect.Probe.class);
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void whatReplacesALeavingEndpointIsAskedToo() {
+    void theReplacementOfALeavingEndpointIsProbed() {
         EndpointFixture fixture = new EndpointFixture("vm-1", "vm-1");
         fixture.tick(EndpointFixture.inForce(1, 100, 8));
         Set<EndpointEffect.Probe> before = Set.copyOf(fixture.take(EndpointEffect.Probe.class));
@@ -59,17 +59,17 @@
     }
 
     @Test
-    void anEndpointThatIsDownIsAskedEverMoreSeldomAndFoundAgain() {
+    void anEndpointThatIsDownIsProbedWithBackoffAndItsRecoveryIsDetected() {
         EndpointFixture fixture = EndpointFixture.withEndpoints(1);
-        int asked = 0;
+        int probed = 0;
         for (int step = 0; step < 1200; step++) {
             if (!fixture.take(EndpointEffect.Probe.class).isEmpty()) {
-                asked++;
+                probed++;
                 fixture.tick(new Unreachable(name(0), "test"));
             }
-            fixture.pass(Duration.ofMillis(50));
+            fixture.advance(Duration.ofMillis(50));
         }
-        assertThat(asked).as("probes in a minute").isBetween(12, 25);
+        assertThat(probed).as("probes in a minute").isBetween(12, 25);
         fixture.tick(fixture.reported(0, "i1", false));
         assertThat(fixture.condition(0)).isEqualTo(EndpointCondition.LIVE);
     }
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/endpoint/VirtualMachineListSystemTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/endpoint/VirtualMachineListSystemTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The platform's lagging list is one source among others, and is read by few nodes. */
+/** Few nodes read the platform's list, which lags and is only one of the sources for leaving endpoints. */
 final class VirtualMachineListSystemTest {
 
     private static final String[] NODES = {"vm-1", "vm-2", "vm-3"};
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void aListedEndpointLeavesAndPeersAreTold() {
+    void aListedEndpointIsLeavingAndPeersAreNotified() {
         reader.tick(reader.reported(0, "i1", false));
         reader.tick(listed(true));
         assertThat(reader.condition(0)).isEqualTo(EndpointCondition.LEAVING);
@@ -42,24 +42,24 @@
     }
 
     @Test
-    void aNewIncarnationLivesThoughTheListLags() {
+    void aNewIncarnationIsLiveWhileTheListLags() {
         reader.tick(reader.reported(0, "i1", false), listed(true));
         reader.tick(reader.reported(0, "i2", false));
         for (int read = 0; read < 5; read++) {
-            reader.pass(Duration.ofSeconds(2));
+            reader.advance(Duration.ofSeconds(2));
             reader.tick(listed(true));
             assertThat(reader.condition(0)).isEqualTo(EndpointCondition.LIVE);
         }
-        reader.pass(LeavingKnowledge.LONGEST_LIST_LAG);
+        reader.advance(LeavingState.MAXIMUM_LIST_LAG);
         reader.tick(listed(true));
-        assertThat(reader.condition(0)).as("no list lags so long").isEqualTo(EndpointCondition.LEAVING);
+        assertThat(reader.condition(0)).as("after the maximum lag of the list").isEqualTo(EndpointCondition.LEAVING);
     }
 
     @Test
-    void aListThatWaversDoesNotBringALeavingEndpointBack() {
+    void anInconsistentListDoesNotMakeALeavingEndpointLive() {
         reader.tick(reader.reported(0, "i1", false), listed(true));
         for (int read = 0; read < 6; read++) {
-            reader.pass(Duration.ofSeconds(2));
+            reader.advance(Duration.ofSeconds(2));
             reader.tick(listed(false));
             assertThat(reader.condition(0)).isEqualTo(EndpointCondition.LEAVING);
             reader.tick(listed(true));
@@ -67,30 +67,30 @@
     }
 
     @Test
-    void aWrongListingEndsOnceTheListHasSaidOtherwiseForAWhile() {
+    void aWrongListingIsDroppedAfterItsValidity() {
         reader.tick(reader.reported(0, "i1", false), listed(true));
-        reader.pass(LeavingKnowledge.LISTING_LAPSE);
-        assertThat(reader.condition(0)).as("silence proves nothing").isEqualTo(EndpointCondition.LEAVING);
+        reader.advance(LeavingState.LISTING_VALIDITY);
+        assertThat(reader.condition(0)).as("without another read of the list").isEqualTo(EndpointCondition.LEAVING);
         reader.tick(listed(false));
         assertThat(reader.condition(0)).isEqualTo(EndpointCondition.LIVE);
     }
 
     @Test
-    void anEndpointsOwnWordOutlastsTheList() {
+    void anEndpointsOwnReportOutlastsTheListing() {
         reader.tick(reader.reported(0, "i1", true), listed(true));
-        reader.pass(LeavingKnowledge.LISTING_LAPSE.plusSeconds(60));
+        reader.advance(LeavingState.LISTING_VALIDITY.plusSeconds(60));
         reader.tick(listed(false));
         reader.tick(reader.reported(0, "i1", false));
         assertThat(reader.condition(0)).isEqualTo(EndpointCondition.LEAVING);
     }
 
     @Test
-    void aNodeThatWasToldAsksTheReaderUntilTheListSaysOtherwise() {
+    void aNotifiedNodeQueriesTheReaderUntilTheEndpointIsNotListed() {
         EndpointFixture other = fixture(false);
         other.tick(EndpointFixture.received("vm-9", new EndpointMessage.Listed(name(0), true)));
         assertThat(other.condition(0)).isEqualTo(EndpointCondition.LEAVING);
         other.effects.clear();
-        other.pass(LeavingKnowledge.LISTING_LAPSE);
+        other.advance(LeavingState.LISTING_VALIDITY);
         List<PeerEffect.Send> queries = other.take(PeerEffect.Send.class);
         assertThat(queries).isNotEmpty().allMatch(send -> send.message()
                 .equals(new EndpointMessage.ListedQuery(name(0))));
@@ -107,19 +107,19 @@
     }
 
     @Test
-    void anOldListIsNotAnsweredFrom() {
+    void aStaleListIsNotUsedForAnswers() {
         reader.tick(listed(false));
-        reader.pass(Duration.ofSeconds(30));
+        reader.advance(Duration.ofSeconds(30));
         reader.effects.clear();
         reader.tick(EndpointFixture.received("vm-9", new EndpointMessage.ListedQuery(name(0))));
         assertThat(reader.take(PeerEffect.Send.class)).isEmpty();
     }
 
     @Test
-    void aSilentPlatformChangesNothingAndIsAskedAgain() {
+    void anUnavailablePlatformChangesNothingAndIsQueriedAgain() {
         List<PlatformEffect.ListVirtualMachines> calls = reader.take(PlatformEffect.ListVirtualMachines.class);
         reader.tick(new PlatformEvent.Unavailable(calls.get(0).token(), false, "outage"));
-        reader.pass(Duration.ofSeconds(3));
+        reader.advance(Duration.ofSeconds(3));
         assertThat(reader.take(PlatformEffect.ListVirtualMachines.class)).hasSize(1);
         assertThat(reader.condition(0)).isEqualTo(EndpointCondition.LIVE);
     }
@@ -138,7 +138,7 @@
         return fixture;
     }
 
-    /** Finds a node that reads the list, or one that does not. */
+    /** Returns the first node that reads the list, or the first that does not. */
     private static EndpointFixture fixture(boolean reads) {
         return List.of(NODES).stream()
                 .map(VirtualMachineListSystemTest::started)
