--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/FencingNumbers.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/FencingNumbers.java
@@ -1,10 +1,10 @@
 package io.yuccaswitch.core.lease;
 
 /**
- * The arithmetic of fencing numbers. A number consists of a base and a slot. The base is the platform's version of the
- * write that acquired the lease: the platform never gives a version twice, so no two acquisitions share a base, even if
- * the object was deleted in between. The slot counts changes of holder while the platform is silent, and the platform's
- * record says in advance which node each slot belongs to. Hence no number ever belongs to two nodes.
+ * The composition of fencing numbers. A number consists of a base and a slot. The base is the platform's version of the
+ * write that acquired the lease: the platform never assigns a version twice, so no two acquisitions share a base, even
+ * if the object was deleted in between. The slot counts changes of the holder while the platform is unreachable, and
+ * the platform's record defines in advance which node owns each slot. Hence no number is ever owned by two nodes.
  */
 final class FencingNumbers {
 
@@ -15,7 +15,7 @@
     private FencingNumbers() {}
 
     /**
-     * Composes a number.
+     * Composes a fencing number.
      *
      * @param base The base.
      * @param slot The slot.
@@ -26,7 +26,7 @@
     }
 
     /**
-     * Returns the base of a number.
+     * Returns the base of a fencing number.
      *
      * @param number The fencing number.
      * @return The base.
@@ -36,7 +36,7 @@
     }
 
     /**
-     * Returns the slot of a number.
+     * Returns the slot of a fencing number.
      *
      * @param number The fencing number.
      * @return The slot.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/HeldLease.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/HeldLease.java
@@ -6,12 +6,12 @@
  * A lease that this node holds.
  *
  * @param name The lease's name.
- * @param fencingNumber The fencing number, which no other holder of the lease ever bears, and which is higher than
- *     those of all holders before.
- * @param since The time since which this node holds the lease under this fencing number without a break.
- * @param validUntil The time from which on this node must no longer act on the lease.
- * @param degraded {@code true} if the platform is silent and the node acts on the succession that the platform's record
- *     of the lease laid down before.
+ * @param fencingNumber The fencing number, which no other holder of the lease ever has, and which is higher than those
+ *     of all previous holders.
+ * @param since The time since which this node has continuously held the lease under this fencing number.
+ * @param validUntil The time from which this node must no longer act on the lease.
+ * @param degraded {@code true} if the platform is unreachable and this node acts by the order of succession in the last
+ *     record of the lease that the platform stored.
  */
 public record HeldLease(
         LeaseName name, long fencingNumber, MonotonicTime since, MonotonicTime validUntil, boolean degraded) {}
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/LeaseCalls.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/LeaseCalls.java
@@ -14,23 +14,23 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** Makes the calls to the platform that concern leases, and knows which nodes make them. */
+/** Sends the calls to the platform that concern leases, and selects the nodes that send them. */
 final class LeaseCalls {
 
     /** The members of the site. */
     private final MembershipView members;
 
-    /** Hands out the tokens of calls. */
+    /** Allocates the tokens of calls. */
     private final PlatformTokens tokens;
 
     /** The number of the last write. */
-    private long lastAttempt;
+    private long lastWriteNumber;
 
     /**
      * Creates a new instance.
      *
      * @param members The members of the site.
-     * @param tokens Hands out the tokens of calls.
+     * @param tokens Allocates the tokens of calls.
      */
     LeaseCalls(MembershipView members, PlatformTokens tokens) {
         this.members = members;
@@ -51,13 +51,13 @@
     }
 
     /**
-     * Writes a lease if the platform still shows what it last showed.
+     * Writes a lease, on the condition that its object has not changed since it was last observed.
      *
      * @param tick The tick.
      * @param row The lease.
      * @param duration The duration of the lease.
      * @param holder The holder, or empty to release the lease.
-     * @param base The base of the fencing number, or zero for a new one.
+     * @param base The base of the fencing number, or zero to use the version of this write.
      * @param successors The successors of the holder.
      * @return The changed lease.
      */
@@ -68,7 +68,7 @@
             Optional<NodeIdentity> holder,
             long base,
             List<NodeIdentity> successors) {
-        LeaseRecord record = new LeaseRecord(holder, base, ++lastAttempt, duration, successors);
+        LeaseRecord record = new LeaseRecord(holder, base, ++lastWriteNumber, duration, successors);
         OptionalLong expected =
                 row.observation().map(LeaseRow.Observation::version).orElseGet(OptionalLong::empty);
         long token = tokens.next();
@@ -78,7 +78,7 @@
     }
 
     /**
-     * Returns the nodes that may try for a lease.
+     * Returns the nodes that may try to acquire a lease.
      *
      * @param name The lease's name.
      * @return At most two nodes.
@@ -90,7 +90,7 @@
     }
 
     /**
-     * Returns the nodes that act in turn after this one while the platform is silent.
+     * Returns the nodes that succeed this one in order while the platform is unreachable.
      *
      * @param name The lease's name.
      * @return At most two nodes.
@@ -105,7 +105,7 @@
     }
 
     /**
-     * Returns the key of a lease's object.
+     * Returns the key of the platform's object that stores a lease.
      *
      * @param row The lease.
      * @return The key.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/LeaseEvent.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/LeaseEvent.java
@@ -2,7 +2,7 @@
 
 import io.yuccaswitch.core.decision.Event;
 
-/** Something that happened to a lease on this node, raised for the systems after. */
+/** A change of a lease at this node, raised for the systems that run later in the tick. */
 public sealed interface LeaseEvent extends Event {
 
     /**
@@ -13,11 +13,11 @@
     LeaseName name();
 
     /**
-     * This node became the holder, or was given a new fencing number.
+     * This node became the holder, or continues as the holder under a new fencing number.
      *
      * @param name The lease's name.
      * @param fencingNumber The fencing number.
-     * @param degraded {@code true} if the platform is silent.
+     * @param degraded {@code true} if the platform is unreachable.
      */
     record Acquired(LeaseName name, long fencingNumber, boolean degraded) implements LeaseEvent {}
 
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/LeaseMessage.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/LeaseMessage.java
@@ -7,7 +7,7 @@
 public sealed interface LeaseMessage extends PeerMessage {
 
     /**
-     * The sender acts on a lease while the platform is silent.
+     * Announces that the sender acts on a lease while the platform is unreachable.
      *
      * @param name The lease's name.
      * @param fencingNumber The fencing number that the sender acts with.
@@ -15,11 +15,11 @@
     record Acting(String name, long fencingNumber) implements LeaseMessage {}
 
     /**
-     * The holder tells a successor what the platform keeps about a lease.
+     * Notifies a successor of the platform's record of a lease.
      *
      * @param name The lease's name.
      * @param version The platform's version of the record.
-     * @param record The record as the platform keeps it.
+     * @param record The record as the platform stores it.
      */
     record Recorded(String name, long version, Bytes record) implements LeaseMessage {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/LeaseName.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/LeaseName.java
@@ -5,15 +5,15 @@
 /**
  * The name of a lease.
  *
- * @param value The name as text.
+ * @param value The name as a string.
  */
 public record LeaseName(String value) implements Comparable<LeaseName> {
 
-    /** The prefix of the leases for bringing weights to the engines of a pool. */
+    /** The prefix of the names of leases for updating the weights of a pool's engines. */
     private static final String WEIGHTS_PREFIX = "weights-";
 
     /**
-     * Returns the lease whose holder brings weights to the engines of a pool.
+     * Returns the lease whose holder updates the weights of a pool's engines.
      *
      * @param pool The pool.
      * @return The lease's name.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/LeaseRecord.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/LeaseRecord.java
@@ -11,26 +11,27 @@
 import java.util.stream.Collectors;
 
 /**
- * What the platform keeps about a lease.
+ * The record of a lease that the platform stores.
  *
  * @param holder The holder, or empty if the lease was released.
- * @param base The base of the holder's fencing number, or zero if it is the version of this very write.
- * @param attempt The number of the write among all writes of its writer, by which a writer recognizes its own write
- *     after the answer was lost.
- * @param duration The time for which the lease is valid, counted from before the write.
- * @param successors The nodes that act in turn while the platform is silent and the holder is gone.
+ * @param base The base of the holder's fencing number, or zero if it is the version of this write.
+ * @param writeNumber The sequence number of the write among all writes of its writer, by which a writer identifies its
+ *     own write if it got no answer.
+ * @param duration The time for which the lease is valid, starting before the write.
+ * @param successors The nodes that act in order of succession while the platform is unreachable and the holder is
+ *     absent.
  */
 record LeaseRecord(
-        Optional<NodeIdentity> holder, long base, long attempt, Duration duration, List<NodeIdentity> successors) {
+        Optional<NodeIdentity> holder, long base, long writeNumber, Duration duration, List<NodeIdentity> successors) {
 
     /** The version of the text format. */
-    private static final String FORMAT = "1";
+    private static final String FORMAT_VERSION = "1";
 
-    /** What stands in the text for nothing. */
-    private static final String NOTHING = "-";
+    /** The text of an absent holder or an empty list of successors. */
+    private static final String ABSENT = "-";
 
     /** The number of fields of the text. */
-    private static final int FIELDS = 6;
+    private static final int FIELD_COUNT = 6;
 
     /** Copies the list. */
     LeaseRecord {
@@ -58,7 +59,7 @@
     }
 
     /**
-     * Returns the node that a slot belongs to: the holder and its successors take turns.
+     * Returns the node that owns a slot. The holder and its successors own the slots in rotation.
      *
      * @param slot The slot.
      * @return The node, or empty if the lease was released.
@@ -69,7 +70,7 @@
     }
 
     /**
-     * Returns the nodes that slots belong to.
+     * Returns the nodes that own slots.
      *
      * @return The holder and its successors.
      */
@@ -86,36 +87,36 @@
      * @return The value for the platform.
      */
     Bytes encode() {
-        String listed = successors.stream().map(NodeIdentity::toString).collect(Collectors.joining(","));
+        String successorsText = successors.stream().map(NodeIdentity::toString).collect(Collectors.joining(","));
         return Bytes.ofUtf8(String.join(
                 " ",
-                FORMAT,
-                holder.map(NodeIdentity::toString).orElse(NOTHING),
+                FORMAT_VERSION,
+                holder.map(NodeIdentity::toString).orElse(ABSENT),
                 Long.toString(base),
-                Long.toString(attempt),
+                Long.toString(writeNumber),
                 Long.toString(duration.toMillis()),
-                listed.isEmpty() ? NOTHING : listed));
+                successorsText.isEmpty() ? ABSENT : successorsText));
     }
 
     /**
      * Decodes a record.
      *
      * @param value The value from the platform.
-     * @return The record, or empty if the value is none.
+     * @return The record, or empty if the value is not a valid record.
      */
     static Optional<LeaseRecord> decode(Bytes value) {
         List<String> fields = Splitter.on(' ').splitToList(value.toUtf8());
-        if (fields.size() != FIELDS || !fields.get(0).equals(FORMAT)) {
+        if (fields.size() != FIELD_COUNT || !fields.get(0).equals(FORMAT_VERSION)) {
             return Optional.empty();
         }
         try {
             List<NodeIdentity> successors = new ArrayList<>();
-            if (!fields.get(5).equals(NOTHING)) {
+            if (!fields.get(5).equals(ABSENT)) {
                 Splitter.on(',').split(fields.get(5)).forEach(text -> successors.add(identity(text)));
             }
             String holder = fields.get(1);
             return Optional.of(new LeaseRecord(
-                    holder.equals(NOTHING) ? Optional.empty() : Optional.of(identity(holder)),
+                    holder.equals(ABSENT) ? Optional.empty() : Optional.of(identity(holder)),
                     Long.parseLong(fields.get(2)),
                     Long.parseLong(fields.get(3)),
                     Duration.ofMillis(Long.parseLong(fields.get(4))),
@@ -130,13 +131,14 @@
      *
      * @param text The text.
      * @return The node and its incarnation.
-     * @throws IllegalArgumentException If the text is none.
+     * @throws IllegalArgumentException If the text is not a valid identity.
      */
     private static NodeIdentity identity(String text) {
-        int at = text.lastIndexOf('@');
-        if (at < 0) {
-            throw new IllegalArgumentException("Not a node's identity: " + text);
+        int separator = text.lastIndexOf('@');
+        if (separator < 0) {
+            throw new IllegalArgumentException("Malformed node identity, expected name@incarnation: " + text);
         }
-        return new NodeIdentity(new NodeName(text.substring(0, at)), Long.parseLong(text.substring(at + 1)));
+        return new NodeIdentity(
+                new NodeName(text.substring(0, separator)), Long.parseLong(text.substring(separator + 1)));
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/LeaseRow.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/LeaseRow.java
@@ -11,11 +11,11 @@
  * A row of the table of leases.
  *
  * @param name The lease's name.
- * @param observation What the platform last showed, or empty if it showed nothing yet.
+ * @param observation The last observation of the platform's object, or empty before the first one.
  * @param call The call that is in flight, or empty if there is none.
- * @param holding What makes this node the holder, or empty if it is not.
- * @param unsettled The writes whose answers were lost, and which may have taken effect or may yet do so.
- * @param doubtful {@code true} if the object must be read before it is written again.
+ * @param holding The holding of this node, or empty if it is not the holder.
+ * @param unconfirmed The writes without an answer, which may have been applied or may still be.
+ * @param readRequired {@code true} if the object must be read before it is written again.
  * @param nextCallAt The time before which no further call is made.
  */
 record LeaseRow(
@@ -23,28 +23,28 @@
         Optional<Observation> observation,
         Optional<Call> call,
         Optional<Holding> holding,
-        List<Attempt> unsettled,
-        boolean doubtful,
+        List<Attempt> unconfirmed,
+        boolean readRequired,
         MonotonicTime nextCallAt) {
 
     /** Copies the list. */
     LeaseRow {
-        unsettled = List.copyOf(unsettled);
+        unconfirmed = List.copyOf(unconfirmed);
     }
 
     /**
-     * Creates the row of a lease that nothing is known about.
+     * Creates the row of a lease that has not been observed yet.
      *
      * @param name The lease's name.
      * @param now The current time.
      * @return The row.
      */
-    static LeaseRow unknown(LeaseName name, MonotonicTime now) {
+    static LeaseRow create(LeaseName name, MonotonicTime now) {
         return new LeaseRow(name, Optional.empty(), Optional.empty(), Optional.empty(), List.of(), false, now);
     }
 
     /**
-     * Returns the record that the platform last showed.
+     * Returns the last observed record.
      *
      * @return The record, or empty if there is none.
      */
@@ -53,34 +53,34 @@
     }
 
     /**
-     * Returns the version of the object that the platform last showed.
+     * Returns the last observed version of the object.
      *
-     * @return The version, or zero if there is no object as far as is known.
+     * @return The version, or zero if no object has been observed.
      */
-    long seenVersion() {
-        return observation.map(seen -> seen.version().orElse(0)).orElse(0L);
+    long observedVersion() {
+        return observation.map(latest -> latest.version().orElse(0)).orElse(0L);
     }
 
     /**
-     * Finds the write of this node that brought about a record.
+     * Finds the unconfirmed write of this node that resulted in a record.
      *
-     * @param shown The record.
-     * @return The write, or empty if none that is unsettled did.
+     * @param observed The record.
+     * @return The write, or empty if no unconfirmed write did.
      */
-    Optional<Attempt> unsettledAttempt(LeaseRecord shown) {
-        return unsettled.stream()
-                .filter(attempt -> attempt.written().equals(shown))
+    Optional<Attempt> unconfirmedAttempt(LeaseRecord observed) {
+        return unconfirmed.stream()
+                .filter(attempt -> attempt.written().equals(observed))
                 .findFirst();
     }
 
     /**
-     * Returns this row with what the platform showed.
+     * Returns this row with an observation.
      *
-     * @param shown What the platform showed.
-     * @return The changed row, of which nothing is doubtful.
+     * @param observed The observation.
+     * @return The changed row, which needs no read before the next write.
      */
-    LeaseRow withObservation(Observation shown) {
-        return new LeaseRow(name, Optional.of(shown), call, holding, unsettled, false, nextCallAt);
+    LeaseRow withObservation(Observation observed) {
+        return new LeaseRow(name, Optional.of(observed), call, holding, unconfirmed, false, nextCallAt);
     }
 
     /**
@@ -90,7 +90,7 @@
      * @return The changed row.
      */
     LeaseRow withCall(Call made) {
-        return new LeaseRow(name, observation, Optional.of(made), holding, unsettled, doubtful, nextCallAt);
+        return new LeaseRow(name, observation, Optional.of(made), holding, unconfirmed, readRequired, nextCallAt);
     }
 
     /**
@@ -100,7 +100,7 @@
      * @return The changed row.
      */
     LeaseRow withoutCall(MonotonicTime pauseUntil) {
-        return new LeaseRow(name, observation, Optional.empty(), holding, unsettled, doubtful, pauseUntil);
+        return new LeaseRow(name, observation, Optional.empty(), holding, unconfirmed, readRequired, pauseUntil);
     }
 
     /**
@@ -110,7 +110,7 @@
      * @return The changed row.
      */
     LeaseRow withNextCallAt(MonotonicTime changed) {
-        return new LeaseRow(name, observation, call, holding, unsettled, doubtful, changed);
+        return new LeaseRow(name, observation, call, holding, unconfirmed, readRequired, changed);
     }
 
     /**
@@ -120,7 +120,7 @@
      * @return The changed row.
      */
     LeaseRow withHolding(Holding held) {
-        return new LeaseRow(name, observation, call, Optional.of(held), unsettled, doubtful, nextCallAt);
+        return new LeaseRow(name, observation, call, Optional.of(held), unconfirmed, readRequired, nextCallAt);
     }
 
     /**
@@ -129,26 +129,27 @@
      * @return The changed row.
      */
     LeaseRow withoutHolding() {
-        return new LeaseRow(name, observation, call, Optional.empty(), unsettled, doubtful, nextCallAt);
+        return new LeaseRow(name, observation, call, Optional.empty(), unconfirmed, readRequired, nextCallAt);
     }
 
     /**
-     * Returns this row with a write whose answer was lost.
+     * Returns this row with a write that got no answer.
      *
      * @param attempt The write.
-     * @return The changed row, which is doubtful.
+     * @return The changed row, which must be read before the next write.
      */
-    LeaseRow withUnsettled(Attempt attempt) {
-        List<Attempt> extended = new ArrayList<>(unsettled);
+    LeaseRow withUnconfirmed(Attempt attempt) {
+        List<Attempt> extended = new ArrayList<>(unconfirmed);
         extended.add(attempt);
         return new LeaseRow(name, observation, call, holding, extended, true, nextCallAt);
     }
 
     /**
-     * Returns this row after the machine was suspended. What makes this node the holder has gone on to pass meanwhile;
-     * what makes another one the holder is not taken to have ended.
+     * Returns this row after the VM was suspended while its clock stopped. The validity of this node's holding, calls
+     * and writes is shortened by the gap; another node's holding is not considered to have expired during the gap, as
+     * the observation keeps its times.
      *
-     * @param gap For how long the machine was suspended.
+     * @param gap The duration of the suspension.
      * @return The changed row.
      */
     LeaseRow withSuspension(Duration gap) {
@@ -157,8 +158,8 @@
                 observation,
                 call.map(made -> made.earlier(gap)),
                 holding.map(held -> held.earlier(gap)),
-                unsettled.stream().map(attempt -> attempt.earlier(gap)).toList(),
-                doubtful,
+                unconfirmed.stream().map(attempt -> attempt.earlier(gap)).toList(),
+                readRequired,
                 nextCallAt);
     }
 
@@ -169,28 +170,32 @@
      * @return The changed row.
      */
     LeaseRow withoutExpiredAttempts(MonotonicTime now) {
-        List<Attempt> kept = unsettled.stream()
+        List<Attempt> kept = unconfirmed.stream()
                 .filter(attempt ->
                         now.isBefore(attempt.emittedAt().plus(attempt.written().duration())))
                 .toList();
-        return kept.size() == unsettled.size()
+        return kept.size() == unconfirmed.size()
                 ? this
-                : new LeaseRow(name, observation, call, holding, kept, doubtful, nextCallAt);
+                : new LeaseRow(name, observation, call, holding, kept, readRequired, nextCallAt);
     }
 
     /**
-     * What the platform showed.
+     * An observation of the platform's object.
      *
      * @param version The object's version, or empty if there is no object.
-     * @param record The record, or empty if there is no object or its value is no record.
-     * @param unchangedSince The time at which this version was first seen in an unbroken series of observations.
-     * @param seenAt The time at which this version was last seen.
+     * @param record The record, or empty if there is no object or its value is not a valid record.
+     * @param unchangedSince The time at which this version was first observed in the current series of observations
+     *     without a gap.
+     * @param observedAt The time at which this version was last observed.
      */
     record Observation(
-            OptionalLong version, Optional<LeaseRecord> record, MonotonicTime unchangedSince, MonotonicTime seenAt) {
+            OptionalLong version,
+            Optional<LeaseRecord> record,
+            MonotonicTime unchangedSince,
+            MonotonicTime observedAt) {
 
         /**
-         * Returns whether nobody holds the lease.
+         * Returns whether the lease has no holder.
          *
          * @return {@code true} if there is no object or its holder released it.
          */
@@ -203,15 +208,15 @@
     /**
      * A write of this node.
      *
-     * @param emittedAt The time from which the validity of the lease counts if the write takes effect.
+     * @param emittedAt The start of the validity of the lease if the write is applied.
      * @param written The record that was written.
      */
     record Attempt(MonotonicTime emittedAt, LeaseRecord written) {
 
         /**
-         * Returns this write as one that was made earlier.
+         * Returns this write with an earlier start of validity.
          *
-         * @param time How much earlier.
+         * @param time The time by which it is earlier.
          * @return The write.
          */
         Attempt earlier(Duration time) {
@@ -228,9 +233,9 @@
     record Call(long token, Optional<Attempt> attempt) {
 
         /**
-         * Returns this call as one that was made earlier.
+         * Returns this call with an earlier start of validity of its write.
          *
-         * @param time How much earlier.
+         * @param time The time by which it is earlier.
          * @return The call.
          */
         Call earlier(Duration time) {
@@ -239,12 +244,12 @@
     }
 
     /**
-     * What makes this node the holder.
+     * The holding of a lease by this node.
      *
      * @param base The base of the fencing number.
-     * @param since The time since which this node is the holder without a break.
-     * @param renewedAt The time from which the validity counts.
-     * @param validUntil The time at which this node stops to act as the holder.
+     * @param since The time since which this node has continuously been the holder.
+     * @param renewedAt The start of the validity.
+     * @param validUntil The time at which this node stops acting as the holder.
      */
     record Holding(long base, MonotonicTime since, MonotonicTime renewedAt, MonotonicTime validUntil) {
 
@@ -258,9 +263,9 @@
         }
 
         /**
-         * Returns this holding as one that was renewed earlier.
+         * Returns this holding as if it had been renewed earlier.
          *
-         * @param time How much earlier.
+         * @param time The time by which it is earlier.
          * @return The holding.
          */
         Holding earlier(Duration time) {
@@ -271,7 +276,7 @@
          * Returns the time at which the lease is to be renewed.
          *
          * @param duration The duration of the lease.
-         * @param parts The number of parts of the duration after the first of which the lease is renewed.
+         * @param parts The number of equal parts of the duration. The lease is renewed after the first part.
          * @return The time at which the lease is to be renewed.
          */
         MonotonicTime renewAt(Duration duration, int parts) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/LeaseSuccession.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/LeaseSuccession.java
@@ -14,46 +14,51 @@
 import java.util.Optional;
 
 /**
- * Decides who acts on a lease while the platform is silent towards every node. The platform's record of the lease, read
- * while the platform still answered, lists the holder and its successors and thereby gives each fencing number to one
- * node. The holder goes on by itself; a successor begins once the holder has been gone for a whole lease.
+ * Decides which node acts on a lease while the platform is unreachable for all nodes. The last record of the lease that
+ * was read from the platform lists the holder and its successors, and thereby assigns each fencing number to one node.
+ * The holder continues to act on its own; a successor takes over after the holder has been absent for the duration of a
+ * lease and the safety margin.
  */
 final class LeaseSuccession {
 
-    /** The number of durations of a lease for which no node must have heard the platform. */
-    private static final int SILENT_DURATIONS = 3;
+    /**
+     * The number of lease durations for which no node may have received an answer of the platform before it is
+     * considered unreachable.
+     */
+    private static final int UNREACHABLE_LEASE_DURATIONS = 3;
 
-    /** The number of announcements in the duration of a lease. */
-    private static final int ANNOUNCEMENTS_PER_DURATION = 3;
+    /** The number of announcements within a lease duration. */
+    private static final int ANNOUNCEMENTS_PER_LEASE_DURATION = 3;
 
     /** The members of the site. */
     private final MembershipView members;
 
-    /** What is known about the silence of the platform. */
-    private final PlatformNews news;
+    /** The reachability of the platform. */
+    private final PlatformNews reachability;
 
     /** The state of each lease. */
     private final Map<LeaseName, State> states = new HashMap<>();
 
-    /** The time of the tick before, or empty before the first one. */
+    /** The time of the previous tick, or empty before the first one. */
     private Optional<MonotonicTime> lastTick = Optional.empty();
 
-    /** The time since which the platform's silence is known without a break, or empty if it is not known. */
-    private Optional<MonotonicTime> calmSince = Optional.empty();
+    /** The time since which the platform is known to be continuously unreachable, or empty if it is not. */
+    private Optional<MonotonicTime> unreachableSince = Optional.empty();
 
     /**
      * Creates a new succession.
      *
      * @param members The members of the site.
-     * @param news What is known about the silence of the platform.
+     * @param reachability The reachability of the platform.
      */
-    LeaseSuccession(MembershipView members, PlatformNews news) {
+    LeaseSuccession(MembershipView members, PlatformNews reachability) {
         this.members = members;
-        this.news = news;
+        this.reachability = reachability;
     }
 
     /**
-     * Takes in the time of a tick. A process that was paused trusts nothing that it knew for a while.
+     * Updates whether the platform is unreachable. After a pause of the process, earlier observations are not trusted,
+     * and the platform must again be unreachable for the duration of a lease before this node acts.
      *
      * @param tick The tick.
      * @param settings The settings of leases.
@@ -63,39 +68,39 @@
         boolean paused = lastTick.filter(last -> now.since(last).compareTo(settings.safetyMargin()) >= 0)
                 .isPresent();
         lastTick = Optional.of(now);
-        if (paused || !isSilent(now, settings)) {
-            calmSince = Optional.empty();
+        if (paused || !isPlatformUnreachable(now, settings)) {
+            unreachableSince = Optional.empty();
             return;
         }
-        calmSince = calmSince.or(() -> Optional.of(now));
+        unreachableSince = unreachableSince.or(() -> Optional.of(now));
     }
 
     /**
-     * Takes in the announcement of a node that acts on a lease.
+     * Records an announcement of a node that acts on a lease.
      *
      * @param name The lease's name.
      * @param fencingNumber The fencing number of the node.
      */
-    void hear(LeaseName name, long fencingNumber) {
-        State state = states.getOrDefault(name, State.EMPTY);
+    void recordAnnouncement(LeaseName name, long fencingNumber) {
+        State state = states.getOrDefault(name, State.INITIAL);
         if (fencingNumber > state.highest()) {
             states.put(name, state.withHighest(fencingNumber));
         }
     }
 
     /**
-     * Decides whether this node acts on a lease from now on.
+     * Decides whether this node acts on a lease.
      *
      * @param tick The tick.
-     * @param row The lease, which this node does not hold by the platform's word.
+     * @param row The lease, which this node does not hold on the platform.
      * @param settings The settings of leases.
      */
     void advance(Tick tick, LeaseRow row, LeaseSettings settings) {
-        Optional<Integer> slot = calmSince
+        Optional<Integer> slot = unreachableSince
                 .filter(since -> tick.now().since(since).compareTo(settings.duration()) >= 0)
                 .flatMap(_since -> nextSlot(tick.now(), row, settings));
         if (slot.isEmpty()) {
-            stop(tick, row, states.getOrDefault(row.name(), State.EMPTY));
+            stop(tick, row, states.getOrDefault(row.name(), State.INITIAL));
             return;
         }
         act(tick, row, FencingNumbers.of(base(row), slot.get()), settings);
@@ -122,15 +127,15 @@
     }
 
     /**
-     * Returns whether this node acted on a lease until a short time ago, such that it may take the lease at once when
-     * the platform answers again.
+     * Returns whether this node recently acted on a lease, so that it may acquire the lease immediately when the
+     * platform is reachable again.
      *
      * @param name The lease's name.
      * @param now The current time.
      * @param settings The settings of leases.
      * @return {@code true} if this node acted on the lease within the duration of a lease.
      */
-    boolean actedLately(LeaseName name, MonotonicTime now, LeaseSettings settings) {
+    boolean actedRecently(LeaseName name, MonotonicTime now, LeaseSettings settings) {
         return Optional.ofNullable(states.get(name))
                 .flatMap(State::lastActed)
                 .filter(last -> now.since(last).compareTo(settings.duration()) < 0)
@@ -138,7 +143,7 @@
     }
 
     /**
-     * Forgets a lease, because the platform answered about it or nobody needs it any more.
+     * Removes the state of a lease that was acquired on the platform or is no longer required.
      *
      * @param name The lease's name.
      */
@@ -147,16 +152,17 @@
     }
 
     /**
-     * Returns whether the platform has been silent towards all nodes for long enough.
+     * Returns whether the platform has been unreachable for all nodes for the required time.
      *
      * @param now The current time.
      * @param settings The settings of leases.
-     * @return {@code true} if no node heard the platform for long enough.
+     * @return {@code true} if no node received an answer of the platform within that time.
      */
-    private boolean isSilent(MonotonicTime now, LeaseSettings settings) {
-        Duration threshold = settings.duration().multipliedBy(SILENT_DURATIONS);
-        return news.silentFor(now)
-                .filter(silence -> silence.compareTo(threshold) >= 0)
+    private boolean isPlatformUnreachable(MonotonicTime now, LeaseSettings settings) {
+        Duration threshold = settings.duration().multipliedBy(UNREACHABLE_LEASE_DURATIONS);
+        return reachability
+                .silentFor(now)
+                .filter(elapsed -> elapsed.compareTo(threshold) >= 0)
                 .isPresent();
     }
 
@@ -166,19 +172,19 @@
      * @param now The current time.
      * @param row The lease.
      * @param settings The settings of leases.
-     * @return The slot, or empty if another node's turn has not ended.
+     * @return The slot, or empty if it is not this node's turn.
      */
     private Optional<Integer> nextSlot(MonotonicTime now, LeaseRow row, LeaseSettings settings) {
-        Optional<LeaseRecord> known =
+        Optional<LeaseRecord> heldRecord =
                 row.record().filter(record -> record.holder().isPresent());
-        State state = states.getOrDefault(row.name(), State.EMPTY);
-        if (known.isEmpty() || FencingNumbers.base(state.highest()) > base(row)) {
+        State state = states.getOrDefault(row.name(), State.INITIAL);
+        if (heldRecord.isEmpty() || FencingNumbers.base(state.highest()) > base(row)) {
             return Optional.empty();
         }
-        LeaseRecord record = known.get();
+        LeaseRecord record = heldRecord.get();
         NodeIdentity self = members.self().identity();
-        long first = FencingNumbers.of(base(row), 0);
-        int highest = state.highest() < first ? 0 : FencingNumbers.slot(state.highest());
+        long firstNumber = FencingNumbers.of(base(row), 0);
+        int highest = state.highest() < firstNumber ? 0 : FencingNumbers.slot(state.highest());
         NodeIdentity current = record.ownerOf(highest).orElseThrow();
         if (current.equals(self)) {
             return state.acting().isPresent() ? Optional.of(highest) : slotOf(self, record, highest);
@@ -192,18 +198,18 @@
         if (now.since(absentSince).compareTo(settings.duration().plus(settings.safetyMargin())) < 0) {
             return Optional.empty();
         }
-        return nextWorking(record, highest)
+        return nextWorkingOwner(record, highest)
                 .flatMap(next -> next.equals(self) ? slotOf(self, record, highest) : Optional.empty());
     }
 
     /**
-     * Finds the next node in turn that works.
+     * Finds the next working node in the order of succession.
      *
      * @param record The platform's record of the lease.
      * @param after The slot after which to look.
-     * @return The node, or empty if none works.
+     * @return The node, or empty if no participant is working.
      */
-    private Optional<NodeIdentity> nextWorking(LeaseRecord record, int after) {
+    private Optional<NodeIdentity> nextWorkingOwner(LeaseRecord record, int after) {
         int turns = record.successors().size() + 1;
         for (int slot = after + 1; slot <= after + turns; slot++) {
             Optional<NodeIdentity> owner = record.ownerOf(slot).filter(this::isWorking);
@@ -220,7 +226,7 @@
      * @param node The node.
      * @param record The platform's record of the lease.
      * @param after The slot after which to look.
-     * @return The slot, or empty if all are used up.
+     * @return The slot, or empty if none is left.
      */
     private static Optional<Integer> slotOf(NodeIdentity node, LeaseRecord record, int after) {
         for (int slot = after + 1; slot < FencingNumbers.SLOTS; slot++) {
@@ -232,10 +238,10 @@
     }
 
     /**
-     * Returns whether a node works in this very incarnation.
+     * Returns whether a node is working in the given incarnation.
      *
      * @param node The node and its incarnation.
-     * @return {@code true} if the node works.
+     * @return {@code true} if the node is working in this incarnation.
      */
     private boolean isWorking(NodeIdentity node) {
         return members.find(node.name())
@@ -244,7 +250,7 @@
     }
 
     /**
-     * Acts on a lease, and tells the other participants.
+     * Acts on a lease and announces it to the other participants at a fixed interval.
      *
      * @param tick The tick.
      * @param row The lease.
@@ -252,9 +258,9 @@
      * @param settings The settings of leases.
      */
     private void act(Tick tick, LeaseRow row, long fencingNumber, LeaseSettings settings) {
-        State state = states.getOrDefault(row.name(), State.EMPTY);
+        State state = states.getOrDefault(row.name(), State.INITIAL);
         Acting acting = state.acting()
-                .filter(present -> present.fencingNumber() == fencingNumber)
+                .filter(existing -> existing.fencingNumber() == fencingNumber)
                 .orElseGet(() -> {
                     tick.raise(new LeaseEvent.Acquired(row.name(), fencingNumber, true));
                     return new Acting(fencingNumber, tick.now(), tick.now(), tick.now());
@@ -262,14 +268,14 @@
         MonotonicTime announceAt = acting.announceAt();
         if (!tick.now().isBefore(announceAt)) {
             announce(tick, row, fencingNumber);
-            announceAt = tick.now().plus(settings.duration().dividedBy(ANNOUNCEMENTS_PER_DURATION));
+            announceAt = tick.now().plus(settings.duration().dividedBy(ANNOUNCEMENTS_PER_LEASE_DURATION));
         }
         Acting confirmed = new Acting(fencingNumber, acting.since(), tick.now(), announceAt);
         states.put(row.name(), state.withHighest(fencingNumber).withActing(confirmed));
     }
 
     /**
-     * Tells the other participants that this node acts on a lease.
+     * Announces to the other participants that this node acts on a lease.
      *
      * @param tick The tick.
      * @param row The lease.
@@ -286,7 +292,7 @@
     }
 
     /**
-     * Stops to act on a lease.
+     * Stops acting on a lease.
      *
      * @param tick The tick.
      * @param row The lease.
@@ -297,7 +303,8 @@
             return;
         }
         long fencingNumber = state.acting().get().fencingNumber();
-        tick.raise(new LeaseEvent.Lost(row.name(), fencingNumber, "no longer certain that nobody hears the platform"));
+        tick.raise(new LeaseEvent.Lost(
+                row.name(), fencingNumber, "the platform is no longer known to be unreachable for all nodes"));
         states.put(row.name(), state.withoutActing());
     }
 
@@ -313,7 +320,7 @@
     }
 
     /**
-     * What this node does on a lease while the platform is silent.
+     * The state of this node while it acts on a lease without the platform.
      *
      * @param fencingNumber The fencing number of this node.
      * @param since The time since which this node acts.
@@ -324,11 +331,11 @@
             long fencingNumber, MonotonicTime since, MonotonicTime confirmedAt, MonotonicTime announceAt) {}
 
     /**
-     * The state of a lease while the platform is silent.
+     * The state of a lease while the platform is unreachable.
      *
-     * @param highest The highest fencing number that any node is known to have acted with, or zero if none is.
-     * @param absentSince The time since which the node whose turn it is has been gone, or empty if it is not.
-     * @param acting What this node does, or empty if it does not act.
+     * @param highest The highest fencing number with which a node is known to have acted, or zero if there is none.
+     * @param absentSince The time since which the node whose turn it is has been absent, or empty if it is present.
+     * @param acting The state of this node's acting, or empty if it does not act.
      * @param lastActed The time at which this node last acted, or empty if it never did.
      */
     private record State(
@@ -337,11 +344,11 @@
             Optional<Acting> acting,
             Optional<MonotonicTime> lastActed) {
 
-        /** The state of a lease that nothing is known about. */
-        static final State EMPTY = new State(0, Optional.empty(), Optional.empty(), Optional.empty());
+        /** The initial state of a lease. */
+        static final State INITIAL = new State(0, Optional.empty(), Optional.empty(), Optional.empty());
 
         /**
-         * Returns this state after another node or this one acted.
+         * Returns this state after a node, possibly this one, acted.
          *
          * @param number The fencing number that the node acted with.
          * @return The changed state.
@@ -351,9 +358,9 @@
         }
 
         /**
-         * Returns this state with another time of absence.
+         * Returns this state with another start of absence.
          *
-         * @param since The time since which the node whose turn it is has been gone.
+         * @param since The time since which the node whose turn it is has been absent, or empty if it is present.
          * @return The changed state.
          */
         State withAbsentSince(Optional<MonotonicTime> since) {
@@ -363,7 +370,7 @@
         /**
          * Returns this state with this node acting.
          *
-         * @param confirmed What this node does.
+         * @param confirmed The state of this node's acting.
          * @return The changed state.
          */
         State withActing(Acting confirmed) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/LeaseSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/LeaseSystem.java
@@ -27,55 +27,56 @@
 import java.util.function.Function;
 
 /**
- * Acquires, renews and releases leases on the platform. At most two nodes, picked by rendezvous hashing among those
- * that work, try for a lease that they do not hold, such that the calls to the platform do not grow with the site.
+ * Acquires, renews and releases leases on the platform. At most two nodes, selected from the working nodes by
+ * rendezvous hashing, try to acquire a lease that they do not hold, so that the number of calls to the platform does
+ * not grow with the size of the site.
  */
 public final class LeaseSystem implements DecisionSystem, LeaseView {
 
-    /** The kind of the platform's objects that hold leases. */
+    /** The kind of the platform's objects that store leases. */
     public static final String KIND = "lease";
 
-    /** The kind of the decisions that this system makes. */
-    private static final String DECISION = "lease";
+    /** The kind of this system's decisions. */
+    private static final String DECISION_KIND = "lease";
 
-    /** Computes which leases a configuration needs. */
+    /** Returns the leases that a configuration requires. */
     private final Function<FleetConfiguration, Set<LeaseName>> required;
 
     /** The members of the site. */
     private final MembershipView members;
 
-    /** Makes the calls to the platform. */
+    /** Sends the calls to the platform. */
     private final LeaseCalls calls;
 
-    /** Decides who acts while the platform is silent. */
+    /** Decides which node acts while the platform is unreachable. */
     private final LeaseSuccession succession;
 
     /** The leases. */
     private final EntityTable<LeaseName, LeaseRow> rows = new EntityTable<>();
 
-    /** The durations and pauses that follow from the settings in force. */
+    /** The durations and delays that are derived from the active settings. */
     private final LeaseTimes times = new LeaseTimes();
 
-    /** The settings in force, or empty before the first configuration. */
+    /** The active settings, or empty before the first configuration. */
     private Optional<LeaseSettings> settings = Optional.empty();
 
     /**
      * Creates a new system.
      *
-     * @param required Computes which leases a configuration needs.
+     * @param required Returns the leases that a configuration requires.
      * @param members The members of the site.
-     * @param tokens Hands out the tokens of calls.
-     * @param news What is known about the silence of the platform.
+     * @param tokens Allocates the tokens of calls.
+     * @param reachability The reachability of the platform.
      */
     public LeaseSystem(
             Function<FleetConfiguration, Set<LeaseName>> required,
             MembershipView members,
             PlatformTokens tokens,
-            PlatformNews news) {
+            PlatformNews reachability) {
         this.required = required;
         this.members = members;
         calls = new LeaseCalls(members, tokens);
-        succession = new LeaseSuccession(members, news);
+        succession = new LeaseSuccession(members, reachability);
     }
 
     /** {@inheritDoc} */
@@ -86,7 +87,7 @@
                 .map(holding ->
                         new HeldLease(name, holding.fencingNumber(), holding.since(), holding.validUntil(), false))
                 .filter(lease -> now.isBefore(lease.validUntil()));
-        return byPlatform.or(() -> settings.flatMap(present -> succession.held(name, now, present)));
+        return byPlatform.or(() -> settings.flatMap(currentSettings -> succession.held(name, now, currentSettings)));
     }
 
     /**
@@ -114,15 +115,15 @@
             rows.rows().forEach(row -> rows.put(row.name(), row.withSuspension(event.gap())));
         }
         succession.observe(tick, settings.get());
-        tick.events(PeerEvent.Received.class).forEach(event -> hear(tick, event));
-        tick.events(PlatformEvent.class).forEach(event -> answer(tick, event));
+        tick.events(PeerEvent.Received.class).forEach(event -> handleMessage(tick, event));
+        tick.events(PlatformEvent.class).forEach(event -> handleAnswer(tick, event));
         for (LeaseRow row : rows.rows()) {
             rows.put(row.name(), advance(tick, row, settings.get()));
         }
     }
 
     /**
-     * Takes a configuration into force.
+     * Applies a new configuration.
      *
      * @param tick The tick.
      * @param configuration The configuration.
@@ -133,29 +134,29 @@
         Set<LeaseName> names = required.apply(configuration);
         for (LeaseRow row : rows.rows()) {
             if (!names.contains(row.name())) {
-                lose(tick, row, "the configuration no longer needs it");
+                lose(tick, row, "no longer required by the configuration");
                 succession.forget(row.name());
                 rows.remove(row.name());
             }
         }
         for (LeaseName name : names) {
             if (!rows.contains(name)) {
-                rows.put(name, LeaseRow.unknown(name, tick.now()));
+                rows.put(name, LeaseRow.create(name, tick.now()));
             }
         }
     }
 
     /**
-     * Takes in a message of another node.
+     * Handles a message of another node.
      *
      * @param tick The tick.
-     * @param event The arrival of the message.
+     * @param event The event that received the message.
      */
-    private void hear(Tick tick, PeerEvent.Received event) {
+    private void handleMessage(Tick tick, PeerEvent.Received event) {
         if (event.message() instanceof LeaseMessage.Acting acting) {
             LeaseName name = new LeaseName(acting.name());
             if (rows.contains(name)) {
-                succession.hear(name, acting.fencingNumber());
+                succession.recordAnnouncement(name, acting.fencingNumber());
             }
         }
         if (event.message() instanceof LeaseMessage.Recorded recorded) {
@@ -163,26 +164,26 @@
             StoredObject object = new StoredObject(key, recorded.version(), recorded.record(), false);
             rows.update(
                     new LeaseName(recorded.name()),
-                    row -> row.seenVersion() < recorded.version() ? observe(tick, row, Optional.of(object)) : row);
+                    row -> row.observedVersion() < recorded.version() ? observe(tick, row, Optional.of(object)) : row);
         }
     }
 
     /**
-     * Takes in an answer of the platform.
+     * Handles an answer of the platform.
      *
      * @param tick The tick.
      * @param event The answer.
      */
-    private void answer(Tick tick, PlatformEvent event) {
+    private void handleAnswer(Tick tick, PlatformEvent event) {
         for (LeaseRow row : rows.rows()) {
             if (row.call().filter(call -> call.token() == event.token()).isPresent()) {
-                rows.put(row.name(), answered(tick, row, row.call().get(), event));
+                rows.put(row.name(), applyAnswer(tick, row, row.call().get(), event));
             }
         }
     }
 
     /**
-     * Takes in the answer to a call about a lease.
+     * Applies the answer to a call for a lease.
      *
      * @param tick The tick.
      * @param row The lease.
@@ -190,55 +191,56 @@
      * @param event The answer.
      * @return The changed lease.
      */
-    private LeaseRow answered(Tick tick, LeaseRow row, LeaseRow.Call call, PlatformEvent event) {
-        LeaseRow done = row.withoutCall(tick.now().plus(times.pause()));
+    private LeaseRow applyAnswer(Tick tick, LeaseRow row, LeaseRow.Call call, PlatformEvent event) {
+        LeaseRow completed = row.withoutCall(tick.now().plus(times.callInterval()));
         if (event instanceof PlatformEvent.Accepted accepted) {
             LeaseRow.Attempt attempt = call.attempt().orElseThrow();
-            return written(tick, done, accepted.version(), attempt);
+            return applyWrite(tick, completed, accepted.version(), attempt);
         }
         if (event instanceof PlatformEvent.Conflict conflict) {
-            return observe(tick, row.withoutCall(tick.now().plus(times.retryPause())), conflict.current());
+            return observe(tick, row.withoutCall(tick.now().plus(times.retryDelay())), conflict.current());
         }
         if (event instanceof PlatformEvent.ObjectRead read) {
-            return scheduled(tick, observe(tick, done, read.object()));
+            return scheduleNextCall(tick, observe(tick, completed, read.object()));
         }
         if (event instanceof PlatformEvent.Unavailable unavailable) {
-            LeaseRow retried = row.withoutCall(tick.now().plus(times.retryPause()));
+            LeaseRow retried = row.withoutCall(tick.now().plus(times.retryDelay()));
             return call.attempt()
                     .filter(_attempt -> unavailable.maybeApplied())
-                    .map(retried::withUnsettled)
+                    .map(retried::withUnconfirmed)
                     .orElse(retried);
         }
-        return done;
+        return completed;
     }
 
     /**
-     * Schedules the call after a reading: at once if there is something to write, and otherwise after the usual pause
-     * or when the lease may be taken if nobody renews it, whichever is first.
+     * Schedules the call after a read: immediately if there is something to write, and otherwise after the call
+     * interval or when the lease becomes acquirable if it is not renewed, whichever is first.
      *
      * @param tick The tick.
      * @param row The lease.
      * @return The changed lease.
      */
-    private LeaseRow scheduled(Tick tick, LeaseRow row) {
-        boolean mine = row.record().filter(record -> record.isHeldBy(self())).isPresent();
-        if (mine
+    private LeaseRow scheduleNextCall(Tick tick, LeaseRow row) {
+        boolean heldBySelf =
+                row.record().filter(record -> record.isHeldBy(self())).isPresent();
+        if (heldBySelf
                 || row.observation()
-                        .filter(seen -> times.isTakeable(seen, tick.now()))
+                        .filter(seen -> times.isAcquirable(seen, tick.now()))
                         .isPresent()) {
             return row.withNextCallAt(tick.now());
         }
-        Optional<MonotonicTime> takeableAt = row.observation().map(seen -> seen.unchangedSince()
+        Optional<MonotonicTime> acquirableAt = row.observation().map(seen -> seen.unchangedSince()
                 .plus(times.duration(seen.record()))
                 .plus(times.margin()));
-        return takeableAt
+        return acquirableAt
                 .filter(at -> at.isBefore(row.nextCallAt()))
                 .map(row::withNextCallAt)
                 .orElse(row);
     }
 
     /**
-     * Takes in what the platform showed of a lease.
+     * Applies an observation of a lease's object.
      *
      * @param tick The tick.
      * @param row The lease.
@@ -249,26 +251,26 @@
         Optional<StoredObject> present = object.filter(found -> !found.deleted());
         OptionalLong version =
                 present.map(found -> OptionalLong.of(found.version())).orElseGet(OptionalLong::empty);
-        if (version.isPresent() && version.getAsLong() < row.seenVersion()) {
+        if (version.isPresent() && version.getAsLong() < row.observedVersion()) {
             return row;
         }
         Optional<LeaseRecord> record = present.flatMap(found -> LeaseRecord.decode(found.value()));
         MonotonicTime unchangedSince = row.observation()
                 .filter(before -> before.version().equals(version))
-                .filter(before -> tick.now().since(before.seenAt()).compareTo(times.duration(record)) < 0)
+                .filter(before -> tick.now().since(before.observedAt()).compareTo(times.duration(record)) < 0)
                 .map(LeaseRow.Observation::unchangedSince)
                 .orElseGet(tick::now);
         LeaseRow seen = row.withObservation(new LeaseRow.Observation(version, record, unchangedSince, tick.now()));
-        Optional<LeaseRow.Attempt> applied = record.flatMap(known -> row.unsettledAttempt(known));
+        Optional<LeaseRow.Attempt> applied = record.flatMap(known -> row.unconfirmedAttempt(known));
         if (applied.isPresent()) {
-            return written(tick, seen, version.getAsLong(), applied.get());
+            return applyWrite(tick, seen, version.getAsLong(), applied.get());
         }
-        boolean mine = record.filter(known -> known.isHeldBy(self())).isPresent();
-        return mine ? seen : lose(tick, seen, "the platform shows another holder or none");
+        boolean heldBySelf = record.filter(known -> known.isHeldBy(self())).isPresent();
+        return heldBySelf ? seen : lose(tick, seen, "the platform's record shows another holder or none");
     }
 
     /**
-     * Takes in that a write of this node took effect.
+     * Records that a write of this node was applied.
      *
      * @param tick The tick.
      * @param row The lease.
@@ -276,7 +278,7 @@
      * @param attempt The write.
      * @return The changed lease.
      */
-    private LeaseRow written(Tick tick, LeaseRow row, long version, LeaseRow.Attempt attempt) {
+    private LeaseRow applyWrite(Tick tick, LeaseRow row, long version, LeaseRow.Attempt attempt) {
         LeaseRecord record = attempt.written();
         LeaseRow seen = row.withObservation(
                 new LeaseRow.Observation(OptionalLong.of(version), Optional.of(record), tick.now(), tick.now()));
@@ -290,22 +292,22 @@
         LeaseRow.Holding holding = new LeaseRow.Holding(base, since, attempt.emittedAt(), validUntil);
         if (row.holding().filter(before -> before.base() == base).isEmpty()) {
             tick.raise(new LeaseEvent.Acquired(row.name(), holding.fencingNumber(), false));
-            tick.decide(Decision.of(DECISION, row.name().value(), self().toString(), "acquired on the platform"));
+            tick.decide(Decision.of(DECISION_KIND, row.name().value(), self().toString(), "acquired on the platform"));
         }
         succession.forget(row.name());
-        inform(tick, row.name(), version, record);
+        notifySuccessors(tick, row.name(), version, record);
         return seen.withHolding(holding);
     }
 
     /**
-     * Tells the successors what the platform keeps about a lease, for the case that it falls silent.
+     * Notifies the successors of the platform's record of a lease, in case the platform becomes unreachable.
      *
      * @param tick The tick.
      * @param name The lease's name.
      * @param version The platform's version of the record.
      * @param record The record.
      */
-    private static void inform(Tick tick, LeaseName name, long version, LeaseRecord record) {
+    private static void notifySuccessors(Tick tick, LeaseName name, long version, LeaseRecord record) {
         for (NodeIdentity successor : record.successors()) {
             LeaseMessage message = new LeaseMessage.Recorded(name.value(), version, record.encode());
             tick.emit(new PeerEffect.Send(successor.name(), message));
@@ -313,7 +315,7 @@
     }
 
     /**
-     * Takes in that this node is not the holder.
+     * Records that this node is not the holder.
      *
      * @param tick The tick.
      * @param row The lease.
@@ -326,19 +328,19 @@
         }
         long fencingNumber = row.holding().get().fencingNumber();
         tick.raise(new LeaseEvent.Lost(row.name(), fencingNumber, reason));
-        tick.decide(Decision.of(DECISION, row.name().value(), Decision.NO_CHOICE, reason));
+        tick.decide(Decision.of(DECISION_KIND, row.name().value(), Decision.NO_CHOICE, reason));
         return row.withoutHolding();
     }
 
     /**
-     * Does what is due for a lease.
+     * Takes the actions that are due for a lease.
      *
      * @param tick The tick.
      * @param row The lease.
-     * @param present The settings of leases.
+     * @param currentSettings The settings of leases.
      * @return The changed lease.
      */
-    private LeaseRow advance(Tick tick, LeaseRow row, LeaseSettings present) {
+    private LeaseRow advance(Tick tick, LeaseRow row, LeaseSettings currentSettings) {
         LeaseRow current = row.withoutExpiredAttempts(tick.now());
         boolean expired = current.holding()
                 .filter(holding -> !tick.now().isBefore(holding.validUntil()))
@@ -347,7 +349,7 @@
             current = lose(tick, current, "not renewed in time");
         }
         if (current.holding().isEmpty() && !isLeaving()) {
-            succession.advance(tick, current, present);
+            succession.advance(tick, current, currentSettings);
         }
         if (isLeaving() && current.holding().isPresent()) {
             current = lose(tick, current, "released at a planned stop").withNextCallAt(tick.now());
@@ -355,43 +357,44 @@
         if (current.call().isPresent() || tick.now().isBefore(current.nextCallAt())) {
             return current;
         }
-        return isLeaving() ? release(tick, current) : call(tick, current, present);
+        return isLeaving() ? release(tick, current) : sendCall(tick, current, currentSettings);
     }
 
     /**
-     * Makes the call that is due for a lease.
+     * Sends the call that is due for a lease.
      *
      * @param tick The tick.
-     * @param row The lease, about which no call is in flight.
-     * @param present The settings of leases.
+     * @param row The lease, for which no call is in flight.
+     * @param currentSettings The settings of leases.
      * @return The changed lease.
      */
-    private LeaseRow call(Tick tick, LeaseRow row, LeaseSettings present) {
-        if (row.doubtful()) {
+    private LeaseRow sendCall(Tick tick, LeaseRow row, LeaseSettings currentSettings) {
+        if (row.readRequired()) {
             return calls.read(tick, row);
         }
         if (row.holding().isPresent()) {
             return renew(tick, row, row.holding().get());
         }
-        boolean mine = row.record().filter(record -> record.isHeldBy(self())).isPresent();
-        if (mine || succession.actedLately(row.name(), tick.now(), present)) {
+        boolean heldBySelf =
+                row.record().filter(record -> record.isHeldBy(self())).isPresent();
+        if (heldBySelf || succession.actedRecently(row.name(), tick.now(), currentSettings)) {
             return acquire(tick, row);
         }
         if (!calls.candidates(row.name()).contains(self())) {
-            return row.withoutCall(tick.now().plus(times.pause()));
+            return row.withoutCall(tick.now().plus(times.callInterval()));
         }
-        boolean takeable = row.observation()
-                .filter(seen -> times.isTakeable(seen, tick.now()))
+        boolean acquirable = row.observation()
+                .filter(seen -> times.isAcquirable(seen, tick.now()))
                 .isPresent();
-        return takeable ? acquire(tick, row) : calls.read(tick, row);
+        return acquirable ? acquire(tick, row) : calls.read(tick, row);
     }
 
     /**
-     * Renews a lease, under a new fencing number if its successors have to be named anew.
+     * Renews a lease, under a new fencing number if its successors have changed.
      *
      * @param tick The tick.
      * @param row The lease.
-     * @param holding What makes this node the holder.
+     * @param holding The holding of this node.
      * @return The changed lease.
      */
     private LeaseRow renew(Tick tick, LeaseRow row, LeaseRow.Holding holding) {
@@ -399,9 +402,10 @@
         if (tick.now().isBefore(due)) {
             return row.withoutCall(due);
         }
-        List<NodeIdentity> named = row.record().map(LeaseRecord::successors).orElseGet(List::of);
+        List<NodeIdentity> currentSuccessors =
+                row.record().map(LeaseRecord::successors).orElseGet(List::of);
         List<NodeIdentity> successors = calls.successors(row.name());
-        long base = named.equals(successors) ? holding.base() : 0;
+        long base = currentSuccessors.equals(successors) ? holding.base() : 0;
         return calls.write(tick, row, times.duration(), Optional.of(self()), base, successors);
     }
 
@@ -417,18 +421,19 @@
     }
 
     /**
-     * Releases a lease if the platform shows that this node holds it.
+     * Releases a lease if this node holds it according to the last observation.
      *
      * @param tick The tick.
      * @param row The lease.
      * @return The changed lease.
      */
     private LeaseRow release(Tick tick, LeaseRow row) {
-        if (row.doubtful()) {
+        if (row.readRequired()) {
             return calls.read(tick, row);
         }
-        boolean mine = row.record().filter(record -> record.isHeldBy(self())).isPresent();
-        return mine ? calls.write(tick, row, times.duration(), Optional.empty(), 0, List.of()) : row;
+        boolean heldBySelf =
+                row.record().filter(record -> record.isHeldBy(self())).isPresent();
+        return heldBySelf ? calls.write(tick, row, times.duration(), Optional.empty(), 0, List.of()) : row;
     }
 
     /**
@@ -441,9 +446,9 @@
     }
 
     /**
-     * Returns whether this node is about to stop.
+     * Returns whether this node is leaving.
      *
-     * @return {@code true} if this node is about to stop.
+     * @return {@code true} if this node is leaving.
      */
     private boolean isLeaving() {
         return members.self().condition() == MemberCondition.LEAVING;
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/LeaseTimes.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/LeaseTimes.java
@@ -5,45 +5,45 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** The durations and pauses of leases that follow from the settings in force. */
+/** The durations and delays of leases that are derived from the active settings. */
 final class LeaseTimes {
 
-    /** The number of calls that are made in the duration of a lease. */
+    /** The number of calls within a lease duration. */
     static final int CALLS_PER_DURATION = 3;
 
-    /** The number of times that a call is tried again in the pause between two calls after no answer came. */
-    private static final int RETRIES_PER_PAUSE = 4;
+    /** The number of retries of a failed call within the interval between two calls. */
+    private static final int RETRIES_PER_CALL_INTERVAL = 4;
 
-    /** The settings in force, or empty before the first configuration. */
+    /** The active settings, or empty before the first configuration. */
     private Optional<LeaseSettings> settings = Optional.empty();
 
     /**
      * Replaces the settings.
      *
-     * @param inForce The settings in force.
+     * @param active The settings that became active.
      */
-    void replace(LeaseSettings inForce) {
-        settings = Optional.of(inForce);
+    void replace(LeaseSettings active) {
+        settings = Optional.of(active);
     }
 
     /**
-     * Returns whether a lease may be taken: nobody holds it, or its holder did not renew it while this node kept
-     * looking.
+     * Returns whether a lease may be acquired. This is the case if it has no holder, or if its holder did not renew it
+     * while this node continuously observed it. An observation that is older than the lease duration is not sufficient.
      *
-     * @param seen What the platform showed.
+     * @param observation The last observation.
      * @param now The current time.
-     * @return {@code true} if the lease may be taken.
+     * @return {@code true} if the lease may be acquired.
      */
-    boolean isTakeable(LeaseRow.Observation seen, MonotonicTime now) {
-        Duration duration = duration(seen.record());
-        if (now.since(seen.seenAt()).compareTo(duration) >= 0) {
+    boolean isAcquirable(LeaseRow.Observation observation, MonotonicTime now) {
+        Duration duration = duration(observation.record());
+        if (now.since(observation.observedAt()).compareTo(duration) >= 0) {
             return false;
         }
-        return seen.isFree() || now.since(seen.unchangedSince()).compareTo(duration.plus(margin())) >= 0;
+        return observation.isFree() || now.since(observation.unchangedSince()).compareTo(duration.plus(margin())) >= 0;
     }
 
     /**
-     * Returns the duration of a lease as its record says, or as the configuration says where there is no record.
+     * Returns the duration of a lease from its record, or the configured duration if there is no record.
      *
      * @param record The record.
      * @return The duration.
@@ -53,30 +53,30 @@
     }
 
     /**
-     * Returns the duration of leases.
+     * Returns the configured duration of leases.
      *
-     * @return The duration as the configuration says.
+     * @return The configured duration.
      */
     Duration duration() {
         return settings.orElseThrow().duration();
     }
 
     /**
-     * Returns the pause between two calls about a lease.
+     * Returns the interval between two calls for a lease.
      *
-     * @return The pause.
+     * @return The interval.
      */
-    Duration pause() {
+    Duration callInterval() {
         return duration().dividedBy(CALLS_PER_DURATION);
     }
 
     /**
-     * Returns the pause before a call is tried again.
+     * Returns the delay before a failed call is retried.
      *
-     * @return The pause.
+     * @return The delay.
      */
-    Duration retryPause() {
-        return pause().dividedBy(RETRIES_PER_PAUSE);
+    Duration retryDelay() {
+        return callInterval().dividedBy(RETRIES_PER_CALL_INTERVAL);
     }
 
     /**
