--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/decision/Decision.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/decision/Decision.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * A decision with its reasons, as it is logged and as {@code yuccaswitch explain} shows it.
+ * A decision and its reason, which is logged and shown by {@code yuccaswitch explain}.
  *
  * @param kind The kind of the decision, such as {@code route} or {@code place}.
- * @param subject The identifier of what was decided on, such as a request id.
+ * @param subject The identifier of the subject, such as a request id.
  * @param choice The choice that was made, such as an endpoint's name, or {@code none}.
  * @param reason The reason for the choice, in a short sentence.
  * @param candidates The candidates that were considered, with their scores.
  */
 public record Decision(String kind, String subject, String choice, String reason, List<Candidate> candidates) {
 
-    /** The choice of a decision that chose nothing. */
+    /** The choice of a decision that selected nothing. */
     public static final String NO_CHOICE = "none";
 
     /** Copies the candidates. */
@@ -25,7 +25,7 @@
      * Creates a decision without candidates.
      *
      * @param kind The kind of the decision.
-     * @param subject The identifier of what was decided on.
+     * @param subject The identifier of the subject.
      * @param choice The choice that was made.
      * @param reason The reason for the choice.
      * @return The decision.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/decision/DecisionCore.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/decision/DecisionCore.java
@@ -6,8 +6,8 @@
 
 /**
  * The entry point of the decision core: an ordered list of systems that run once in each tick. An instance is confined
- * to the thread that ticks it and depends on nothing but the values it is given, such that a test can drive several of
- * them together with events and times of its own.
+ * to the thread that ticks it and depends only on the values that are passed to it, so that a test can run several
+ * instances with its own events and times.
  */
 public final class DecisionCore {
 
@@ -31,9 +31,9 @@
     /**
      * Runs all systems once.
      *
-     * @param now The monotonic time of the tick, never before the time of the tick before.
-     * @param events The events that arrived since the tick before, in the order of their arrival.
-     * @return The effects and decisions that the tick brought about.
+     * @param now The monotonic time of the tick, which must not be before that of the previous tick.
+     * @param events The events that arrived since the previous tick, in the order of their arrival.
+     * @return The effects and decisions of the tick.
      */
     public TickResult tick(MonotonicTime now, List<? extends Event> events) {
         Tick tick = new Tick(now, events, random);
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/decision/Effect.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/decision/Effect.java
@@ -1,7 +1,7 @@
 package io.yuccaswitch.core.decision;
 
 /**
- * Something that the decision core wants done by the shell around it. Each concept declares its own sealed
+ * An action that the decision core requests from the surrounding shell. Each concept declares its own sealed
  * sub-interface with its effects as nested records.
  */
 public interface Effect {}
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/decision/EntityTable.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/decision/EntityTable.java
@@ -9,7 +9,7 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A table of entities. Rows are immutable values that are replaced as a whole, and keep the order of their insertion.
+ * A table of entities. Rows are immutable values, are replaced rather than modified, and keep their insertion order.
  *
  * @param <K> The type of the rows' keys.
  * @param <R> The type of the rows.
@@ -43,8 +43,8 @@
      * Replaces a row if it exists.
      *
      * @param key The row's key.
-     * @param change The change that computes the new row.
-     * @return The new row, or empty if there is none to change.
+     * @param change The function that computes the new row from the existing one.
+     * @return The new row, or empty if the row does not exist.
      */
     public Optional<R> update(K key, UnaryOperator<R> change) {
         return Optional.ofNullable(rows.computeIfPresent(key, (_key, row) -> change.apply(row)));
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Removes all rows that match.
+     * Removes all matching rows.
      *
      * @param predicate The predicate that selects the rows to remove.
      * @return {@code true} if any row was removed.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/decision/Event.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/decision/Event.java
@@ -1,7 +1,7 @@
 package io.yuccaswitch.core.decision;
 
 /**
- * Something that happened outside of the decision core, or that one system tells the systems after it in the same tick.
- * Each concept declares its own sealed sub-interface with its events as nested records.
+ * An occurrence outside of the decision core, or a notification by one system to the systems that run after it in the
+ * same tick. Each concept declares its own sealed sub-interface with its events as nested records.
  */
 public interface Event {}
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/decision/PacedSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/decision/PacedSystem.java
@@ -7,42 +7,43 @@
 import java.util.function.Supplier;
 
 /**
- * Runs systems in ticks whose events may concern them, and otherwise only as often as their timers need. Most ticks of
- * an idle node bring a message of the membership and nothing else, and running all systems is what such a tick costs.
+ * Runs systems in ticks that have events relevant to them, and otherwise only at the interval that their timers
+ * require. Most ticks of an idle node contain only a membership message, and running all systems would make up most of
+ * the processor time of such a tick.
  */
 public final class PacedSystem implements DecisionSystem {
 
     /** The systems, in the order in which they run. */
     private final List<DecisionSystem> systems;
 
-    /** Recognizes the events that none of the systems looks at. */
-    private final Predicate<Event> foreign;
+    /** Matches the events that none of the systems handles. */
+    private final Predicate<Event> irrelevant;
 
-    /** The longest pause between two runs. */
-    private final Supplier<Duration> pace;
+    /** Supplies the maximum interval between two runs. */
+    private final Supplier<Duration> maximumInterval;
 
-    /** When the systems run in any case. */
-    private MonotonicTime due = new MonotonicTime(Long.MIN_VALUE);
+    /** The time from which the systems run regardless of the events. */
+    private MonotonicTime dueAt = new MonotonicTime(Long.MIN_VALUE);
 
     /**
-     * Creates a system that runs others.
+     * Creates a system that runs other systems.
      *
      * @param systems The systems, in the order in which they run.
-     * @param foreign Recognizes the events that none of the systems looks at.
-     * @param pace The longest pause between two runs.
+     * @param irrelevant Matches the events that none of the systems handles.
+     * @param maximumInterval Supplies the maximum interval between two runs.
      */
-    public PacedSystem(List<DecisionSystem> systems, Predicate<Event> foreign, Supplier<Duration> pace) {
+    public PacedSystem(List<DecisionSystem> systems, Predicate<Event> irrelevant, Supplier<Duration> maximumInterval) {
         this.systems = List.copyOf(systems);
-        this.foreign = foreign;
-        this.pace = pace;
+        this.irrelevant = irrelevant;
+        this.maximumInterval = maximumInterval;
     }
 
     @Override
     public void run(Tick tick) {
-        if (tick.now().isBefore(due) && tick.hasOnly(foreign)) {
+        if (tick.now().isBefore(dueAt) && tick.hasOnly(irrelevant)) {
             return;
         }
-        due = tick.now().plus(pace.get());
+        dueAt = tick.now().plus(maximumInterval.get());
         systems.forEach(system -> system.run(tick));
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/decision/Tick.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/decision/Tick.java
@@ -6,13 +6,13 @@
 import java.util.SplittableRandom;
 import java.util.function.Predicate;
 
-/** One tick of the decision core: the time, the events to consider, and a place for effects and decisions. */
+/** One tick of the decision core, with its time and events, which collects effects and decisions. */
 public final class Tick {
 
     /** The monotonic time at which this tick runs. */
     private final MonotonicTime now;
 
-    /** The events of this tick, growing as systems raise further ones. */
+    /** The events of this tick, including those that systems have raised. */
     private final List<Event> events;
 
     /** The seeded source of randomness. */
@@ -21,14 +21,14 @@
     /** The effects that were emitted so far. */
     private final List<Effect> effects = new ArrayList<>();
 
-    /** The decisions that were explained so far. */
+    /** The decisions that were recorded so far. */
     private final List<Decision> decisions = new ArrayList<>();
 
     /**
      * Creates a new tick.
      *
      * @param now The monotonic time at which the tick runs.
-     * @param events The events that arrived since the tick before.
+     * @param events The events that arrived since the previous tick.
      * @param random The seeded source of randomness that systems use.
      */
     public Tick(MonotonicTime now, List<? extends Event> events, SplittableRandom random) {
@@ -74,13 +74,13 @@
     }
 
     /**
-     * Returns whether all events of this tick so far are of a kind.
+     * Returns whether all events of this tick so far match a predicate.
      *
-     * @param kind The kind.
-     * @return {@code true} if they are, or there are none.
+     * @param predicate The predicate.
+     * @return {@code true} if all events match or there are none.
      */
-    public boolean hasOnly(Predicate<Event> kind) {
-        return events.stream().allMatch(kind);
+    public boolean hasOnly(Predicate<Event> predicate) {
+        return events.stream().allMatch(predicate);
     }
 
     /**
@@ -93,7 +93,7 @@
     }
 
     /**
-     * Emits an effect for the shell to carry out.
+     * Emits an effect for the shell to execute.
      *
      * @param effect The effect to emit.
      */
@@ -102,7 +102,7 @@
     }
 
     /**
-     * Records a decision together with its reasons.
+     * Records a decision.
      *
      * @param decision The decision to record.
      */
@@ -111,9 +111,9 @@
     }
 
     /**
-     * Returns what this tick has brought about so far.
+     * Returns the result of this tick so far.
      *
-     * @return The effects and decisions of this tick.
+     * @return The effects and decisions so far.
      */
     public TickResult result() {
         return new TickResult(effects, decisions);
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/decision/TickResult.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/decision/TickResult.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * What a tick brought about.
+ * The result of a tick.
  *
- * @param effects The effects for the shell to carry out, in order.
- * @param decisions The decisions to log and to keep for explanation, in order.
+ * @param effects The effects for the shell to execute, in the order of their emission.
+ * @param decisions The decisions to log and to retain for {@code yuccaswitch explain}, in the order of their recording.
  */
 public record TickResult(List<Effect> effects, List<Decision> decisions) {
 
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/decision/package-info.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/decision/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The frame of the decision core: events go in, effects and explained decisions come out. Nothing here does input or
- * output, reads a clock or starts a thread.
+ * The framework of the decision core, which processes events into effects and decisions. It performs no input or
+ * output, reads no clock and starts no threads.
  */
 package io.yuccaswitch.core.decision;
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/decision/PacedSystemTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/decision/PacedSystemTest.java
@@ -15,11 +15,11 @@
     private final List<Long> runs = new ArrayList<>();
     private final PacedSystem paced = new PacedSystem(
             List.of(tick -> runs.add(tick.now().nanoseconds() / 1_000_000)),
-            Foreign.class::isInstance,
+            Irrelevant.class::isInstance,
             () -> Duration.ofMillis(100));
 
     @Test
-    void aTickWithoutEventsWaitsForThePace() {
+    void aTickWithoutEventsRunsNothingBeforeTheMaximumInterval() {
         tick(0);
         tick(40);
         tick(99);
@@ -28,16 +28,16 @@
     }
 
     @Test
-    void anEventThatNoSystemLooksAtRunsNothing() {
+    void anEventThatNoSystemHandlesRunsNothing() {
         tick(0);
-        tick(10, new Foreign());
+        tick(10, new Irrelevant());
         assertThat(runs).containsExactly(0L);
     }
 
     @Test
-    void anyOtherEventRunsTheSystemsAtOnce() {
+    void anyOtherEventRunsTheSystemsImmediately() {
         tick(0);
-        tick(10, new Foreign(), new Own());
+        tick(10, new Irrelevant(), new Relevant());
         tick(50);
         assertThat(runs).containsExactly(0L, 10L);
     }
@@ -49,7 +49,7 @@
                 new SplittableRandom(1)));
     }
 
-    private record Foreign() implements Event {}
+    private record Irrelevant() implements Event {}
 
-    private record Own() implements Event {}
+    private record Relevant() implements Event {}
 }
