--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/peer/package-info.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/peer/package-info.java
@@ -1,2 +1,2 @@
-/** Messages between nodes as the decision core sees them. */
+/** The messages between nodes in the decision core, with the events and effects that carry them. */
 package io.yuccaswitch.core.peer;
