--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/EndpointSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/EndpointSystem.java
@@ -174,7 +174,7 @@
         table.putProbe(name, table.probe(name).withReport());
         table.putLeaving(name, table.leaving(name).withIncarnation(report.incarnation()));
         if (report.leaving()) {
-            recordLeaving(tick, table.find(name).orElseThrow(), report.incarnation(), "the endpoint itself");
+            recordLeaving(tick, table.find(name).orElseThrow(), report.incarnation(), "own report");
         }
         refreshCondition(tick, name, newIncarnation ? "incarnation " + report.incarnation() + " reported" : "reported");
     }
@@ -207,9 +207,9 @@
             return;
         }
         if (message instanceof EndpointMessage.Leaving leaving) {
-            recordLeaving(tick, endpoint.get(), leaving.incarnation(), "a peer");
+            recordLeaving(tick, endpoint.get(), leaving.incarnation(), "peer");
         } else if (message instanceof EndpointMessage.Listed listed) {
-            recordListed(tick, endpoint.get(), listed.leaving(), "a peer that read the platform's list");
+            recordListed(tick, endpoint.get(), listed.leaving(), "peer's report of the platform's list");
         }
     }
 
@@ -228,7 +228,7 @@
             return;
         }
         table.putLeaving(endpoint.name(), after);
-        refreshCondition(tick, endpoint.name(), "leaving, reported by " + source);
+        refreshCondition(tick, endpoint.name(), "leaving, source: " + source);
         if (!incarnation.isEmpty()) {
             announcer.announce(tick, new EndpointMessage.Leaving(endpoint.name(), incarnation));
         }
@@ -248,8 +248,7 @@
         LeavingState after =
                 leaving ? before.withListed(tick.now(), endpoint.incarnation()) : before.withNotListed(tick.now());
         table.putLeaving(name, after);
-        refreshCondition(
-                tick, name, leaving ? "listed as leaving, reported by " + source : "no longer listed as leaving");
+        refreshCondition(tick, name, leaving ? "listed as leaving, source: " + source : "no longer listed as leaving");
         if (before.listing().isEmpty() && after.listing().isPresent()) {
             announcer.announce(tick, new EndpointMessage.Listed(name, true));
         }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/LeavingState.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/LeavingState.java
@@ -86,7 +86,7 @@
     }
 
     /**
-     * Returns this state after the platform's list contained the VM as leaving.
+     * Returns this state after the platform listed the VM as leaving.
      *
      * @param now The current time.
      * @param current The endpoint's incarnation, or empty if it is not known.
@@ -99,14 +99,13 @@
     }
 
     /**
-     * Returns this state after the platform's list contained the VM as not leaving.
+     * Returns this state after the platform listed the VM as not leaving.
      *
      * @param now The current time.
      * @return The changed state.
      */
     LeavingState withNotListed(MonotonicTime now) {
-        return withListing(
-                listing.filter(found -> now.since(found.lastObservedAt()).compareTo(LISTING_VALIDITY) < 0));
+        return withListing(listing.filter(found -> now.since(found.lastSeen()).compareTo(LISTING_VALIDITY) < 0));
     }
 
     /**
@@ -122,11 +121,11 @@
     /**
      * An entry of the platform's list that shows an endpoint's VM as leaving.
      *
-     * @param lastObservedAt The time at which this listing was last observed.
+     * @param lastSeen The time at which this listing was last observed.
      * @param incarnation The incarnation that the listing refers to, or empty if none was known.
      * @param replacedSince The time since which the VM is listed although another incarnation is running, or empty.
      */
-    record Listing(MonotonicTime lastObservedAt, Optional<String> incarnation, Optional<MonotonicTime> replacedSince) {
+    record Listing(MonotonicTime lastSeen, Optional<String> incarnation, Optional<MonotonicTime> replacedSince) {
 
         /**
          * Returns whether this listing refers to an incarnation.
@@ -166,7 +165,7 @@
         Listing withIncarnation(String reportedIncarnation) {
             return incarnation.isPresent()
                     ? this
-                    : new Listing(lastObservedAt, Optional.of(reportedIncarnation), replacedSince);
+                    : new Listing(lastSeen, Optional.of(reportedIncarnation), replacedSince);
         }
     }
 }
