--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/AbandonedObjectSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/AbandonedObjectSystem.java
@@ -12,25 +12,25 @@
 import java.util.Optional;
 
 /**
- * Deletes the platform's objects of members that died without departing, once they are forgotten. One node is picked
- * for each of them. An object that is missed costs nothing but its space.
+ * Deletes the platform's objects of members that died without departing, once these are removed from the table. One
+ * node is responsible for each object. An object that no node deletes only occupies storage.
  */
 final class AbandonedObjectSystem implements DecisionSystem {
 
     /** The state of the membership. */
     private final MembershipState state;
 
-    /** Hands out the tokens of calls. */
+    /** Allocates the tokens of calls. */
     private final PlatformTokens tokens;
 
-    /** The members whose objects are being read, by the tokens of the calls. */
-    private final EntityTable<Long, NodeIdentity> reading = new EntityTable<>();
+    /** The members whose objects are being read, keyed by the tokens of the calls. */
+    private final EntityTable<Long, NodeIdentity> pendingReads = new EntityTable<>();
 
     /**
      * Creates a new system.
      *
      * @param state The state of the membership.
-     * @param tokens Hands out the tokens of calls.
+     * @param tokens Allocates the tokens of calls.
      */
     AbandonedObjectSystem(MembershipState state, PlatformTokens tokens) {
         this.state = state;
@@ -41,15 +41,15 @@
     @Override
     public void run(Tick tick) {
         for (PlatformEvent event : tick.events(PlatformEvent.class)) {
-            Optional<NodeIdentity> identity = reading.remove(event.token());
+            Optional<NodeIdentity> identity = pendingReads.remove(event.token());
             if (identity.isPresent() && event instanceof PlatformEvent.ObjectRead read) {
                 read.object().ifPresent(object -> delete(tick, object, identity.get()));
             }
         }
         for (MembershipEvent.Forgotten event : tick.events(MembershipEvent.Forgotten.class)) {
-            if (isPicked(event.identity())) {
+            if (isResponsible(event.identity())) {
                 long token = tokens.next();
-                reading.put(token, event.identity());
+                pendingReads.put(token, event.identity());
                 tick.emit(new PlatformEffect.Read(
                         token,
                         PlatformPurpose.MEMBERSHIP,
@@ -59,12 +59,12 @@
     }
 
     /**
-     * Returns whether this node is the one to delete an object.
+     * Returns whether this node is responsible for deleting an object.
      *
-     * @param identity The forgotten member.
-     * @return {@code true} if this node is picked.
+     * @param identity The removed member.
+     * @return {@code true} if this node is responsible.
      */
-    private boolean isPicked(NodeIdentity identity) {
+    private boolean isResponsible(NodeIdentity identity) {
         return RendezvousRanking.rank(identity.toString(), state.table().working()).stream()
                 .findFirst()
                 .filter(state.table().self()::equals)
@@ -72,11 +72,11 @@
     }
 
     /**
-     * Deletes an object, unless the member has started again.
+     * Deletes an object, unless the member has restarted.
      *
      * @param tick The tick.
      * @param object The object.
-     * @param identity The forgotten member.
+     * @param identity The removed member.
      */
     private void delete(Tick tick, StoredObject object, NodeIdentity identity) {
         MemberObject.decode(object.key().name(), object.value())
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/ContactSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/ContactSystem.java
@@ -14,19 +14,22 @@
 import java.util.stream.Collectors;
 
 /**
- * Finds the first partners of a starting node, and nodes that were lost from sight. Addresses come from the local
- * settings and from the platform; they are only places to knock at, and say nothing about who lives. A node goes on to
- * contact dead members and unclaimed addresses now and then, such that two sides of a healed cut find each other.
+ * Finds the first partners of a starting node, and nodes that became unreachable. Addresses come from the local
+ * settings and from the platform. They are only contact points and do not indicate which nodes are running. A node
+ * keeps contacting dead members and unclaimed addresses periodically, so that both sides of a network partition find
+ * each other after it heals.
  */
 final class ContactSystem implements DecisionSystem {
 
-    /** The number of addresses that a node contacts at a time as long as it knows nobody. */
-    private static final int CONTACTS = 3;
+    /**
+     * The maximum number of addresses that a node contacts at a time while its table contains no other running node.
+     */
+    private static final int MAXIMUM_CONTACTS_WHILE_ALONE = 3;
 
     /** The state of the membership. */
     private final MembershipState state;
 
-    /** Composes what travels. */
+    /** Composes the contents of messages. */
     private final ExchangeContent content;
 
     /** The peer addresses from the local settings. */
@@ -35,13 +38,13 @@
     /** The peer addresses from the platform. */
     private Set<String> platformAddresses = Set.of();
 
-    /** Whether the platform has named addresses. */
+    /** Whether the platform has supplied its list of addresses. */
     private boolean platformListed;
 
     /** The time of the first tick. */
     private Optional<MonotonicTime> startedAt = Optional.empty();
 
-    /** Whether this node has learned the table of another one, or found that it is alone. */
+    /** Whether this node has received the table of another one, or has determined that it is alone. */
     private boolean joined;
 
     /** The time of the next contact. */
@@ -51,7 +54,7 @@
      * Creates a new system.
      *
      * @param state The state of the membership.
-     * @param content Composes what travels.
+     * @param content Composes the contents of messages.
      * @param seeds The peer addresses from the local settings.
      */
     ContactSystem(MembershipState state, ExchangeContent content, List<String> seeds) {
@@ -69,25 +72,25 @@
         if (departed || tick.now().isBefore(nextContact)) {
             return;
         }
-        boolean alone = state.table().othersLiving().isEmpty();
+        boolean alone = state.table().othersNotDead().isEmpty();
         Duration interval =
                 alone ? state.options().contactInterval() : state.options().reconnectInterval();
         nextContact = tick.now().plus(interval);
-        contact(tick, alone ? CONTACTS : 1);
+        contact(tick, alone ? MAXIMUM_CONTACTS_WHILE_ALONE : 1);
     }
 
     /**
-     * Replaces the addresses that the platform named.
+     * Replaces the addresses that the platform listed.
      *
-     * @param named The peer addresses as {@code host:port}.
+     * @param addresses The peer addresses as {@code host:port}.
      */
-    void replacePlatformAddresses(Set<String> named) {
-        platformAddresses = Set.copyOf(named);
+    void replacePlatformAddresses(Set<String> addresses) {
+        platformAddresses = Set.copyOf(addresses);
         platformListed = true;
     }
 
     /**
-     * Returns whether this node has learned the table of another one, or found that it is alone.
+     * Returns whether this node has received the table of another one, or has determined that it is alone.
      *
      * @return {@code true} if this node has joined.
      */
@@ -96,8 +99,8 @@
     }
 
     /**
-     * Finds out whether this node has joined: its table equals another one's, there is nobody to contact, or nobody has
-     * answered for long.
+     * Checks whether this node has joined: its table equals that of another node, there is no address to contact, or
+     * the join time-out has passed.
      *
      * @param tick The tick.
      */
@@ -105,18 +108,18 @@
         if (joined) {
             return;
         }
-        boolean knowsOthers = !state.table().othersLiving().isEmpty();
+        boolean hasOthers = !state.table().othersNotDead().isEmpty();
         boolean equal = tick.events(PeerEvent.Received.class).stream()
                 .map(PeerEvent.Received::message)
                 .anyMatch(this::isEqualTable);
-        boolean waited = tick.now()
+        boolean timedOut = tick.now()
                         .since(startedAt.orElseThrow())
-                        .compareTo(state.options().aloneTime())
+                        .compareTo(state.options().joinTimeout())
                 >= 0;
-        boolean alone = platformListed && !knowsOthers && unclaimed().isEmpty();
-        if ((knowsOthers && equal) || alone || waited) {
+        boolean alone = platformListed && !hasOthers && unclaimedAddresses().isEmpty();
+        if ((hasOthers && equal) || alone || timedOut) {
             joined = true;
-            tick.raise(new MembershipEvent.SelfJoined(!knowsOthers));
+            tick.raise(new MembershipEvent.SelfJoined(!hasOthers));
         }
     }
 
@@ -135,13 +138,13 @@
     }
 
     /**
-     * Contacts addresses that no living member claims, at random.
+     * Contacts randomly selected addresses that no running member claims.
      *
      * @param tick The tick.
-     * @param count The largest number of addresses to contact.
+     * @param count The maximum number of addresses to contact.
      */
     private void contact(Tick tick, int count) {
-        List<String> candidates = unclaimed();
+        List<String> candidates = unclaimedAddresses();
         for (int i = 0; i < count && !candidates.isEmpty(); i++) {
             String address = candidates.remove(tick.random().nextInt(candidates.size()));
             MembershipMessage.Exchange exchange =
@@ -151,11 +154,11 @@
     }
 
     /**
-     * Returns the addresses of seeds and dead members that no living member claims.
+     * Returns the addresses of seeds and dead members that no running member claims.
      *
      * @return The addresses.
      */
-    private List<String> unclaimed() {
+    private List<String> unclaimedAddresses() {
         Set<String> claimed = state.table().rows().stream()
                 .filter(row -> !row.is(MemberCondition.DEAD))
                 .map(row -> row.member().peerAddress())
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/ExchangeContent.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/ExchangeContent.java
@@ -9,14 +9,14 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Composes what travels in exchanges and in the messages that settle differences. */
+/** Composes the contents of exchanges and of the messages that reconcile differences between tables. */
 final class ExchangeContent {
 
-    /** The largest number of rows of a message. */
-    static final int ROWS_PER_MESSAGE = 64;
+    /** The maximum number of rows in a message. */
+    static final int MAXIMUM_ROWS_PER_MESSAGE = 64;
 
-    /** The largest number of summaries of a message. */
-    static final int SUMMARIES_PER_MESSAGE = 128;
+    /** The maximum number of summaries in a message, unless a single bucket exceeds it. */
+    static final int MAXIMUM_SUMMARIES_PER_MESSAGE = 128;
 
     /** The state of the membership. */
     private final MembershipState state;
@@ -31,7 +31,7 @@
     }
 
     /**
-     * Returns what this node says of itself.
+     * Returns this node's digest of its own state.
      *
      * @param now The current time.
      * @return The digest.
@@ -46,31 +46,32 @@
     }
 
     /**
-     * Returns the rows to tell a partner: recent changes, this node's own row if the partner may need it, and what this
-     * node believes of the partner unless that is what the partner says itself.
+     * Returns the rows to send to a partner: recent changes, this node's own row if requested, and this node's row of
+     * the partner unless it is recorded as alive.
      *
      * @param partner The partner's name.
-     * @param introduce {@code true} if the partner may not know this node.
+     * @param introduce {@code true} if the partner may not have this node's row.
      * @return The rows.
      */
     List<MemberRow> rowsFor(NodeName partner, boolean introduce) {
-        Set<NodeName> names = beliefsOf(partner);
+        Set<NodeName> names = refutableNames(partner);
         if (introduce) {
             names.add(state.table().selfRow().name());
         }
-        names.addAll(state.news().take(state.table().rows().size()));
+        names.addAll(state.changeQueue().take(state.table().rows().size()));
         return rows(names);
     }
 
     /**
      * Returns the rows that answer an exchange.
      *
-     * @param sender The identity that the partner greets with.
-     * @param news {@code true} if both tables differ, such that recent changes may be news to the partner.
+     * @param sender The identity that the partner presents.
+     * @param tablesDiffer {@code true} if both tables differ, so that the partner may lack recent changes.
      * @return The rows.
      */
-    List<MemberRow> answerFor(NodeIdentity sender, boolean news) {
-        List<MemberRow> answer = new ArrayList<>(news ? rowsFor(sender.name(), false) : rows(beliefsOf(sender.name())));
+    List<MemberRow> answerFor(NodeIdentity sender, boolean tablesDiffer) {
+        List<MemberRow> answer =
+                new ArrayList<>(tablesDiffer ? rowsFor(sender.name(), false) : rows(refutableNames(sender.name())));
         state.table()
                 .row(sender.name())
                 .filter(row -> !row.member().identity().equals(sender) && !answer.contains(row))
@@ -79,8 +80,8 @@
     }
 
     /**
-     * Returns the rows for an address that is contacted without knowing who listens there: this node's own row, and
-     * those of dead members with that address, such that one that is not dead can object.
+     * Returns the rows for an address that is contacted without knowing which node listens there: this node's own row,
+     * and those of dead members with that address, so that a member that is in fact running can refute its death.
      *
      * @param address The address.
      * @return The rows.
@@ -90,14 +91,14 @@
         rows.add(state.table().selfRow());
         state.table().dead().stream()
                 .filter(row -> row.member().peerAddress().equals(address))
-                .limit(ROWS_PER_MESSAGE)
+                .limit(MAXIMUM_ROWS_PER_MESSAGE)
                 .forEach(rows::add);
         return rows;
     }
 
     /**
-     * Returns summaries of the rows in buckets that differ. If they are too many for one message, only some of the
-     * buckets are returned, and later exchanges settle the rest.
+     * Returns summaries of the rows in buckets that differ. If they exceed one message, only some of the buckets are
+     * returned, and later exchanges reconcile the rest.
      *
      * @param hashes The partner's hashes of its buckets.
      * @return The message, or empty if no bucket differs.
@@ -114,7 +115,7 @@
                 continue;
             }
             List<MemberRow> rows = state.table().rowsIn(1 << bucket);
-            if (buckets != 0 && summaries.size() + rows.size() > SUMMARIES_PER_MESSAGE) {
+            if (buckets != 0 && summaries.size() + rows.size() > MAXIMUM_SUMMARIES_PER_MESSAGE) {
                 break;
             }
             buckets |= 1 << bucket;
@@ -127,9 +128,9 @@
      * Answers summaries with the rows that the partner lacks and the names of the members that this node lacks.
      *
      * @param message The partner's summaries.
-     * @return The messages that settle the difference, which may be none.
+     * @return The messages that reconcile the difference, possibly none.
      */
-    List<MembershipMessage.Rows> settle(MembershipMessage.Summaries message) {
+    List<MembershipMessage.Rows> reconcile(MembershipMessage.Summaries message) {
         List<MemberRow> missing = new ArrayList<>();
         for (MemberRow row : state.table().rowsIn(message.buckets())) {
             Optional<MemberSummary> theirs = message.summaries().stream()
@@ -141,9 +142,9 @@
             }
         }
         List<NodeName> wanted = message.summaries().stream()
-                .filter(this::isNews)
+                .filter(this::isNewer)
                 .map(MemberSummary::name)
-                .limit(SUMMARIES_PER_MESSAGE)
+                .limit(MAXIMUM_SUMMARIES_PER_MESSAGE)
                 .toList();
         return messages(missing, wanted);
     }
@@ -151,20 +152,20 @@
     /**
      * Answers a request for rows.
      *
-     * @param names The members that were asked for.
-     * @return The messages, which may be none.
+     * @param names The names of the requested members.
+     * @return The messages, possibly none.
      */
-    List<MembershipMessage.Rows> wanted(List<NodeName> names) {
+    List<MembershipMessage.Rows> requestedRows(List<NodeName> names) {
         return messages(rows(new LinkedHashSet<>(names)), List.of());
     }
 
     /**
-     * Returns the partner's name if this node believes something of it that the partner may want to object to.
+     * Returns the partner's name if this node does not record it as alive, so that the partner can refute the record.
      *
      * @param partner The partner's name.
-     * @return The name, or nothing.
+     * @return The name, or an empty set.
      */
-    private Set<NodeName> beliefsOf(NodeName partner) {
+    private Set<NodeName> refutableNames(NodeName partner) {
         Set<NodeName> names = new LinkedHashSet<>();
         state.table()
                 .row(partner)
@@ -175,12 +176,12 @@
     }
 
     /**
-     * Returns whether the row behind a summary is news to this node.
+     * Returns whether the row of a summary is newer than this node's row.
      *
      * @param summary The summary.
-     * @return {@code true} if the row is news.
+     * @return {@code true} if the row is newer.
      */
-    private boolean isNews(MemberSummary summary) {
+    private boolean isNewer(MemberSummary summary) {
         return state.table()
                 .row(summary.name())
                 .map(summary::isNewerThan)
@@ -191,7 +192,7 @@
      * Finds rows.
      *
      * @param names The names of the members.
-     * @return The rows of those that are known.
+     * @return The rows of those in the table.
      */
     private List<MemberRow> rows(Set<NodeName> names) {
         return names.stream()
@@ -201,16 +202,16 @@
     }
 
     /**
-     * Spreads rows over messages of bounded size.
+     * Splits rows into messages of bounded size.
      *
      * @param rows The rows.
-     * @param wanted The names to ask for, which travel with the first message.
-     * @return The messages, which are none if there is nothing to say.
+     * @param wanted The names to request, which are sent with the first message.
+     * @return The messages, none if both lists are empty.
      */
     private static List<MembershipMessage.Rows> messages(List<MemberRow> rows, List<NodeName> wanted) {
         List<MembershipMessage.Rows> messages = new ArrayList<>();
-        for (int start = 0; start < rows.size(); start += ROWS_PER_MESSAGE) {
-            int end = Math.min(rows.size(), start + ROWS_PER_MESSAGE);
+        for (int start = 0; start < rows.size(); start += MAXIMUM_ROWS_PER_MESSAGE) {
+            int end = Math.min(rows.size(), start + MAXIMUM_ROWS_PER_MESSAGE);
             messages.add(new MembershipMessage.Rows(rows.subList(start, end), start == 0 ? wanted : List.of()));
         }
         if (rows.isEmpty() && !wanted.isEmpty()) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/ExchangeSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/ExchangeSystem.java
@@ -13,34 +13,34 @@
 import java.util.Optional;
 
 /**
- * Opens exchanges with one partner after another, answers those of others, and settles differences between tables. Each
- * exchange is also a probe of its partner, handed to the {@link ProbeSystem}.
+ * Opens exchanges with one partner after another, answers exchanges of other nodes, and reconciles differences between
+ * tables. Each exchange is also a probe of its partner, which the {@link ProbeSystem} tracks.
  */
 final class ExchangeSystem implements DecisionSystem {
 
-    /** This node introduces itself in one of so many exchanges, in case that the partner does not know it. */
-    private static final int INTRODUCTION_INTERVAL = 8;
+    /** The number of exchanges of which one includes this node's own row, in case that the partner does not have it. */
+    private static final int EXCHANGES_PER_INTRODUCTION = 8;
 
-    /** The time for which a node that started or changed introduces itself in each exchange. */
-    private static final Duration INTRODUCTION_TIME = Duration.ofSeconds(20);
+    /** The time after a start or a change during which a node introduces itself in each exchange. */
+    private static final Duration INTRODUCTION_DURATION = Duration.ofSeconds(20);
 
-    /** The number of partners that a node contacts at once when it was paused or departs. */
+    /** The number of partners that a node contacts at the same time after a pause or when it departs. */
     private static final int URGENT_PARTNERS = 3;
 
     /** The state of the membership. */
     private final MembershipState state;
 
-    /** Composes what travels. */
+    /** Composes the contents of messages. */
     private final ExchangeContent content;
 
-    /** Picks partners. */
+    /** Selects partners. */
     private final PartnerRotation rotation;
 
-    /** Watches over answers. */
+    /** Tracks pending answers. */
     private final ProbeSystem probes;
 
-    /** This node's own row when it was last looked at. */
-    private MemberRow lastSelf;
+    /** This node's own row at the previous exchange. */
+    private MemberRow lastSelfRow;
 
     /** The time until which this node introduces itself in each exchange. */
     private MonotonicTime introduceUntil = new MonotonicTime(Long.MIN_VALUE);
@@ -52,23 +52,23 @@
      * Creates a new system.
      *
      * @param state The state of the membership.
-     * @param content Composes what travels.
-     * @param rotation Picks partners.
-     * @param probes Watches over answers.
+     * @param content Composes the contents of messages.
+     * @param rotation Selects partners.
+     * @param probes Tracks pending answers.
      */
     ExchangeSystem(MembershipState state, ExchangeContent content, PartnerRotation rotation, ProbeSystem probes) {
         this.state = state;
         this.content = content;
         this.rotation = rotation;
         this.probes = probes;
-        lastSelf = state.table().selfRow();
+        lastSelfRow = state.table().selfRow();
     }
 
     /** {@inheritDoc} */
     @Override
     public void run(Tick tick) {
-        if (!tick.events(MembershipEvent.DegradedSelf.class).isEmpty()) {
-            probes.forgetAll();
+        if (!tick.events(MembershipEvent.PauseDetected.class).isEmpty()) {
+            probes.discardAll();
             rotation.sample(tick, URGENT_PARTNERS, Optional.empty()).forEach(partner -> open(tick, partner, true));
         }
         for (PeerEvent.Received event : tick.events(PeerEvent.Received.class)) {
@@ -77,7 +77,7 @@
             }
         }
         if (!tick.events(MembershipEvent.Departing.class).isEmpty()) {
-            depart(tick);
+            announceDeparture(tick);
         }
         boolean departed = state.table().selfRow().is(MemberCondition.DEAD);
         if (!departed && !tick.now().isBefore(nextExchange)) {
@@ -96,18 +96,18 @@
      */
     private void receive(Tick tick, NodeIdentity sender, MembershipMessage message) {
         if (message instanceof MembershipMessage.Exchange exchange) {
-            learn(tick, sender, exchange.digest(), exchange.rows());
+            apply(tick, sender, exchange.digest(), exchange.rows());
             answer(tick, sender, exchange);
         } else if (message instanceof MembershipMessage.ExchangeAnswer answer) {
-            learn(tick, sender, answer.digest(), answer.rows());
-            probes.answered(tick, sender, answer.sequence());
-            state.news().compared(answer.bucketHashes().isEmpty());
+            apply(tick, sender, answer.digest(), answer.rows());
+            probes.recordAnswer(tick, sender, answer.sequence());
+            state.changeQueue().recordComparison(answer.bucketHashes().isEmpty());
             content.summaries(answer.bucketHashes()).ifPresent(summaries -> send(tick, sender.name(), summaries));
         } else if (message instanceof MembershipMessage.Summaries summaries) {
-            content.settle(summaries).forEach(rows -> send(tick, sender.name(), rows));
+            content.reconcile(summaries).forEach(rows -> send(tick, sender.name(), rows));
         } else if (message instanceof MembershipMessage.Rows rows) {
-            rows.rows().forEach(row -> state.merge().apply(tick, row, "told by " + sender));
-            content.wanted(rows.wanted()).forEach(found -> send(tick, sender.name(), found));
+            rows.rows().forEach(row -> state.merge().apply(tick, row, "reported by " + sender));
+            content.requestedRows(rows.wanted()).forEach(found -> send(tick, sender.name(), found));
         } else if (message instanceof MembershipMessage.LeavingAdvice) {
             tick.raise(new MembershipEvent.LeavingAdvised());
         } else {
@@ -116,16 +116,16 @@
     }
 
     /**
-     * Learns from a message of an exchange.
+     * Applies the contents of an exchange or its answer.
      *
      * @param tick The tick.
      * @param sender The partner.
-     * @param digest What the partner says of itself.
-     * @param rows The rows that the partner told.
+     * @param digest The partner's digest of its own state.
+     * @param rows The rows that the partner sent.
      */
-    private void learn(Tick tick, NodeIdentity sender, ExchangeDigest digest, List<MemberRow> rows) {
-        rows.forEach(row -> state.merge().apply(tick, row, "told by " + sender));
-        digest.observation().ifPresent(observation -> state.platform().learn(tick.now(), observation));
+    private void apply(Tick tick, NodeIdentity sender, ExchangeDigest digest, List<MemberRow> rows) {
+        rows.forEach(row -> state.merge().apply(tick, row, "reported by " + sender));
+        digest.observation().ifPresent(observation -> state.platform().apply(tick.now(), observation));
         Optional<Duration> platformAge = digest.platformLastHeardAgo().isPresent()
                 ? Optional.of(Duration.ofMillis(digest.platformLastHeardAgo().getAsLong()))
                 : Optional.empty();
@@ -144,7 +144,7 @@
     private void answer(Tick tick, NodeIdentity sender, MembershipMessage.Exchange exchange) {
         ExchangeDigest digest = content.digest(tick.now());
         boolean equal = digest.tableHash() == exchange.digest().tableHash();
-        state.news().compared(equal);
+        state.changeQueue().recordComparison(equal);
         List<Long> bucketHashes = equal ? List.of() : state.table().bucketHashes();
         send(
                 tick,
@@ -158,53 +158,54 @@
      *
      * @param tick The tick.
      * @param partner The partner.
-     * @param introduce {@code true} if this node introduces itself in any case.
+     * @param introduce {@code true} if this node always introduces itself.
      */
     private void open(Tick tick, MemberRow partner, boolean introduce) {
         state.counters().exchange();
         long sequence = probes.begin(tick.now(), partner.name());
-        boolean stranger = !partner.is(MemberCondition.ALIVE)
-                || sequence % INTRODUCTION_INTERVAL == 0
+        boolean introductionDue = !partner.is(MemberCondition.ALIVE)
+                || sequence % EXCHANGES_PER_INTRODUCTION == 0
                 || tick.now().isBefore(introduceUntil);
-        List<MemberRow> rows = content.rowsFor(partner.name(), introduce || stranger);
+        List<MemberRow> rows = content.rowsFor(partner.name(), introduce || introductionDue);
         send(tick, partner.name(), new MembershipMessage.Exchange(sequence, content.digest(tick.now()), rows));
     }
 
     /**
-     * Sees to it that this node introduces itself for a while after it started or changed.
+     * Extends the introduction period if this node has just started or its row has changed.
      *
      * @param now The current time.
      */
     private void introduceIfChanged(MonotonicTime now) {
         MemberRow self = state.table().selfRow();
-        if (!lastSelf.equals(self) || state.counters().snapshot().exchanges() == 0) {
-            lastSelf = self;
-            introduceUntil = now.plus(INTRODUCTION_TIME);
+        if (!lastSelfRow.equals(self) || state.counters().snapshot().exchanges() == 0) {
+            lastSelfRow = self;
+            introduceUntil = now.plus(INTRODUCTION_DURATION);
         }
     }
 
     /**
-     * Tells some members that this node is gone.
+     * Announces to some members that this node exits.
      *
      * @param tick The tick.
      */
-    private void depart(Tick tick) {
-        MembershipMessage.Rows farewell =
+    private void announceDeparture(Tick tick) {
+        MembershipMessage.Rows departure =
                 new MembershipMessage.Rows(List.of(state.table().selfRow()), List.of());
         rotation.sample(tick, URGENT_PARTNERS, Optional.empty())
-                .forEach(partner -> send(tick, partner.name(), farewell));
+                .forEach(partner -> send(tick, partner.name(), departure));
     }
 
     /**
-     * Spreads a time by a tenth, such that nodes that started together don't act together.
+     * Adds a random jitter of up to a tenth to a duration, so that nodes that started together do not act at the same
+     * time.
      *
      * @param tick The tick.
-     * @param time The time.
-     * @return The time, between nine and eleven tenths of the given one.
+     * @param duration The duration.
+     * @return The duration, between nine and eleven tenths of the given one.
      */
-    private static Duration jittered(Tick tick, Duration time) {
-        long tenth = Math.max(1, time.toNanos() / 10);
-        return time.plusNanos(tick.random().nextLong(-tenth, tenth));
+    private static Duration jittered(Tick tick, Duration duration) {
+        long tenth = Math.max(1, duration.toNanos() / 10);
+        return duration.plusNanos(tick.random().nextLong(-tenth, tenth));
     }
 
     /**
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/Member.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/Member.java
@@ -4,16 +4,16 @@
 import io.yuccaswitch.core.identity.NodeIdentity;
 
 /**
- * A row of the table of members.
+ * A node of the site as recorded in the table of members.
  *
  * @param identity The node and its incarnation.
- * @param availabilityZone The availability zone that the node lies in.
- * @param region The region that the node lies in.
+ * @param availabilityZone The availability zone of the node.
+ * @param region The region of the node.
  * @param peerAddress The address for other nodes as {@code host:port}.
  * @param entryAddress The address for callers as {@code host:port}.
  * @param operatorAddress The address for operators as {@code host:port}.
- * @param condition What this node believes of the member.
- * @param capacity What its processors can do, in hundredths of a core, or zero if it does not tell.
+ * @param condition The recorded condition of the member.
+ * @param capacity The processor capacity of the node in hundredths of a core, or zero if it is unknown.
  */
 public record Member(
         NodeIdentity identity,
@@ -26,15 +26,15 @@
         int capacity) {
 
     /**
-     * Creates a member that does not tell what its processors can do.
+     * Creates a member of unknown processor capacity.
      *
      * @param identity The node and its incarnation.
-     * @param availabilityZone The availability zone that the node lies in.
-     * @param region The region that the node lies in.
+     * @param availabilityZone The availability zone of the node.
+     * @param region The region of the node.
      * @param peerAddress The address for other nodes as {@code host:port}.
      * @param entryAddress The address for callers as {@code host:port}.
      * @param operatorAddress The address for operators as {@code host:port}.
-     * @param condition What this node believes of the member.
+     * @param condition The recorded condition of the member.
      */
     public Member(
             NodeIdentity identity,
@@ -59,9 +59,9 @@
     }
 
     /**
-     * Returns this member with what its processors can do.
+     * Returns this member with another processor capacity.
      *
-     * @param hundredths What they can do, in hundredths of a core.
+     * @param hundredths The processor capacity in hundredths of a core.
      * @return The changed member.
      */
     public Member withCapacity(int hundredths) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MemberCondition.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MemberCondition.java
@@ -1,13 +1,13 @@
 package io.yuccaswitch.core.membership;
 
-/** What a node believes of another one. */
+/** The condition of a member as recorded at a node. */
 public enum MemberCondition {
     /** The node answers. */
     ALIVE,
-    /** The node does not answer, and may still object. */
+    /** The node does not answer, and can still refute the suspicion. */
     SUSPECTED,
-    /** The node finishes what it has and then exits. */
+    /** The node completes its current work and then exits. */
     LEAVING,
-    /** The node is gone in this incarnation. */
+    /** This incarnation of the node has ended. */
     DEAD
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MemberMerge.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MemberMerge.java
@@ -10,17 +10,17 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Takes beliefs into the table of members, wherever they come from, and raises the events that follow. */
+/** Merges rows of any origin into the table of members, and raises the resulting events. */
 final class MemberMerge {
 
-    /** The kind of the decisions that are explained here. */
+    /** The kind of the decisions that are recorded here. */
     private static final String DECISION_KIND = "membership";
 
     /** The table of members. */
     private final MemberTable table;
 
-    /** The changes to tell others. */
-    private final NewsQueue news;
+    /** The changes to disseminate. */
+    private final ChangeQueue changeQueue;
 
     /** The timers of suspected and dead members. */
     private final MemberTimers timers;
@@ -28,62 +28,62 @@
     /** The counters. */
     private final MembershipCounters counters;
 
-    /** The members that this tick made known, by who told of them, until they are explained. */
-    private final Map<String, List<Decision.Candidate>> newcomers = new LinkedHashMap<>();
+    /** The running members that were added in this tick, by the reason, until a decision is recorded for them. */
+    private final Map<String, List<Decision.Candidate>> newMembers = new LinkedHashMap<>();
 
     /**
      * Creates a new merge.
      *
      * @param table The table of members.
-     * @param news The changes to tell others.
+     * @param changeQueue The changes to disseminate.
      * @param timers The timers of suspected and dead members.
      * @param counters The counters.
      */
-    MemberMerge(MemberTable table, NewsQueue news, MemberTimers timers, MembershipCounters counters) {
+    MemberMerge(MemberTable table, ChangeQueue changeQueue, MemberTimers timers, MembershipCounters counters) {
         this.table = table;
-        this.news = news;
+        this.changeQueue = changeQueue;
         this.timers = timers;
         this.counters = counters;
     }
 
     /**
-     * Takes a belief in if it is stronger than what is believed so far.
+     * Applies a row if it supersedes the recorded one.
      *
      * @param tick The tick.
-     * @param row The belief.
-     * @param reason Where the belief comes from, for logs.
+     * @param row The received row.
+     * @param reason The origin of the row, for logs.
      */
     void apply(Tick tick, MemberRow row, String reason) {
         if (row.name().equals(table.selfRow().name())) {
-            object(tick, row);
+            refute(tick, row);
             return;
         }
-        Optional<MemberRow> known = table.row(row.name());
-        if (known.isEmpty() && row.is(MemberCondition.DEAD)) {
+        Optional<MemberRow> existing = table.row(row.name());
+        if (existing.isEmpty() && row.is(MemberCondition.DEAD)) {
             return;
         }
-        if (known.isEmpty() || row.supersedes(known.get())) {
-            take(tick, row, known, reason);
+        if (existing.isEmpty() || row.supersedes(existing.get())) {
+            replace(tick, row, existing, reason);
         }
     }
 
     /**
-     * Replaces this node's own row, and tells others.
+     * Replaces this node's own row, and queues the change for other nodes.
      *
      * @param row The row.
      */
     void replaceSelf(MemberRow row) {
         table.put(row);
-        news.add(row.name());
+        changeQueue.add(row.name());
     }
 
     /**
-     * Forgets a member.
+     * Removes a member.
      *
      * @param tick The tick.
      * @param name The member's name.
      */
-    void forget(Tick tick, NodeName name) {
+    void remove(Tick tick, NodeName name) {
         table.row(name).ifPresent(row -> {
             table.remove(name);
             timers.clear(name);
@@ -97,53 +97,54 @@
      *
      * @param tick The tick.
      * @param row The new row.
-     * @param known The row before, if any.
-     * @param reason Where the belief comes from, for logs.
+     * @param existing The previous row, if any.
+     * @param reason The origin of the row, for logs.
      */
-    private void take(Tick tick, MemberRow row, Optional<MemberRow> known, String reason) {
+    private void replace(Tick tick, MemberRow row, Optional<MemberRow> existing, String reason) {
         table.put(row);
-        news.add(row.name());
+        changeQueue.add(row.name());
         setTimers(tick, row);
         Member member = row.member();
-        if (known.map(MemberRow::member)
+        if (existing.map(MemberRow::member)
                 .map(Member::peerAddress)
                 .filter(member.peerAddress()::equals)
                 .isEmpty()) {
             tick.emit(new MembershipEffect.LearnAddress(row.name(), member.peerAddress()));
         }
-        explain(tick, member, known.isEmpty(), reason);
-        raiseEvents(tick, row, known);
+        recordDecision(tick, member, existing.isEmpty(), reason);
+        raiseEvents(tick, row, existing);
     }
 
     /**
-     * Explains a belief that was taken in. Living members that were not known before wait for one decision that names
-     * them all: a node that starts learns of the whole site at once, and a line each would cost nodes times nodes.
+     * Records a decision for an applied row. New members that are alive are collected for one decision that lists them
+     * all: a starting node receives all members of the site at once, and one log line for each would make the number of
+     * lines grow with the square of the number of nodes.
      *
      * @param tick The tick.
      * @param member The member.
-     * @param unknown Whether it was not known before.
-     * @param reason Where the belief comes from.
+     * @param added Whether the table did not contain it before.
+     * @param reason The origin of the row.
      */
-    private void explain(Tick tick, Member member, boolean unknown, String reason) {
+    private void recordDecision(Tick tick, Member member, boolean added, String reason) {
         String subject = member.identity().toString();
-        if (unknown && member.condition() == MemberCondition.ALIVE) {
-            newcomers.computeIfAbsent(reason, _reason -> new ArrayList<>()).add(new Decision.Candidate(subject, 0));
+        if (added && member.condition() == MemberCondition.ALIVE) {
+            newMembers.computeIfAbsent(reason, _reason -> new ArrayList<>()).add(new Decision.Candidate(subject, 0));
             return;
         }
         tick.decide(Decision.of(DECISION_KIND, subject, member.condition().name(), reason));
     }
 
     /**
-     * Explains the members that became known in this tick.
+     * Records one decision per reason for the members that were added in this tick.
      *
      * @param tick The tick.
      */
-    void explainNewcomers(Tick tick) {
-        newcomers.forEach((reason, members) -> {
+    void reportNewMembers(Tick tick) {
+        newMembers.forEach((reason, members) -> {
             String subject = members.size() == 1 ? members.get(0).name() : members.size() + " members";
             tick.decide(new Decision(DECISION_KIND, subject, MemberCondition.ALIVE.name(), reason, members));
         });
-        newcomers.clear();
+        newMembers.clear();
     }
 
     /**
@@ -154,27 +155,28 @@
      */
     private void setTimers(Tick tick, MemberRow row) {
         if (row.is(MemberCondition.DEAD)) {
-            timers.bury(row.name(), tick.now());
+            timers.startDeathTimer(row.name(), tick.now());
         } else if (row.is(MemberCondition.SUSPECTED)) {
-            timers.suspect(row.name(), tick.now());
+            timers.startSuspicionTimer(row.name(), tick.now());
         } else {
             timers.clear(row.name());
         }
     }
 
     /**
-     * Raises the events that follow from a new row.
+     * Raises the events that result from a new row.
      *
      * @param tick The tick.
      * @param row The new row.
-     * @param known The row before, if any.
+     * @param existing The previous row, if any.
      */
-    private void raiseEvents(Tick tick, MemberRow row, Optional<MemberRow> known) {
+    private void raiseEvents(Tick tick, MemberRow row, Optional<MemberRow> existing) {
         Member member = row.member();
-        boolean sameLife = known.map(before -> before.member().identity().equals(member.identity()))
+        boolean sameIncarnation = existing.map(
+                        before -> before.member().identity().equals(member.identity()))
                 .orElse(false);
-        if (sameLife) {
-            MemberCondition before = known.get().member().condition();
+        if (sameIncarnation) {
+            MemberCondition before = existing.get().member().condition();
             if (before != member.condition()) {
                 tick.raise(new MembershipEvent.ConditionChanged(member, before));
             }
@@ -183,7 +185,7 @@
             }
             return;
         }
-        known.filter(before -> !before.is(MemberCondition.DEAD))
+        existing.filter(before -> !before.is(MemberCondition.DEAD))
                 .ifPresent(before -> tick.raise(new MembershipEvent.ConditionChanged(
                         before.member().withCondition(MemberCondition.DEAD),
                         before.member().condition())));
@@ -193,13 +195,13 @@
     }
 
     /**
-     * Objects to what others believe of this node, if it is stronger than what this node says of itself. A belief about
-     * a former life is none of its business, unless that life had a higher incarnation.
+     * Refutes a row of this node that supersedes its own one. A row of a lower incarnation is ignored. After a row of a
+     * higher one, this node adopts the next incarnation.
      *
      * @param tick The tick.
-     * @param row What others believe of this node.
+     * @param row The received row of this node.
      */
-    private void object(Tick tick, MemberRow row) {
+    private void refute(Tick tick, MemberRow row) {
         MemberRow self = table.selfRow();
         if (!row.supersedes(self) || self.is(MemberCondition.DEAD)) {
             return;
@@ -212,14 +214,15 @@
                     DECISION_KIND,
                     own.toString(),
                     "object",
-                    "taken for " + row.member().condition()));
+                    "reported as " + row.member().condition()));
             return;
         }
-        NodeIdentity raised =
+        NodeIdentity newIdentity =
                 new NodeIdentity(own.name(), row.member().identity().incarnation() + 1);
-        replaceSelf(self.withIdentity(raised));
-        tick.emit(new MembershipEffect.Identify(raised));
-        tick.raise(new MembershipEvent.IdentityRaised(own, raised));
-        tick.decide(Decision.of(DECISION_KIND, raised.toString(), "raise", "another life had a higher incarnation"));
+        replaceSelf(self.withIdentity(newIdentity));
+        tick.emit(new MembershipEffect.Identify(newIdentity));
+        tick.raise(new MembershipEvent.IdentityRaised(own, newIdentity));
+        tick.decide(Decision.of(
+                DECISION_KIND, newIdentity.toString(), "raise", "a higher incarnation was recorded for this node"));
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MemberObject.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MemberObject.java
@@ -10,8 +10,8 @@
 import java.util.Optional;
 
 /**
- * The object that each node writes to the platform once when it starts, such that later starters find it: lines of keys
- * and values. Nothing about whether the node lives is ever read from it.
+ * The object that each node writes to the platform once when it starts, so that nodes that start later can find it. It
+ * consists of lines of keys and values. It is never used to determine whether the node is running.
  */
 final class MemberObject {
 
@@ -36,7 +36,7 @@
     /** The key of the address for operators. */
     private static final String OPERATOR_ADDRESS = "operatorAddress";
 
-    /** The key of what the processors can do. */
+    /** The key of the processor capacity. */
     private static final String CAPACITY = "capacity";
 
     /** This class has no instances. */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MemberObjectSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MemberObjectSystem.java
@@ -14,40 +14,40 @@
 import java.util.OptionalLong;
 
 /**
- * Writes this node's own object to the platform once for each incarnation, and deletes it when the node departs.
- * Reading it first tells whether a former life had a higher incarnation, which happens when the clock was set back.
+ * Writes this node's own object to the platform once for each incarnation, and deletes it when the node departs. The
+ * object is read first, since a previous start may have used a higher incarnation if the clock was set back.
  */
 final class MemberObjectSystem implements DecisionSystem {
 
-    /** The first bound of the delay after a failed call. */
-    private static final Duration FIRST_DELAY = Duration.ofSeconds(1);
+    /** The initial upper bound of the delay after a failed call. */
+    private static final Duration INITIAL_RETRY_DELAY = Duration.ofSeconds(1);
 
-    /** The largest bound of the delay after a failed call. */
-    private static final Duration LONGEST_DELAY = Duration.ofSeconds(30);
+    /** The maximum upper bound of the delay after a failed call. */
+    private static final Duration MAXIMUM_RETRY_DELAY = Duration.ofSeconds(30);
 
     /** The state of the membership. */
     private final MembershipState state;
 
-    /** Hands out the tokens of calls. */
+    /** Allocates the tokens of calls. */
     private final PlatformTokens tokens;
 
-    /** When to call again. */
-    private final CallBackOff backOff = new CallBackOff(FIRST_DELAY, LONGEST_DELAY);
+    /** The backoff of calls. */
+    private final CallBackOff backoff = new CallBackOff(INITIAL_RETRY_DELAY, MAXIMUM_RETRY_DELAY);
 
-    /** The token of the call under way, or empty if there is none. */
-    private OptionalLong call = OptionalLong.empty();
+    /** The token of the pending call, or empty if there is none. */
+    private OptionalLong pendingCall = OptionalLong.empty();
 
     /** Whether the object needs no further call. */
-    private boolean settled;
+    private boolean completed;
 
-    /** The version of the object that this node wrote, or empty if it has not yet. */
+    /** The version of the object that this node wrote, or empty if it has not written it yet. */
     private OptionalLong version = OptionalLong.empty();
 
     /**
      * Creates a new system.
      *
      * @param state The state of the membership.
-     * @param tokens Hands out the tokens of calls.
+     * @param tokens Allocates the tokens of calls.
      */
     MemberObjectSystem(MembershipState state, PlatformTokens tokens) {
         this.state = state;
@@ -58,18 +58,18 @@
     @Override
     public void run(Tick tick) {
         for (PlatformEvent event : tick.events(PlatformEvent.class)) {
-            if (call.isPresent() && call.getAsLong() == event.token()) {
-                call = OptionalLong.empty();
+            if (pendingCall.isPresent() && pendingCall.getAsLong() == event.token()) {
+                pendingCall = OptionalLong.empty();
                 receive(tick, event);
             }
         }
         if (!tick.events(MembershipEvent.IdentityRaised.class).isEmpty()) {
-            settled = false;
+            completed = false;
         }
         if (!tick.events(MembershipEvent.Departing.class).isEmpty()) {
             delete(tick);
         }
-        if (!settled && call.isEmpty() && backOff.allows(tick.now())) {
+        if (!completed && pendingCall.isEmpty() && backoff.allows(tick.now())) {
             tick.emit(new PlatformEffect.Read(
                     newCall(),
                     PlatformPurpose.MEMBERSHIP,
@@ -78,7 +78,7 @@
     }
 
     /**
-     * Handles the answer to the call under way.
+     * Handles the answer to the pending call.
      *
      * @param tick The tick.
      * @param event The answer.
@@ -89,31 +89,31 @@
         } else if (event instanceof PlatformEvent.Conflict conflict) {
             compare(tick, conflict.current());
         } else if (event instanceof PlatformEvent.Accepted accepted) {
-            settle(accepted.version());
+            recordUpToDate(accepted.version());
         } else {
-            backOff.failed(tick);
+            backoff.failed(tick);
         }
     }
 
     /**
-     * Compares the object with what it should be, and writes it if it is not.
+     * Compares the stored object with this node's current row, and writes it if they differ.
      *
      * @param tick The tick.
-     * @param object The object, or empty if it does not exist.
+     * @param object The stored object, or empty if it does not exist.
      */
     private void compare(Tick tick, Optional<StoredObject> object) {
         if (state.table().selfRow().is(MemberCondition.DEAD)) {
-            settled = true;
+            completed = true;
             return;
         }
         Bytes own = MemberObject.encode(state.table().self());
         if (object.filter(stored -> stored.value().equals(own)).isPresent()) {
-            settle(object.get().version());
+            recordUpToDate(object.get().version());
             return;
         }
         object.flatMap(stored -> MemberObject.decode(stored.key().name(), stored.value()))
-                .ifPresent(former ->
-                        state.merge().apply(tick, new MemberRow(former, Long.MAX_VALUE - 1), "the platform's object"));
+                .ifPresent(previous ->
+                        state.merge().apply(tick, new MemberRow(previous, Long.MAX_VALUE - 1), "platform object"));
         OptionalLong expected =
                 object.map(stored -> OptionalLong.of(stored.version())).orElseGet(OptionalLong::empty);
         tick.emit(new PlatformEffect.Write(
@@ -125,12 +125,12 @@
     }
 
     /**
-     * Takes note that the object is as it should be.
+     * Records that the stored object is up to date.
      *
      * @param current The object's version.
      */
-    private void settle(long current) {
-        settled = true;
+    private void recordUpToDate(long current) {
+        completed = true;
         version = OptionalLong.of(current);
     }
 
@@ -140,7 +140,7 @@
      * @param tick The tick.
      */
     private void delete(Tick tick) {
-        settled = true;
+        completed = true;
         if (version.isPresent()) {
             tick.emit(new PlatformEffect.Delete(
                     newCall(),
@@ -151,12 +151,12 @@
     }
 
     /**
-     * Begins a call.
+     * Allocates the token of a new call.
      *
      * @return The call's token.
      */
     private long newCall() {
-        call = OptionalLong.of(tokens.next());
-        return call.getAsLong();
+        pendingCall = OptionalLong.of(tokens.next());
+        return pendingCall.getAsLong();
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MemberRanking.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MemberRanking.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * The ranking of the working members for one key, kept until the members change. A role that is asked for in each tick
- * thus costs nothing that grows with the nodes of the site while nobody comes or goes.
+ * The ranking of the working members for one key, cached until the members change. A role that is queried in each tick
+ * therefore needs no work proportional to the number of nodes while the membership is unchanged.
  */
 public final class MemberRanking {
 
@@ -15,10 +15,10 @@
     /** The members. */
     private final MembershipView membership;
 
-    /** The working members that are ranked, which are another collection after each change. */
+    /** The working members that the cached ranking is based on. The view returns a new collection after each change. */
     private Collection<Member> ranked = List.of();
 
-    /** The ranking. */
+    /** The cached ranking. */
     private List<Member> ranking = List.of();
 
     /**
@@ -47,10 +47,10 @@
     }
 
     /**
-     * Returns whether this node is among the first.
+     * Returns whether this node is among the highest ranked members.
      *
-     * @param count How many.
-     * @return {@code true} if it is.
+     * @param count The number of highest ranked members.
+     * @return {@code true} if this node is one of them.
      */
     public boolean isSelfAmong(int count) {
         Member self = membership.self();
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MemberRow.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MemberRow.java
@@ -7,16 +7,16 @@
 import java.util.Comparator;
 
 /**
- * What is believed of a member, with the revision that orders beliefs of the same incarnation. A member raises its
- * revision to object to what others believe of it; its incarnation stays the same for the life of its process, since
- * request ids bear it.
+ * The recorded state of a member, with the revision that orders rows of the same incarnation. A member increments its
+ * revision to refute what other nodes have recorded about it. Its incarnation stays the same while its process runs,
+ * since request ids contain it.
  *
  * @param member The member.
- * @param revision The revision, which only the member itself raises.
+ * @param revision The revision, which only the member itself increments.
  */
 public record MemberRow(Member member, long revision) {
 
-    /** Orders beliefs from the weakest to the strongest: conditions are declared in the order of their strength. */
+    /** Orders rows from the weakest to the strongest. Conditions are declared in the order of their strength. */
     private static final Comparator<MemberRow> STRENGTH = Comparator.comparingLong(
                     (MemberRow row) -> row.member().identity().incarnation())
             .thenComparingLong(MemberRow::revision)
@@ -42,11 +42,11 @@
     }
 
     /**
-     * Returns whether this belief replaces another one of the member with the same name: a higher incarnation beats
-     * all, then a higher revision, and then the stronger condition.
+     * Returns whether this row replaces another one of the member with the same name. A higher incarnation takes
+     * precedence, then a higher revision, and then the stronger condition.
      *
-     * @param other The other belief.
-     * @return {@code true} if this belief is the stronger one.
+     * @param other The other row.
+     * @return {@code true} if this row is the stronger one.
      */
     public boolean supersedes(MemberRow other) {
         return STRENGTH.compare(this, other) > 0;
@@ -73,9 +73,9 @@
     }
 
     /**
-     * Returns this row for another life of the member.
+     * Returns this row for another incarnation of the member.
      *
-     * @param identity The identity of that life.
+     * @param identity The identity with that incarnation.
      * @return The changed row.
      */
     MemberRow withIdentity(NodeIdentity identity) {
@@ -93,7 +93,7 @@
     }
 
     /**
-     * Returns what must be known to tell which of two rows is the stronger one.
+     * Returns the fields that determine which of two rows is the stronger one.
      *
      * @return The summary.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MemberSummary.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MemberSummary.java
@@ -3,11 +3,11 @@
 import io.yuccaswitch.core.identity.NodeName;
 
 /**
- * What must be known of a member to tell whether the full row is news.
+ * The fields of a row that determine whether the row is newer than another one of the same member.
  *
  * @param name The member's name.
  * @param incarnation The member's incarnation.
- * @param revision The revision of the belief.
+ * @param revision The revision of the row.
  * @param condition The member's condition.
  */
 public record MemberSummary(NodeName name, long incarnation, long revision, MemberCondition condition) {
@@ -16,7 +16,7 @@
      * Returns whether this summary is weaker than a row of the same member.
      *
      * @param row The row.
-     * @return {@code true} if the row is news to whoever sent this summary.
+     * @return {@code true} if the sender of this summary lacks the row.
      */
     boolean isOlderThan(MemberRow row) {
         return compareTo(row.summary()) < 0;
@@ -26,14 +26,14 @@
      * Returns whether this summary is stronger than a row of the same member.
      *
      * @param row The row.
-     * @return {@code true} if the row behind this summary is news.
+     * @return {@code true} if the row of this summary is newer.
      */
     boolean isNewerThan(MemberRow row) {
         return compareTo(row.summary()) > 0;
     }
 
     /**
-     * Compares the strength of two beliefs of the same member.
+     * Compares the strength of two rows of the same member.
      *
      * @param other The other summary.
      * @return A negative number, zero or a positive number, as this summary is weaker, equal or stronger.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MemberTable.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MemberTable.java
@@ -11,14 +11,14 @@
 import java.util.Optional;
 
 /**
- * The table of members. It keeps a hash for each of a few buckets of rows, such that two nodes find out where their
- * tables differ without sending them. Dead members are left out of the hashes, since nodes forget them at different
+ * The table of members. It maintains a hash for each bucket of rows, so that two nodes can find the differences between
+ * their tables without sending these. Dead members are excluded from the hashes, since nodes remove them at different
  * times.
  */
 final class MemberTable implements MembershipView {
 
     /** The number of buckets, a power of two. */
-    static final int BUCKETS = 16;
+    static final int BUCKET_COUNT = 16;
 
     /** The multiplier that makes the hash of the table depend on the order of its buckets. */
     private static final long HASH_MULTIPLIER = 0x9E37_79B9_7F4A_7C15L;
@@ -27,7 +27,7 @@
     private final EntityTable<NodeName, MemberRow> rows = new EntityTable<>();
 
     /** The hashes of the buckets. */
-    private final long[] bucketHashes = new long[BUCKETS];
+    private final long[] bucketHashes = new long[BUCKET_COUNT];
 
     /** This node's name. */
     private final NodeName selfName;
@@ -36,10 +36,10 @@
     private Optional<List<Member>> working = Optional.empty();
 
     /** The rows of all other members that are not dead, or empty if the table changed since they were collected. */
-    private Optional<List<MemberRow>> othersLiving = Optional.empty();
+    private Optional<List<MemberRow>> othersNotDead = Optional.empty();
 
     /**
-     * Creates a table that holds this node alone.
+     * Creates a table that contains only this node.
      *
      * @param self This node's own row.
      */
@@ -93,10 +93,10 @@
     }
 
     /**
-     * Returns whether a member is known.
+     * Returns whether the table contains a member.
      *
      * @param name The member's name.
-     * @return {@code true} if the member is known, in whatever condition.
+     * @return {@code true} if the table contains the member, regardless of its condition.
      */
     boolean contains(NodeName name) {
         return rows.contains(name);
@@ -116,13 +116,13 @@
      *
      * @return The rows, which stay as they are when the table changes.
      */
-    List<MemberRow> othersLiving() {
-        if (othersLiving.isEmpty()) {
-            othersLiving = Optional.of(rows.view().stream()
+    List<MemberRow> othersNotDead() {
+        if (othersNotDead.isEmpty()) {
+            othersNotDead = Optional.of(rows.view().stream()
                     .filter(row -> !row.name().equals(selfName) && !row.is(MemberCondition.DEAD))
                     .toList());
         }
-        return othersLiving.get();
+        return othersNotDead.get();
     }
 
     /**
@@ -140,11 +140,11 @@
      * @param row The row.
      */
     void put(MemberRow row) {
-        rows.find(row.name()).ifPresent(this::toggle);
+        rows.find(row.name()).ifPresent(this::toggleInHash);
         rows.put(row.name(), row);
-        toggle(row);
+        toggleInHash(row);
         working = Optional.empty();
-        othersLiving = Optional.empty();
+        othersNotDead = Optional.empty();
     }
 
     /**
@@ -153,15 +153,15 @@
      * @param name The member's name.
      */
     void remove(NodeName name) {
-        rows.remove(name).ifPresent(this::toggle);
+        rows.remove(name).ifPresent(this::toggleInHash);
         working = Optional.empty();
-        othersLiving = Optional.empty();
+        othersNotDead = Optional.empty();
     }
 
     /**
-     * Returns the hash of the whole table.
+     * Returns the hash of the table.
      *
-     * @return The hash of the whole table.
+     * @return The hash of the table.
      */
     long hash() {
         long hash = 0;
@@ -177,7 +177,7 @@
      * @return The hashes of the buckets.
      */
     List<Long> bucketHashes() {
-        List<Long> hashes = new ArrayList<>(BUCKETS);
+        List<Long> hashes = new ArrayList<>(BUCKET_COUNT);
         for (long bucketHash : bucketHashes) {
             hashes.add(bucketHash);
         }
@@ -206,15 +206,15 @@
         return Hashing.farmHashFingerprint64()
                         .hashString(name.value(), StandardCharsets.UTF_8)
                         .asInt()
-                & (BUCKETS - 1);
+                & (BUCKET_COUNT - 1);
     }
 
     /**
-     * Adds a row to the hash of its bucket, or takes it out again.
+     * Adds a row to the hash of its bucket, or removes it if it was added before. Dead members are ignored.
      *
      * @param row The row.
      */
-    private void toggle(MemberRow row) {
+    private void toggleInHash(MemberRow row) {
         if (!row.is(MemberCondition.DEAD)) {
             bucketHashes[bucket(row.name())] ^= row.fingerprint();
         }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MemberTimers.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MemberTimers.java
@@ -7,22 +7,22 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Since when members are suspected or dead, as this node counts it. */
+/** Tracks since when members have been suspected or dead, on this node's clock. */
 final class MemberTimers {
 
     /** The suspected members. */
     private final EntityTable<NodeName, Timer> suspected = new EntityTable<>();
 
-    /** The dead members, in the order in which they died. */
+    /** The dead members, in the order in which they were recorded as dead. */
     private final EntityTable<NodeName, Timer> dead = new EntityTable<>();
 
     /**
-     * Starts the timer of a suspected member, unless it runs already.
+     * Starts the timer of a suspected member, unless it is already running.
      *
      * @param name The member's name.
      * @param now The current time.
      */
-    void suspect(NodeName name, MonotonicTime now) {
+    void startSuspicionTimer(NodeName name, MonotonicTime now) {
         if (!suspected.contains(name)) {
             suspected.put(name, new Timer(name, now));
         }
@@ -44,7 +44,7 @@
      * @param name The member's name.
      * @param now The current time.
      */
-    void bury(NodeName name, MonotonicTime now) {
+    void startDeathTimer(NodeName name, MonotonicTime now) {
         clear(name);
         dead.put(name, new Timer(name, now));
     }
@@ -60,7 +60,7 @@
     }
 
     /**
-     * Starts the timers of all suspected members anew.
+     * Restarts the timers of all suspected members.
      *
      * @param now The current time.
      */
@@ -69,25 +69,25 @@
     }
 
     /**
-     * Returns the members that have been suspected for long enough.
+     * Returns the members whose suspicion has timed out.
      *
      * @param now The current time.
-     * @param time The time for which a member is suspected.
+     * @param time The time-out of a suspicion.
      * @return The members' names.
      */
     List<NodeName> expiredSuspicions(MonotonicTime now, Duration time) {
         return suspected.view().stream()
-                .filter(timer -> timer.hasRun(now, time))
+                .filter(timer -> timer.hasExpired(now, time))
                 .map(Timer::name)
                 .toList();
     }
 
     /**
-     * Returns the dead members that need not be remembered any longer.
+     * Returns the dead members whose retention has ended, because of their age or their number.
      *
      * @param now The current time.
-     * @param time The time for which a dead member is remembered.
-     * @param limit The largest number of dead members that are remembered.
+     * @param time The time for which a dead member is retained.
+     * @param limit The maximum number of dead members that are retained.
      * @return The members' names.
      */
     List<NodeName> expiredDeaths(MonotonicTime now, Duration time, int limit) {
@@ -95,7 +95,7 @@
                 dead.view().stream().sorted(Comparator.comparing(Timer::since)).toList();
         int excess = Math.max(0, oldestFirst.size() - limit);
         return oldestFirst.stream()
-                .filter(timer -> timer.hasRun(now, time) || oldestFirst.indexOf(timer) < excess)
+                .filter(timer -> timer.hasExpired(now, time) || oldestFirst.indexOf(timer) < excess)
                 .map(Timer::name)
                 .toList();
     }
@@ -109,13 +109,13 @@
     private record Timer(NodeName name, MonotonicTime since) {
 
         /**
-         * Returns whether the timer has run for some time.
+         * Returns whether a duration has passed since the timer was started.
          *
          * @param now The current time.
-         * @param time The time.
-         * @return {@code true} if the timer has run for at least this time.
+         * @param time The duration.
+         * @return {@code true} if at least this duration has passed.
          */
-        boolean hasRun(MonotonicTime now, Duration time) {
+        boolean hasExpired(MonotonicTime now, Duration time) {
             return now.since(since).compareTo(time) >= 0;
         }
     }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MembershipCounters.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MembershipCounters.java
@@ -1,27 +1,27 @@
 package io.yuccaswitch.core.membership;
 
-/** Counts what happens in the membership. */
+/** Counts events of the membership protocol. */
 final class MembershipCounters {
 
     /** The exchanges that this node opened. */
     private long exchanges;
 
-    /** The answers that it received. */
+    /** The answers that this node received. */
     private long answers;
 
-    /** The suspicions that it raised itself. */
+    /** The suspicions that this node raised. */
     private long suspicions;
 
-    /** The suspected members that turned out to be alive. */
+    /** The suspicions that were refuted. */
     private long refutedSuspicions;
 
-    /** The members taken for dead that turned out to be alive. */
+    /** The members that were declared dead and turned out to be alive. */
     private long refutedDeaths;
 
-    /** The times that this node objected. */
+    /** The times that this node refuted a row that superseded its own. */
     private long ownRefutations;
 
-    /** The times that this node was paused. */
+    /** The detected pauses of this node. */
     private long pauses;
 
     /** Counts an exchange that this node opened. */
@@ -42,30 +42,30 @@
     /**
      * Counts that a member turned out to be alive.
      *
-     * @param believed What had been believed of it.
+     * @param previous The condition that was recorded before.
      */
-    void refuted(MemberCondition believed) {
-        if (believed == MemberCondition.SUSPECTED) {
+    void refuted(MemberCondition previous) {
+        if (previous == MemberCondition.SUSPECTED) {
             refutedSuspicions++;
-        } else if (believed == MemberCondition.DEAD) {
+        } else if (previous == MemberCondition.DEAD) {
             refutedDeaths++;
         }
     }
 
-    /** Counts an objection of this node. */
+    /** Counts a refutation by this node. */
     void ownRefutation() {
         ownRefutations++;
     }
 
-    /** Counts a pause of this node. */
+    /** Counts a detected pause of this node. */
     void pause() {
         pauses++;
     }
 
     /**
-     * Returns what was counted.
+     * Returns the current counts.
      *
-     * @return What was counted.
+     * @return The current counts.
      */
     MembershipStatistics snapshot() {
         return new MembershipStatistics(
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MembershipEffect.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MembershipEffect.java
@@ -4,11 +4,11 @@
 import io.yuccaswitch.core.identity.NodeIdentity;
 import io.yuccaswitch.core.identity.NodeName;
 
-/** Something that the membership wants of the shell. */
+/** An instruction of the membership to the shell. */
 public sealed interface MembershipEffect extends Effect {
 
     /**
-     * Remembers where a node listens for others.
+     * Registers the peer address of a node.
      *
      * @param node The node.
      * @param peerAddress The address as {@code host:port}.
@@ -16,14 +16,14 @@
     record LearnAddress(NodeName node, String peerAddress) implements MembershipEffect {}
 
     /**
-     * Forgets where a node listens.
+     * Removes the peer address of a node.
      *
      * @param node The node.
      */
     record ForgetAddress(NodeName node) implements MembershipEffect {}
 
     /**
-     * Greets with another identity from now on.
+     * Changes the identity that this node presents to others.
      *
      * @param identity The identity of this node.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MembershipOptions.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MembershipOptions.java
@@ -3,30 +3,31 @@
 import java.time.Duration;
 
 /**
- * The times and bounds of the membership that need no tuning by operators.
+ * The timing and limits of the membership protocol that operators do not need to tune.
  *
- * @param probeTimeout The time after which a partner that did not answer is probed through others.
- * @param indirectTimeout The time after which a partner that did not answer, directly or through others, is suspected.
- * @param indirectProbes The number of nodes that are asked to probe a partner.
- * @param pauseThreshold The gap between two ticks from which this node takes itself for paused.
- * @param doubtTime The longest time for which a node that was paused waits for an answer before it goes on as usual.
- * @param contactInterval The interval at which a node that knows nobody contacts seeds.
+ * @param probeTimeout The time without an answer after which a partner is probed through other nodes.
+ * @param indirectTimeout The time without a direct or indirect answer after which a partner is suspected.
+ * @param indirectProbes The number of nodes that are requested to probe a partner.
+ * @param pauseThreshold The minimum gap between two ticks that is treated as a pause of this node.
+ * @param recoveryTimeout The maximum time that a node waits for an answer after a pause before it resumes normal
+ *     operation.
+ * @param contactInterval The interval at which a node whose table contains no other running node contacts seeds.
  * @param reconnectInterval The interval at which a dead member or an unclaimed seed is contacted.
- * @param aloneTime The time after which a node that nobody answers takes itself for alone.
- * @param tombstoneTime The time for which a dead member is remembered.
- * @param tombstones The largest number of dead members that are remembered.
+ * @param joinTimeout The time without an answer after which a starting node considers itself alone.
+ * @param tombstoneRetention The time for which a dead member is retained.
+ * @param maximumTombstones The maximum number of dead members that are retained.
  */
 public record MembershipOptions(
         Duration probeTimeout,
         Duration indirectTimeout,
         int indirectProbes,
         Duration pauseThreshold,
-        Duration doubtTime,
+        Duration recoveryTimeout,
         Duration contactInterval,
         Duration reconnectInterval,
-        Duration aloneTime,
-        Duration tombstoneTime,
-        int tombstones) {
+        Duration joinTimeout,
+        Duration tombstoneRetention,
+        int maximumTombstones) {
 
     /** The options that a node uses. */
     public static final MembershipOptions DEFAULT = new MembershipOptions(
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MembershipState.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MembershipState.java
@@ -6,40 +6,40 @@
 import io.yuccaswitch.core.identity.NodeName;
 
 /**
- * What the systems of the membership share.
+ * The state that the systems of the membership share.
  *
- * @param options The times and bounds that need no tuning.
+ * @param options The timing and limits of the protocol.
  * @param configuration The configuration of this node.
  * @param table The table of members.
- * @param news The changes to tell others.
+ * @param changeQueue The changes to disseminate.
  * @param timers The timers of suspected and dead members.
- * @param merge Takes beliefs into the table.
- * @param health How far this node trusts its own view.
- * @param platform When the platform last answered any node.
- * @param reports What other nodes last said of themselves.
+ * @param merge Merges rows into the table.
+ * @param health The health of this node.
+ * @param platform Tracks when the platform last answered any node.
+ * @param reports The latest reports of other nodes about themselves.
  * @param counters The counters.
- * @param initialSettings The settings until a configuration is in force.
+ * @param initialSettings The settings until a configuration is active.
  */
 record MembershipState(
         MembershipOptions options,
         ConfigurationView configuration,
         MemberTable table,
-        NewsQueue news,
+        ChangeQueue changeQueue,
         MemberTimers timers,
         MemberMerge merge,
         SelfHealth health,
-        PlatformSilence platform,
+        PlatformContactTracker platform,
         EntityTable<NodeName, PeerReport> reports,
         MembershipCounters counters,
         MembershipSettings initialSettings) {
 
     /**
-     * Creates the state of a node that knows only itself.
+     * Creates the state of a node whose table contains only itself.
      *
      * @param self This node.
      * @param configuration The configuration of this node.
-     * @param options The times and bounds that need no tuning.
-     * @param initialSettings The settings until a configuration is in force.
+     * @param options The timing and limits of the protocol.
+     * @param initialSettings The settings until a configuration is active.
      * @return The state.
      */
     static MembershipState of(
@@ -48,28 +48,28 @@
             MembershipOptions options,
             MembershipSettings initialSettings) {
         MemberTable table = new MemberTable(new MemberRow(self, 0));
-        NewsQueue news = new NewsQueue();
+        ChangeQueue changeQueue = new ChangeQueue();
         MemberTimers timers = new MemberTimers();
         MembershipCounters counters = new MembershipCounters();
-        SelfHealth health = new SelfHealth(options.doubtTime());
+        SelfHealth health = new SelfHealth(options.recoveryTimeout());
         return new MembershipState(
                 options,
                 configuration,
                 table,
-                news,
+                changeQueue,
                 timers,
-                new MemberMerge(table, news, timers, counters),
+                new MemberMerge(table, changeQueue, timers, counters),
                 health,
-                new PlatformSilence(table, health),
+                new PlatformContactTracker(table, health),
                 new EntityTable<>(),
                 counters,
                 initialSettings);
     }
 
     /**
-     * Returns the settings in force.
+     * Returns the active settings.
      *
-     * @return The settings in force.
+     * @return The active settings.
      */
     MembershipSettings settings() {
         return configuration.inForce().map(fleet -> fleet.membership()).orElse(initialSettings);
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MembershipStatistics.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MembershipStatistics.java
@@ -1,15 +1,15 @@
 package io.yuccaswitch.core.membership;
 
 /**
- * What the membership counted since the process started.
+ * The counts of the membership since the process started.
  *
  * @param exchanges The exchanges that this node opened.
- * @param answers The answers that it received.
- * @param suspicions The suspicions that it raised itself.
- * @param refutedSuspicions The suspected members that turned out to be alive in the same incarnation.
- * @param refutedDeaths The members taken for dead that turned out to be alive in the same incarnation.
- * @param ownRefutations The times that this node objected to being suspected or taken for dead.
- * @param pauses The times that this node found that it had not run for a while.
+ * @param answers The answers that this node received.
+ * @param suspicions The suspicions that this node raised.
+ * @param refutedSuspicions The suspicions that were refuted in the same incarnation.
+ * @param refutedDeaths The members that were declared dead and turned out to be alive in the same incarnation.
+ * @param ownRefutations The times that this node refuted a row that superseded its own.
+ * @param pauses The detected pauses of this node.
  */
 public record MembershipStatistics(
         long exchanges,
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MembershipSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MembershipSystem.java
@@ -13,12 +13,12 @@
 import java.util.Optional;
 
 /**
- * Keeps track of the other nodes by direct exchange, without any heartbeat to the platform. It runs before all systems
- * that look at {@link MembershipView} or at events of the membership.
+ * Tracks the other nodes by direct exchanges, without any heartbeat to the platform. It runs before all systems that
+ * read {@link MembershipView} or process events of the membership.
  */
 public final class MembershipSystem implements DecisionSystem, MembershipView {
 
-    /** The settings until a configuration is in force. */
+    /** The settings until a configuration is active. */
     private static final MembershipSettings INITIAL_SETTINGS =
             new MembershipSettings(Duration.ofMillis(250), Duration.ofSeconds(3), Duration.ofSeconds(10));
 
@@ -32,13 +32,13 @@
     private final List<DecisionSystem> parts;
 
     /**
-     * Creates a system that knows only this node.
+     * Creates a system whose table contains only this node.
      *
      * @param self This node.
      * @param seeds The peer addresses of nodes to contact first.
      * @param configuration The configuration of this node.
-     * @param tokens Hands out the tokens of calls to the platform.
-     * @param options The times and bounds that need no tuning.
+     * @param tokens Allocates the tokens of calls to the platform.
+     * @param options The timing and limits of the protocol.
      */
     public MembershipSystem(
             Member self,
@@ -50,14 +50,15 @@
     }
 
     /**
-     * Creates a system that knows only this node and has its own settings until a configuration is in force.
+     * Creates a system whose table contains only this node and that uses the given settings until a configuration is
+     * active.
      *
      * @param self This node.
      * @param seeds The peer addresses of nodes to contact first.
      * @param configuration The configuration of this node.
-     * @param tokens Hands out the tokens of calls to the platform.
-     * @param options The times and bounds that need no tuning.
-     * @param initialSettings The settings until a configuration is in force.
+     * @param tokens Allocates the tokens of calls to the platform.
+     * @param options The timing and limits of the protocol.
+     * @param initialSettings The settings until a configuration is active.
      */
     public MembershipSystem(
             Member self,
@@ -87,7 +88,7 @@
     public void run(Tick tick) {
         state.platform().observe(tick);
         parts.forEach(part -> part.run(tick));
-        state.merge().explainNewcomers(tick);
+        state.merge().reportNewMembers(tick);
         tick.events(MembershipEvent.Forgotten.class)
                 .forEach(event -> state.reports().remove(event.identity().name()));
     }
@@ -120,35 +121,35 @@
     }
 
     /**
-     * Returns what another node last said of itself.
+     * Returns the latest report of another node about itself.
      *
      * @param name The node's name.
-     * @return The report, or empty if it has said nothing yet.
+     * @return The report, or empty if none was received yet.
      */
     public Optional<PeerReport> report(NodeName name) {
         return state.reports().find(name);
     }
 
     /**
-     * Returns what is known about the silence of the platform.
+     * Returns how long the platform has been unreachable for the nodes of the site.
      *
-     * @return What is known about the silence of the platform.
+     * @return The state of the platform's reachability.
      */
     public PlatformNews platformNews() {
         return state.platform();
     }
 
     /**
-     * Returns whether this node was paused and has not heard from another one since.
+     * Returns whether this node was paused and has not received an answer from another one since.
      *
-     * @return {@code true} if this node's view may be outdated.
+     * @return {@code true} if this node's view may be stale.
      */
     public boolean isDoubtful() {
         return state.health().isDoubtful();
     }
 
     /**
-     * Returns whether this node has learned the table of another one, or found that it is alone.
+     * Returns whether this node has received the table of another one, or has determined that it is alone.
      *
      * @return {@code true} if this node has joined.
      */
@@ -157,9 +158,9 @@
     }
 
     /**
-     * Returns what was counted since the process started.
+     * Returns the counts since the process started.
      *
-     * @return What was counted.
+     * @return The counts.
      */
     public MembershipStatistics statistics() {
         return state.counters().snapshot();
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MembershipView.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MembershipView.java
@@ -4,7 +4,7 @@
 import java.util.Collection;
 import java.util.Optional;
 
-/** What other systems may ask of the table of members. */
+/** A read-only view of the table of members for other systems. */
 public interface MembershipView {
 
     /**
@@ -22,10 +22,10 @@
     Collection<Member> working();
 
     /**
-     * Finds a member in its latest known incarnation, in whatever condition.
+     * Finds a member in its latest recorded incarnation, regardless of its condition.
      *
      * @param name The member's name.
-     * @return The member, or empty if it is not known.
+     * @return The member, or empty if the table does not contain it.
      */
     Optional<Member> find(NodeName name);
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/PartnerRotation.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/PartnerRotation.java
@@ -10,9 +10,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Picks the partners of exchanges: mostly nodes of the own availability zone, some of other ones in the region, and
- * some of other regions. Within each of these, all nodes have their turn before one is picked again, such that a dead
- * node is noticed in bounded time.
+ * Selects the partners of exchanges: mostly nodes of the own availability zone, some of other zones in the region, and
+ * some of other regions. Within each of these groups, each node is selected once before any is selected again, so that
+ * a dead node is detected in bounded time.
  */
 final class PartnerRotation {
 
@@ -25,8 +25,8 @@
     /** The table of members. */
     private final MemberTable table;
 
-    /** The nodes that still have their turn, by where they lie. */
-    private final Map<Distance, List<NodeName>> turns = new EnumMap<>(Distance.class);
+    /** The nodes that were not yet selected in the current round, by distance. */
+    private final Map<Distance, List<NodeName>> remainingByDistance = new EnumMap<>(Distance.class);
 
     /**
      * Creates a new rotation.
@@ -36,15 +36,15 @@
     PartnerRotation(MemberTable table) {
         this.table = table;
         for (Distance distance : Distance.values()) {
-            turns.put(distance, new ArrayList<>());
+            remainingByDistance.put(distance, new ArrayList<>());
         }
     }
 
     /**
-     * Picks the next partner.
+     * Selects the next partner.
      *
      * @param tick The tick.
-     * @return The partner, or empty if no other node is known to live.
+     * @return The partner, or empty if no other member is recorded as running.
      */
     Optional<MemberRow> next(Tick tick) {
         Distance first = draw(tick.random());
@@ -56,25 +56,25 @@
     }
 
     /**
-     * Picks some members at random.
+     * Selects some members at random.
      *
      * @param tick The tick.
-     * @param count The largest number of members.
-     * @param excluded A member that is not picked.
+     * @param count The maximum number of members.
+     * @param excluded A member that is not selected.
      * @return The members.
      */
     List<MemberRow> sample(Tick tick, int count, Optional<NodeName> excluded) {
-        List<MemberRow> candidates = new ArrayList<>(table.othersLiving());
+        List<MemberRow> candidates = new ArrayList<>(table.othersNotDead());
         candidates.removeIf(row -> excluded.equals(Optional.of(row.name())) || row.is(MemberCondition.SUSPECTED));
-        List<MemberRow> picked = new ArrayList<>();
-        while (picked.size() < count && !candidates.isEmpty()) {
-            picked.add(candidates.remove(tick.random().nextInt(candidates.size())));
+        List<MemberRow> sampled = new ArrayList<>();
+        while (sampled.size() < count && !candidates.isEmpty()) {
+            sampled.add(candidates.remove(tick.random().nextInt(candidates.size())));
         }
-        return picked;
+        return sampled;
     }
 
     /**
-     * Draws how far the next partner lies.
+     * Draws the distance of the next partner at random.
      *
      * @param random The source of randomness.
      * @return The distance.
@@ -88,47 +88,47 @@
     }
 
     /**
-     * Picks the next partner at a distance.
+     * Selects the next partner at a distance.
      *
      * @param distance The distance.
      * @param random The source of randomness.
      * @return The partner, or empty if there is none.
      */
     private Optional<MemberRow> next(Distance distance, SplittableRandom random) {
-        List<NodeName> waiting = turns.get(distance);
-        Optional<MemberRow> partner = takeLiving(waiting, random);
+        List<NodeName> remaining = remainingByDistance.get(distance);
+        Optional<MemberRow> partner = takeRandom(remaining, random);
         if (partner.isEmpty()) {
-            table.othersLiving().stream()
+            table.othersNotDead().stream()
                     .filter(row -> distance(row.member()) == distance)
                     .map(MemberRow::name)
-                    .forEach(waiting::add);
-            partner = takeLiving(waiting, random);
+                    .forEach(remaining::add);
+            partner = takeRandom(remaining, random);
         }
         return partner;
     }
 
     /**
-     * Takes a node that still has its turn, at random, and passes over those that died.
+     * Removes a random node from those not yet selected, skipping dead ones.
      *
-     * @param waiting The nodes that still have their turn.
+     * @param remaining The nodes that were not yet selected.
      * @param random The source of randomness.
      * @return The node, or empty if there is none.
      */
-    private Optional<MemberRow> takeLiving(List<NodeName> waiting, SplittableRandom random) {
-        while (!waiting.isEmpty()) {
-            int last = waiting.size() - 1;
-            NodeName name = waiting.set(random.nextInt(waiting.size()), waiting.get(last));
-            waiting.remove(last);
-            Optional<MemberRow> living = table.row(name).filter(row -> !row.is(MemberCondition.DEAD));
-            if (living.isPresent()) {
-                return living;
+    private Optional<MemberRow> takeRandom(List<NodeName> remaining, SplittableRandom random) {
+        while (!remaining.isEmpty()) {
+            int last = remaining.size() - 1;
+            NodeName name = remaining.set(random.nextInt(remaining.size()), remaining.get(last));
+            remaining.remove(last);
+            Optional<MemberRow> selected = table.row(name).filter(row -> !row.is(MemberCondition.DEAD));
+            if (selected.isPresent()) {
+                return selected;
             }
         }
         return Optional.empty();
     }
 
     /**
-     * Computes how far a member lies.
+     * Computes the distance of a member.
      *
      * @param member The member.
      * @return The distance.
@@ -141,7 +141,7 @@
         return member.region().equals(self.region()) ? Distance.OWN_REGION : Distance.OTHER_REGION;
     }
 
-    /** How far a node lies from this one. */
+    /** The distance of a node from this one. */
     private enum Distance {
         /** In the same availability zone. */
         OWN_ZONE,
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/PeerReport.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/PeerReport.java
@@ -5,11 +5,11 @@
 import java.util.Optional;
 
 /**
- * What another node last said of itself.
+ * The latest report of another node about itself.
  *
- * @param heardAt The time at which it said so.
+ * @param heardAt The time at which the report was received.
  * @param generation The highest generation of the configuration that it holds.
- * @param ready {@code true} if it may serve.
+ * @param ready {@code true} if it has confirmed that no newer generation is available to it.
  * @param platformLastHeardAgo The time since the platform last answered it, or empty if it never did.
  */
 public record PeerReport(
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/PlatformListSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/PlatformListSystem.java
@@ -20,45 +20,46 @@
 import java.util.stream.Collectors;
 
 /**
- * Takes hints from the platform, as a second source. The members' objects name addresses to contact; they are listed
- * once after the start, and again only while this node knows nobody. The list of VMs, whoever reads it, tells which
- * nodes should leave; those are told so, and decide for themselves. Neither ever changes what is believed of a member.
+ * Uses information from the platform as a secondary source. The members' objects contain addresses to contact. They are
+ * listed once after the start, and again only while the table contains no other running node. The list of VMs,
+ * whichever system requests it, shows which nodes should leave. These are notified and decide themselves. Neither
+ * source ever changes the recorded state of a member.
  */
 final class PlatformListSystem implements DecisionSystem {
 
-    /** The first bound of the delay after a failed call. */
-    private static final Duration FIRST_DELAY = Duration.ofSeconds(1);
+    /** The initial upper bound of the delay after a failed call. */
+    private static final Duration INITIAL_RETRY_DELAY = Duration.ofSeconds(1);
 
-    /** The largest bound of the delay after a failed call. */
-    private static final Duration LONGEST_DELAY = Duration.ofSeconds(30);
+    /** The maximum upper bound of the delay after a failed call. */
+    private static final Duration MAXIMUM_RETRY_DELAY = Duration.ofSeconds(30);
 
     /** The state of the membership. */
     private final MembershipState state;
 
-    /** Takes the addresses to contact. */
+    /** Receives the addresses to contact. */
     private final ContactSystem contacts;
 
-    /** Hands out the tokens of calls. */
+    /** Allocates the tokens of calls. */
     private final PlatformTokens tokens;
 
-    /** When to list again. */
-    private final CallBackOff backOff = new CallBackOff(FIRST_DELAY, LONGEST_DELAY);
+    /** The backoff of calls. */
+    private final CallBackOff backoff = new CallBackOff(INITIAL_RETRY_DELAY, MAXIMUM_RETRY_DELAY);
 
-    /** The token of the call under way, or empty if there is none. */
-    private OptionalLong call = OptionalLong.empty();
+    /** The token of the pending call, or empty if there is none. */
+    private OptionalLong pendingCall = OptionalLong.empty();
 
-    /** Whether the objects were listed since the start. */
+    /** Whether the objects have been listed since the start. */
     private boolean listed;
 
-    /** The nodes that were told that they should leave. */
-    private final Set<NodeIdentity> advised = new HashSet<>();
+    /** The nodes that were notified that their VM is listed as leaving. */
+    private final Set<NodeIdentity> notified = new HashSet<>();
 
     /**
      * Creates a new system.
      *
      * @param state The state of the membership.
-     * @param contacts Takes the addresses to contact.
-     * @param tokens Hands out the tokens of calls.
+     * @param contacts Receives the addresses to contact.
+     * @param tokens Allocates the tokens of calls.
      */
     PlatformListSystem(MembershipState state, ContactSystem contacts, PlatformTokens tokens) {
         this.state = state;
@@ -70,23 +71,24 @@
     @Override
     public void run(Tick tick) {
         for (PlatformEvent event : tick.events(PlatformEvent.class)) {
-            if (call.isPresent() && call.getAsLong() == event.token()) {
-                call = OptionalLong.empty();
+            if (pendingCall.isPresent() && pendingCall.getAsLong() == event.token()) {
+                pendingCall = OptionalLong.empty();
                 receive(tick, event);
             }
             if (event instanceof PlatformEvent.VirtualMachinesListed list) {
-                advise(tick, list.virtualMachines());
+                notifyLeaving(tick, list.virtualMachines());
             }
         }
-        boolean needed = !listed || state.table().othersLiving().isEmpty();
-        if (needed && call.isEmpty() && backOff.allows(tick.now())) {
-            call = OptionalLong.of(tokens.next());
-            tick.emit(new PlatformEffect.ListKind(call.getAsLong(), PlatformPurpose.MEMBERSHIP, MemberObject.KIND));
+        boolean needed = !listed || state.table().othersNotDead().isEmpty();
+        if (needed && pendingCall.isEmpty() && backoff.allows(tick.now())) {
+            pendingCall = OptionalLong.of(tokens.next());
+            tick.emit(new PlatformEffect.ListKind(
+                    pendingCall.getAsLong(), PlatformPurpose.MEMBERSHIP, MemberObject.KIND));
         }
     }
 
     /**
-     * Handles the answer to the call under way.
+     * Handles the answer to the pending call.
      *
      * @param tick The tick.
      * @param event The answer.
@@ -94,10 +96,10 @@
     private void receive(Tick tick, PlatformEvent event) {
         if (event instanceof PlatformEvent.ObjectsListed list) {
             listed = true;
-            backOff.succeeded(tick.now(), state.settings().platformListInterval());
+            backoff.succeeded(tick.now(), state.settings().platformListInterval());
             contacts.replacePlatformAddresses(addresses(list.objects()));
         } else {
-            backOff.failed(tick);
+            backoff.failed(tick);
         }
     }
 
@@ -117,19 +119,19 @@
     }
 
     /**
-     * Tells nodes whose VMs are listed as leaving, once each.
+     * Notifies nodes whose VMs are listed as leaving, once each.
      *
      * @param tick The tick.
      * @param virtualMachines The VMs.
      */
-    private void advise(Tick tick, List<VirtualMachine> virtualMachines) {
+    private void notifyLeaving(Tick tick, List<VirtualMachine> virtualMachines) {
         Set<String> leaving = virtualMachines.stream()
                 .filter(VirtualMachine::leaving)
                 .map(VirtualMachine::address)
                 .collect(Collectors.toSet());
-        advised.removeIf(identity -> !state.table().contains(identity.name()));
+        notified.removeIf(identity -> !state.table().contains(identity.name()));
         for (Member member : state.table().working()) {
-            if (isListed(member, leaving) && advised.add(member.identity())) {
+            if (isListed(member, leaving) && notified.add(member.identity())) {
                 tick.emit(new PeerEffect.Send(member.identity().name(), new MembershipMessage.LeavingAdvice()));
             }
         }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/Probe.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/Probe.java
@@ -5,18 +5,18 @@
 import java.util.Optional;
 
 /**
- * An exchange whose answer is awaited.
+ * A pending exchange.
  *
  * @param sequence The number of the exchange.
- * @param target The node that is to answer.
+ * @param target The node that is expected to answer.
  * @param sentAt The time at which the exchange was opened.
- * @param indirect {@code true} if other nodes were asked to probe the target.
- * @param requester The node on whose behalf the target is probed, or empty if it is for this node itself.
+ * @param indirect {@code true} if other nodes were requested to probe the target.
+ * @param requester The node on whose behalf the target is probed, or empty if this node probes for itself.
  */
 record Probe(long sequence, NodeName target, MonotonicTime sentAt, boolean indirect, Optional<Requester> requester) {
 
     /**
-     * Returns this probe after other nodes were asked.
+     * Returns this probe, marked as indirect.
      *
      * @return The changed probe.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/ProbeSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/ProbeSystem.java
@@ -12,24 +12,24 @@
 import java.util.Optional;
 
 /**
- * Watches over the answers to exchanges. A partner that does not answer is probed through others, and is suspected if
- * they can't reach it either.
+ * Tracks the answers to exchanges. A partner that does not answer is probed through other nodes, and is suspected if
+ * they do not reach it either.
  */
 final class ProbeSystem implements DecisionSystem {
 
-    /** The largest number of probes on behalf of others at a time. */
-    private static final int RELAYED_PROBES = 64;
+    /** The number of pending probes, own ones included, at which probe requests of other nodes are ignored. */
+    private static final int PENDING_PROBES_LIMIT = 64;
 
     /** The state of the membership. */
     private final MembershipState state;
 
-    /** Composes what travels. */
+    /** Composes the contents of messages. */
     private final ExchangeContent content;
 
-    /** Picks the nodes that probe on this node's behalf. */
+    /** Selects the nodes that probe on this node's behalf. */
     private final PartnerRotation rotation;
 
-    /** The probes under way, by their sequence numbers. */
+    /** The pending probes by their sequence numbers. */
     private final EntityTable<Long, Probe> probes = new EntityTable<>();
 
     /** The sequence number of the latest exchange. */
@@ -39,8 +39,8 @@
      * Creates a new system.
      *
      * @param state The state of the membership.
-     * @param content Composes what travels.
-     * @param rotation Picks the nodes that probe on this node's behalf.
+     * @param content Composes the contents of messages.
+     * @param rotation Selects the nodes that probe on this node's behalf.
      */
     ProbeSystem(MembershipState state, ExchangeContent content, PartnerRotation rotation) {
         this.state = state;
@@ -59,12 +59,12 @@
             }
         }
         for (Probe probe : probes.rows()) {
-            check(tick, probe);
+            checkTimeouts(tick, probe);
         }
     }
 
     /**
-     * Begins to wait for the answer to an exchange.
+     * Registers an exchange whose answer is awaited.
      *
      * @param now The current time.
      * @param target The partner.
@@ -74,30 +74,31 @@
         return begin(now, target, Optional.empty());
     }
 
-    /** Stops to wait for answers, since this node was paused and answers may have come and gone. */
-    void forgetAll() {
+    /** Discards all pending probes, since this node was paused and may have missed answers. */
+    void discardAll() {
         probes.removeIf(_probe -> true);
     }
 
     /**
-     * Takes note of an answer. One to an exchange from before a pause proves nothing about the time since.
+     * Records an answer. An answer to an exchange from before a pause says nothing about the time after it, and
+     * therefore does not end the recovery from the pause.
      *
      * @param tick The tick.
      * @param sender The node that answered.
      * @param sequence The number of the exchange.
      */
-    void answered(Tick tick, NodeIdentity sender, long sequence) {
+    void recordAnswer(Tick tick, NodeIdentity sender, long sequence) {
         state.counters().answer();
         Optional<Probe> awaited =
                 probes.find(sequence).filter(probe -> probe.target().equals(sender.name()));
         if (awaited.isPresent() && state.health().isDoubtful()) {
             SelfSystem.restore(tick, state.health());
         }
-        awaited.ifPresent(probe -> conclude(tick, probe));
+        awaited.ifPresent(probe -> complete(tick, probe));
     }
 
     /**
-     * Handles a message about a probe through others.
+     * Handles a message about an indirect probe.
      *
      * @param tick The tick.
      * @param sender The sender.
@@ -109,12 +110,12 @@
         } else if (message instanceof MembershipMessage.ProbeSuccess success) {
             probes.find(success.sequence())
                     .filter(probe -> probe.target().equals(success.target()))
-                    .ifPresent(probe -> conclude(tick, probe));
+                    .ifPresent(probe -> complete(tick, probe));
         }
     }
 
     /**
-     * Begins to wait for the answer to an exchange.
+     * Registers an exchange whose answer is awaited.
      *
      * @param now The current time.
      * @param target The partner.
@@ -128,19 +129,19 @@
     }
 
     /**
-     * Ends a probe that was answered.
+     * Completes a probe that was answered.
      *
      * @param tick The tick.
      * @param probe The probe.
      */
-    private void conclude(Tick tick, Probe probe) {
+    private void complete(Tick tick, Probe probe) {
         probes.remove(probe.sequence());
         if (probe.requester().isPresent()) {
             Probe.Requester requester = probe.requester().get();
             send(tick, requester.name(), new MembershipMessage.ProbeSuccess(requester.sequence(), probe.target()));
             return;
         }
-        state.health().success();
+        state.health().recordSuccess();
         state.table()
                 .row(probe.target())
                 .filter(row -> row.is(MemberCondition.LEAVING))
@@ -148,14 +149,14 @@
     }
 
     /**
-     * Probes a node on behalf of another one.
+     * Probes a node on behalf of another node.
      *
      * @param tick The tick.
-     * @param requester The node that asks.
+     * @param requester The requesting node.
      * @param request The request.
      */
     private void relay(Tick tick, NodeName requester, MembershipMessage.ProbeRequest request) {
-        if (!state.table().contains(request.target()) || probes.size() >= RELAYED_PROBES) {
+        if (!state.table().contains(request.target()) || probes.size() >= PENDING_PROBES_LIMIT) {
             return;
         }
         Probe.Requester origin = new Probe.Requester(requester, request.sequence());
@@ -165,12 +166,12 @@
     }
 
     /**
-     * Looks whether a probe has waited for too long.
+     * Checks a probe for its time-outs.
      *
      * @param tick The tick.
      * @param probe The probe.
      */
-    private void check(Tick tick, Probe probe) {
+    private void checkTimeouts(Tick tick, Probe probe) {
         MembershipOptions options = state.options();
         if (tick.now().since(probe.sentAt()).compareTo(options.indirectTimeout()) >= 0) {
             probes.remove(probe.sequence());
@@ -183,7 +184,7 @@
     }
 
     /**
-     * Asks others to probe a node.
+     * Requests that other nodes probe a node.
      *
      * @param tick The tick.
      * @param probe The probe that was not answered.
@@ -198,22 +199,24 @@
     }
 
     /**
-     * Suspects a node that nobody could reach. A leaving node keeps its condition and is timed all the same.
+     * Suspects a node that neither this node nor others reached. A leaving node keeps its condition, but its suspicion
+     * timer starts as well.
      *
      * @param tick The tick.
      * @param target The node.
      */
     private void fail(Tick tick, NodeName target) {
-        state.health().failure();
+        state.health().recordFailure();
         if (state.health().isDoubtful()) {
             return;
         }
         Optional<MemberRow> row = state.table().row(target);
-        if (row.filter(believed -> believed.is(MemberCondition.ALIVE)).isPresent()) {
+        if (row.filter(current -> current.is(MemberCondition.ALIVE)).isPresent()) {
             state.counters().suspicion();
-            state.merge().apply(tick, row.get().withCondition(MemberCondition.SUSPECTED), "does not answer");
-        } else if (row.filter(believed -> believed.is(MemberCondition.LEAVING)).isPresent()) {
-            state.timers().suspect(target, tick.now());
+            state.merge()
+                    .apply(tick, row.get().withCondition(MemberCondition.SUSPECTED), "no direct or indirect answer");
+        } else if (row.filter(current -> current.is(MemberCondition.LEAVING)).isPresent()) {
+            state.timers().startSuspicionTimer(target, tick.now());
         }
     }
 
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/RandomPeer.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/RandomPeer.java
@@ -5,16 +5,16 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Chooses another node for work that any of them can do, such as a call to the platform. */
+/** Selects another node for work that any node can do, such as a call to the platform. */
 public final class RandomPeer {
 
     /** This class has no instances. */
     private RandomPeer() {}
 
     /**
-     * Chooses one of the other working nodes, all alike.
+     * Selects one of the other working nodes with equal probability.
      *
-     * @param tick The tick, whose source of randomness decides.
+     * @param tick The tick, whose source of randomness is used.
      * @param membership The nodes of the site.
      * @return The node, or empty if this one is alone.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/RendezvousRanking.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/RendezvousRanking.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * Ranks members for a key by rendezvous hashing: all nodes with the same view agree on the ranking, and a member that
- * comes or goes changes only the keys that it ranks highest for.
+ * Ranks members for a key by rendezvous hashing. All nodes with the same view agree on the ranking, and a member that
+ * joins or leaves affects only the keys for which it ranks highest.
  */
 public final class RendezvousRanking {
 
@@ -32,11 +32,11 @@
     }
 
     /**
-     * Picks the highest ranked member for a key, and the highest ranked one after it that lies in another availability
-     * zone, or the next one if there is no such zone.
+     * Selects the highest ranked member for a key, and the highest ranked one after it in another availability zone, or
+     * the next one if there is no such zone.
      *
      * @param key The key.
-     * @param members The members to pick from.
+     * @param members The members to select from.
      * @return At most two members, the first being the key's primary.
      */
     public static List<Member> pair(String key, Collection<Member> members) {
@@ -58,7 +58,7 @@
      *
      * @param key The key.
      * @param member The member.
-     * @return The weight, where the highest one wins.
+     * @return The weight, where the highest weight ranks first.
      */
     private static long weight(String key, Member member) {
         String text = key + '\n' + member.identity().name();
@@ -69,7 +69,8 @@
     }
 
     /**
-     * A member with its weight for a key, so that a key is hashed once for each member and not at each comparison.
+     * A member with its weight for a key, so that the hash is computed once for each member rather than at each
+     * comparison.
      *
      * @param weight The weight.
      * @param member The member.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/SelfHealth.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/SelfHealth.java
@@ -5,85 +5,85 @@
 import java.util.Optional;
 
 /**
- * How far this node trusts its own view. A node whose probes mostly fail is more likely to be cut off itself, and takes
- * longer to declare others dead. A node that was paused does not declare anyone dead until it has heard from another
- * one.
+ * The health of this node, which determines how reliable its own view is. A node whose probes mostly fail is likely to
+ * be disconnected itself, and waits longer before it declares others dead. A node that was paused declares no other
+ * node dead until it has received an answer or the wait for one has timed out.
  */
 final class SelfHealth {
 
-    /** The largest number of failures that are held against this node. */
+    /** The maximum number of failed probes that are counted. */
     private static final int MAXIMUM_FAILURES = 8;
 
-    /** The longest time for which a paused node waits for an answer. */
-    private final Duration doubtTime;
+    /** The maximum time for which a node waits for an answer after a pause. */
+    private final Duration recoveryTimeout;
 
-    /** The failures that are held against this node. */
+    /** The number of failed probes, less that of answered ones. */
     private int failures;
 
-    /** The time at which this node found that it was paused, or empty if it has heard from another one since. */
-    private Optional<MonotonicTime> doubtfulSince = Optional.empty();
+    /** The time at which this node detected a pause, or empty if it has recovered since. */
+    private Optional<MonotonicTime> pauseDetectedAt = Optional.empty();
 
     /**
-     * Creates a healthy state.
+     * Creates the state of a healthy node.
      *
-     * @param doubtTime The longest time for which a paused node waits for an answer.
+     * @param recoveryTimeout The maximum time for which a node waits for an answer after a pause.
      */
-    SelfHealth(Duration doubtTime) {
-        this.doubtTime = doubtTime;
+    SelfHealth(Duration recoveryTimeout) {
+        this.recoveryTimeout = recoveryTimeout;
     }
 
-    /** Takes note of a probe that failed. */
-    void failure() {
+    /** Records a probe that failed. */
+    void recordFailure() {
         failures = Math.min(MAXIMUM_FAILURES, failures + 1);
     }
 
-    /** Takes note of a probe that was answered. */
-    void success() {
+    /** Records a probe that was answered. */
+    void recordSuccess() {
         failures = Math.max(0, failures - 1);
     }
 
     /**
-     * Takes note of a pause of this node.
+     * Records a pause of this node.
      *
      * @param now The current time.
      */
-    void doubt(MonotonicTime now) {
-        doubtfulSince = Optional.of(now);
+    void recordPause(MonotonicTime now) {
+        pauseDetectedAt = Optional.of(now);
     }
 
-    /** Takes note that this node has heard from another one. */
-    void trust() {
-        doubtfulSince = Optional.empty();
+    /** Records that this node has recovered from a pause. */
+    void recordRecovery() {
+        pauseDetectedAt = Optional.empty();
     }
 
     /**
-     * Returns whether this node was paused and has not heard from another one since.
+     * Returns whether this node was paused and has not recovered since.
      *
-     * @return {@code true} if this node's view may be outdated.
+     * @return {@code true} if this node's view may be stale.
      */
     boolean isDoubtful() {
-        return doubtfulSince.isPresent();
+        return pauseDetectedAt.isPresent();
     }
 
     /**
-     * Returns whether this node has waited in vain for another one to answer.
+     * Returns whether the wait for an answer after a pause has timed out.
      *
      * @param now The current time.
-     * @return {@code true} if the wait is over.
+     * @return {@code true} if the wait has timed out.
      */
-    boolean hasWaited(MonotonicTime now) {
-        return doubtfulSince
-                .map(since -> now.since(since).compareTo(doubtTime) >= 0)
+    boolean hasRecoveryTimedOut(MonotonicTime now) {
+        return pauseDetectedAt
+                .map(since -> now.since(since).compareTo(recoveryTimeout) >= 0)
                 .orElse(false);
     }
 
     /**
-     * Stretches a time by the failures that are held against this node.
+     * Extends a time-out by the number of counted failures.
      *
-     * @param time The time.
-     * @return The stretched time.
+     * @param timeout The time-out.
+     * @return The extended time-out.
      */
-    Duration stretch(Duration time) {
-        return time.multipliedBy(1L + failures);
+    Duration extend(Duration timeout) {
+        return timeout.multipliedBy(1L + failures);
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/SelfSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/SelfSystem.java
@@ -8,16 +8,16 @@
 import java.util.Optional;
 
 /**
- * What this node knows of itself: whether it was paused, and whether it leaves. A pause shows as a gap between two
- * ticks, which are otherwise never far apart.
+ * Maintains this node's own condition: detects pauses, and handles requests to leave and to depart. A pause is a gap
+ * between two ticks that exceeds the usual interval by far.
  */
 final class SelfSystem implements DecisionSystem {
 
     /** The state of the membership. */
     private final MembershipState state;
 
-    /** The time of the tick before, or empty at the first one. */
-    private Optional<MonotonicTime> previous = Optional.empty();
+    /** The time of the previous tick, or empty at the first one. */
+    private Optional<MonotonicTime> previousTick = Optional.empty();
 
     /**
      * Creates a new system.
@@ -33,48 +33,48 @@
     public void run(Tick tick) {
         detectPause(tick);
         if (!tick.events(MembershipEvent.LeaveRequested.class).isEmpty()) {
-            become(tick, MemberCondition.LEAVING);
+            strengthenCondition(tick, MemberCondition.LEAVING);
         }
         if (!tick.events(MembershipEvent.Departing.class).isEmpty()) {
-            become(tick, MemberCondition.DEAD);
+            strengthenCondition(tick, MemberCondition.DEAD);
         }
-        if (state.health().isDoubtful() && state.health().hasWaited(tick.now())) {
+        if (state.health().isDoubtful() && state.health().hasRecoveryTimedOut(tick.now())) {
             restore(tick, state.health());
         }
     }
 
     /**
-     * Ends the doubt of this node about itself.
+     * Resumes normal operation after a pause.
      *
      * @param tick The tick.
      * @param health The health of this node.
      */
     static void restore(Tick tick, SelfHealth health) {
-        health.trust();
-        tick.raise(new MembershipEvent.RestoredSelf());
+        health.recordRecovery();
+        tick.raise(new MembershipEvent.RecoveredFromPause());
     }
 
     /**
-     * Looks for a gap between this tick and the one before.
+     * Detects a gap between the previous tick and this one.
      *
      * @param tick The tick.
      */
     private void detectPause(Tick tick) {
-        Duration gap = previous.map(tick.now()::since).orElse(Duration.ZERO);
-        previous = Optional.of(tick.now());
+        Duration gap = previousTick.map(tick.now()::since).orElse(Duration.ZERO);
+        previousTick = Optional.of(tick.now());
         if (gap.compareTo(state.options().pauseThreshold()) < 0) {
             return;
         }
         state.counters().pause();
-        state.health().doubt(tick.now());
+        state.health().recordPause(tick.now());
         state.timers().restartSuspicions(tick.now());
-        tick.raise(new MembershipEvent.DegradedSelf(gap));
+        tick.raise(new MembershipEvent.PauseDetected(gap));
         tick.decide(Decision.of(
                 "membership",
                 state.table().self().identity().toString(),
                 "doubt",
-                "did not run for " + gap.toMillis() + " ms"));
-        if (state.table().othersLiving().isEmpty()) {
+                "paused for " + gap.toMillis() + " ms"));
+        if (state.table().othersNotDead().isEmpty()) {
             restore(tick, state.health());
         }
     }
@@ -85,7 +85,7 @@
      * @param tick The tick.
      * @param condition The condition.
      */
-    private void become(Tick tick, MemberCondition condition) {
+    private void strengthenCondition(Tick tick, MemberCondition condition) {
         MemberRow self = state.table().selfRow();
         MemberCondition before = self.member().condition();
         if (condition.compareTo(before) > 0) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/SuspicionSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/SuspicionSystem.java
@@ -7,19 +7,19 @@
 import java.time.Duration;
 
 /**
- * Declares members dead that were suspected for long enough, and forgets those that have been dead for long. What the
- * platform says or does not say declares nobody dead.
+ * Declares members dead whose suspicion has timed out, and removes dead members once their retention period is over.
+ * Neither an answer of the platform nor its absence ever declares a member dead.
  */
 final class SuspicionSystem implements DecisionSystem {
 
-    /** The interval at which timers are looked at. */
-    private static final Duration INTERVAL = Duration.ofMillis(100);
+    /** The interval between two checks of the timers. */
+    private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
 
     /** The state of the membership. */
     private final MembershipState state;
 
-    /** The time at which timers are looked at next. */
-    private MonotonicTime nextLook = new MonotonicTime(Long.MIN_VALUE);
+    /** The time of the next check of the timers. */
+    private MonotonicTime nextCheck = new MonotonicTime(Long.MIN_VALUE);
 
     /**
      * Creates a new system.
@@ -33,29 +33,29 @@
     /** {@inheritDoc} */
     @Override
     public void run(Tick tick) {
-        if (tick.now().isBefore(nextLook)) {
+        if (tick.now().isBefore(nextCheck)) {
             return;
         }
-        nextLook = tick.now().plus(INTERVAL);
+        nextCheck = tick.now().plus(CHECK_INTERVAL);
         if (!state.health().isDoubtful()) {
             declareDead(tick);
         }
         MembershipOptions options = state.options();
         state.timers()
-                .expiredDeaths(tick.now(), options.tombstoneTime(), options.tombstones())
-                .forEach(name -> state.merge().forget(tick, name));
+                .expiredDeaths(tick.now(), options.tombstoneRetention(), options.maximumTombstones())
+                .forEach(name -> state.merge().remove(tick, name));
     }
 
     /**
-     * Declares those dead that did not object in time.
+     * Declares members dead that did not refute their suspicion in time.
      *
      * @param tick The tick.
      */
     private void declareDead(Tick tick) {
-        Duration time = state.health().stretch(state.settings().suspicionTime());
-        for (NodeName name : state.timers().expiredSuspicions(tick.now(), time)) {
+        Duration timeout = state.health().extend(state.settings().suspicionTime());
+        for (NodeName name : state.timers().expiredSuspicions(tick.now(), timeout)) {
             state.table().row(name).ifPresent(row -> state.merge()
-                    .apply(tick, row.withCondition(MemberCondition.DEAD), "did not object in time"));
+                    .apply(tick, row.withCondition(MemberCondition.DEAD), "did not refute the suspicion in time"));
         }
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/package-info.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/package-info.java
@@ -1,2 +1,2 @@
-/** The nodes of the site and what each node believes of the others. */
+/** Membership of the site: how nodes discover each other and detect failures. */
 package io.yuccaswitch.core.membership;
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/membership/MemberRowTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/membership/MemberRowTest.java
@@ -20,21 +20,21 @@
 class MemberRowTest {
 
     @Property(seed = "20261202")
-    void newsInAnyOrderLeadsToTheSameBelief(@ForAll("news") List<MemberRow> news, @ForAll long seed) {
-        List<MemberRow> shuffled = new ArrayList<>(news);
+    void theStrongestRowDoesNotDependOnTheOrderOfRows(@ForAll("rows") List<MemberRow> rows, @ForAll long seed) {
+        List<MemberRow> shuffled = new ArrayList<>(rows);
         Collections.shuffle(shuffled, new Random(seed));
 
-        assertThat(strongest(shuffled).summary()).isEqualTo(strongest(news).summary());
+        assertThat(strongest(shuffled).summary()).isEqualTo(strongest(rows).summary());
     }
 
     @Property(seed = "20261202")
-    void aSummaryTellsTheSameAsItsRow(@ForAll("row") MemberRow one, @ForAll("row") MemberRow other) {
+    void aSummaryComparesLikeItsRow(@ForAll("row") MemberRow one, @ForAll("row") MemberRow other) {
         assertThat(one.summary().isNewerThan(other)).isEqualTo(one.supersedes(other));
         assertThat(one.summary().isOlderThan(other)).isEqualTo(other.supersedes(one));
     }
 
     @Test
-    void leavingAndDeadBeatAliveInTheSameLifeAndAHigherIncarnationBeatsAll() {
+    void strongerConditionsSupersedeInTheSameIncarnationAndAHigherIncarnationSupersedesAll() {
         MemberRow alive = row(1, 0, MemberCondition.ALIVE);
         assertThat(row(1, 0, MemberCondition.LEAVING).supersedes(alive)).isTrue();
         assertThat(row(1, 0, MemberCondition.DEAD).supersedes(row(1, 0, MemberCondition.LEAVING)))
@@ -54,16 +54,16 @@
     }
 
     @Provide
-    Arbitrary<List<MemberRow>> news() {
+    Arbitrary<List<MemberRow>> rows() {
         return row().list().ofMinSize(1).ofMaxSize(8);
     }
 
-    private static MemberRow strongest(List<MemberRow> news) {
-        MemberRow believed = news.get(0);
-        for (MemberRow row : news) {
-            believed = row.supersedes(believed) ? row : believed;
+    private static MemberRow strongest(List<MemberRow> rows) {
+        MemberRow result = rows.get(0);
+        for (MemberRow row : rows) {
+            result = row.supersedes(result) ? row : result;
         }
-        return believed;
+        return result;
     }
 
     private static MemberRow row(long incarnation, long revision, MemberCondition condition) {
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/membership/MembershipSystemTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/membership/MembershipSystemTest.java
@@ -24,25 +24,26 @@
 
 class MembershipSystemTest {
 
-    private static final Duration LONG = Duration.ofSeconds(60);
+    private static final Duration MAXIMUM_WAIT = Duration.ofSeconds(60);
 
     private final CoreDriver driver = new CoreDriver(7);
 
     @Test
-    void nodesThatStartTogetherLearnOfEachOther() {
+    void nodesThatStartTogetherDiscoverEachOther() {
         driver.startFleet(12, 3);
 
-        assertThat(driver.runUntil(() -> allSeeAll(driver.nodes()), LONG)).isLessThan(Duration.ofSeconds(6));
+        assertThat(driver.runUntil(() -> allSeeAllAlive(driver.nodes()), MAXIMUM_WAIT))
+                .isLessThan(Duration.ofSeconds(6));
         assertThat(driver.nodes()).allMatch(node -> node.membership().hasJoined());
     }
 
     @Test
-    void aDeadNodeIsNoticedByAllAndNobodyElseIsSuspected() {
+    void aDeadNodeIsDetectedByAllNodesAndNoOtherNodeIsSuspected() {
         List<DrivenNode> fleet = joined(12, 3);
         DrivenNode dead = fleet.get(5);
         driver.kill(dead);
 
-        assertThat(driver.runUntil(() -> allSee(dead, MemberCondition.DEAD), LONG))
+        assertThat(driver.runUntil(() -> allNodesSee(dead, MemberCondition.DEAD), MAXIMUM_WAIT))
                 .isLessThan(Duration.ofSeconds(8));
         assertThat(driver.nodes().stream()
                         .mapToLong(node -> node.membership().statistics().refutedSuspicions())
@@ -51,44 +52,46 @@
     }
 
     @Property(tries = 25, seed = "20261202")
-    void aLivingNodeIsNeverLastinglyTakenForDeadThroughLossDuplicationAndDisorder(
+    void noRunningNodeStaysDeclaredDeadAfterLossDuplicationAndReorderingOfMessages(
             @ForAll long seed,
             @ForAll @DoubleRange(max = 0.2) double loss,
             @ForAll @DoubleRange(max = 0.5) double duplication,
             @ForAll @IntRange(min = 3, max = 12) int nodes,
             @ForAll @IntRange(min = 2, max = 300) int delayMillis) {
-        CoreDriver rough = new CoreDriver(seed);
-        rough.loss(loss);
-        rough.duplication(duplication);
-        rough.maximumDelay(Duration.ofMillis(delayMillis));
-        rough.startFleet(nodes, 3);
-        rough.run(Duration.ofSeconds(30));
-        rough.loss(0);
-        rough.duplication(0);
+        CoreDriver faulty = new CoreDriver(seed);
+        faulty.loss(loss);
+        faulty.duplication(duplication);
+        faulty.maximumDelay(Duration.ofMillis(delayMillis));
+        faulty.startFleet(nodes, 3);
+        faulty.run(Duration.ofSeconds(30));
+        faulty.loss(0);
+        faulty.duplication(0);
 
-        assertThat(rough.runUntil(() -> allSeeAll(rough.nodes()), LONG)).isLessThan(LONG);
+        assertThat(faulty.runUntil(() -> allSeeAllAlive(faulty.nodes()), MAXIMUM_WAIT))
+                .isLessThan(MAXIMUM_WAIT);
     }
 
     @Test
-    void aPausedNodeIsTakenBackInTheSameLifeAndTakesNobodyForDead() {
+    void aPausedNodeRejoinsInTheSameIncarnationAndDeclaresNoOtherNodeDead() {
         List<DrivenNode> fleet = joined(8, 2);
         DrivenNode paused = fleet.get(3);
         paused.pause();
         driver.run(Duration.ofSeconds(15));
-        assertThat(allOthersSee(paused, MemberCondition.DEAD)).isTrue();
+        assertThat(otherNodesSee(paused, MemberCondition.DEAD)).isTrue();
 
         paused.resume();
-        driver.runUntil(() -> paused.events().contains(new MembershipEvent.RestoredSelf()), LONG);
-        assertThat(driver.runUntil(() -> allSeeAll(driver.nodes()), LONG)).isLessThan(Duration.ofSeconds(10));
+        driver.runUntil(() -> paused.events().contains(new MembershipEvent.RecoveredFromPause()), MAXIMUM_WAIT);
+        assertThat(driver.runUntil(() -> allSeeAllAlive(driver.nodes()), MAXIMUM_WAIT))
+                .isLessThan(Duration.ofSeconds(10));
         assertThat(paused.identity()).isEqualTo(new NodeIdentity(paused.name(), 1000));
         assertThat(paused.events())
-                .hasAtLeastOneElementOfType(MembershipEvent.DegradedSelf.class)
-                .hasAtLeastOneElementOfType(MembershipEvent.RestoredSelf.class)
+                .hasAtLeastOneElementOfType(MembershipEvent.PauseDetected.class)
+                .hasAtLeastOneElementOfType(MembershipEvent.RecoveredFromPause.class)
                 .noneMatch(event -> event instanceof MembershipEvent.ConditionChanged);
     }
 
     @Test
-    void aPausedNodeDoesNotTrustItsTableBeforeItHasHeardFromAnother() {
+    void aPausedNodeIsUncertainUntilItReceivesAnAnswer() {
         List<DrivenNode> fleet = joined(4, 2);
         DrivenNode paused = fleet.get(1);
         paused.pause();
@@ -104,7 +107,7 @@
     }
 
     @Test
-    void anAnswerFromBeforeAPauseDoesNotRestoreTrust() {
+    void anAnswerToAnExchangeBeforeAPauseDoesNotEndTheRecovery() {
         List<DrivenNode> fleet = joined(4, 2);
         DrivenNode paused = isolateWhilePaused(fleet.get(1));
         ExchangeDigest digest = new ExchangeDigest(0, 0, false, OptionalLong.empty(), Optional.empty());
@@ -117,24 +120,24 @@
     }
 
     @Test
-    void aDoubtfulNodeDeclaresNobodyDeadThatItSuspectedBefore() {
-        driver.options(options(Duration.ofMinutes(2), MembershipOptions.DEFAULT.tombstoneTime()));
+    void anUncertainNodeDoesNotDeclareASuspectedNodeDead() {
+        driver.options(options(Duration.ofMinutes(2), MembershipOptions.DEFAULT.tombstoneRetention()));
         List<DrivenNode> fleet = joined(4, 2);
         DrivenNode dead = fleet.get(3);
-        DrivenNode doubtful = fleet.get(1);
+        DrivenNode uncertain = fleet.get(1);
         driver.kill(dead);
-        driver.runUntil(() -> doubtful.sees(dead) == MemberCondition.SUSPECTED, LONG);
-        isolateWhilePaused(doubtful).resume();
+        driver.runUntil(() -> uncertain.sees(dead) == MemberCondition.SUSPECTED, MAXIMUM_WAIT);
+        isolateWhilePaused(uncertain).resume();
 
         driver.run(Duration.ofSeconds(50));
-        assertThat(doubtful.sees(dead)).isEqualTo(MemberCondition.SUSPECTED);
+        assertThat(uncertain.sees(dead)).isEqualTo(MemberCondition.SUSPECTED);
         driver.heal();
-        assertThat(driver.runUntil(() -> doubtful.sees(dead) == MemberCondition.DEAD, LONG))
+        assertThat(driver.runUntil(() -> uncertain.sees(dead) == MemberCondition.DEAD, MAXIMUM_WAIT))
                 .isLessThan(Duration.ofSeconds(20));
     }
 
     @Test
-    void bothSidesOfAHealedCutFindEachOtherAgain() {
+    void bothSidesOfAHealedPartitionFindEachOther() {
         joined(12, 3);
         driver.cutZone("zone-1");
         driver.run(Duration.ofSeconds(30));
@@ -145,24 +148,26 @@
         assertThat(inside.membership().working()).hasSize(4);
 
         driver.heal();
-        assertThat(driver.runUntil(() -> allSeeAll(driver.nodes()), LONG)).isLessThan(Duration.ofSeconds(15));
+        assertThat(driver.runUntil(() -> allSeeAllAlive(driver.nodes()), MAXIMUM_WAIT))
+                .isLessThan(Duration.ofSeconds(15));
     }
 
     @Test
-    void aHealedCutIsFoundWithoutSeedsAndWithoutThePlatform() {
+    void nodesRejoinAfterAPartitionWithoutSeedsAndWithoutThePlatform() {
         driver.platform().down();
         List<DrivenNode> fleet = joined(9, 3);
         driver.kill(fleet.get(0));
-        driver.runUntil(() -> allSee(fleet.get(0), MemberCondition.DEAD), LONG);
+        driver.runUntil(() -> allNodesSee(fleet.get(0), MemberCondition.DEAD), MAXIMUM_WAIT);
         driver.cutZone("zone-1");
         driver.run(Duration.ofSeconds(20));
         driver.heal();
 
-        assertThat(driver.runUntil(() -> allSeeAll(driver.nodes()), LONG)).isLessThan(Duration.ofSeconds(30));
+        assertThat(driver.runUntil(() -> allSeeAllAlive(driver.nodes()), MAXIMUM_WAIT))
+                .isLessThan(Duration.ofSeconds(30));
     }
 
     @Test
-    void aNodeThatOnlyOneOtherCannotReachIsNotSuspected() {
+    void aNodeThatOnlyOneOtherNodeCannotReachIsNotSuspected() {
         List<DrivenNode> fleet = joined(6, 2);
         driver.cut((from, to) -> from == fleet.get(1) && to == fleet.get(2));
         driver.run(Duration.ofSeconds(30));
@@ -173,40 +178,40 @@
     }
 
     @Test
-    void nodesThatRememberDifferentDeadMembersStillBelieveTheSame() {
+    void tablesThatDifferOnlyInDeadMembersAreConsideredEqual() {
         List<DrivenNode> fleet = joined(6, 2);
         driver.kill(fleet.get(5));
-        driver.runUntil(() -> allSee(fleet.get(5), MemberCondition.DEAD), LONG);
-        DrivenNode late = driver.start("late", "zone-0", 1, List.of(DrivenNode.address("vm-1")));
+        driver.runUntil(() -> allNodesSee(fleet.get(5), MemberCondition.DEAD), MAXIMUM_WAIT);
+        DrivenNode newNode = driver.start("late", "zone-0", 1, List.of(DrivenNode.address("vm-1")));
         driver.run(Duration.ofSeconds(10));
-        assertThat(late.membership().find(fleet.get(5).name())).isEmpty();
+        assertThat(newNode.membership().find(fleet.get(5).name())).isEmpty();
 
         driver.observe((_node, message) -> assertThat(message).isNotInstanceOf(MembershipMessage.Summaries.class));
         driver.run(Duration.ofSeconds(10));
     }
 
     @Test
-    void anIsolatedNodeTakesLongerToDeclareAllOthersDeadThanTheyNeedForIt() {
+    void anIsolatedNodeDeclaresTheOthersDeadLaterThanTheyDeclareItDead() {
         List<DrivenNode> fleet = joined(8, 2);
         DrivenNode isolated = fleet.get(2);
         driver.cut((from, _to) -> from == isolated);
 
-        driver.runUntil(() -> allOthersSee(isolated, MemberCondition.DEAD), LONG);
+        driver.runUntil(() -> otherNodesSee(isolated, MemberCondition.DEAD), MAXIMUM_WAIT);
         assertThat(isolated.membership().working()).hasSize(8);
     }
 
     @Test
-    void aRestartedNodeReplacesItsFormerLife() {
+    void aRestartedNodeReplacesItsPreviousIncarnation() {
         List<DrivenNode> fleet = joined(6, 2);
         driver.kill(fleet.get(4));
-        DrivenNode again = driver.start("vm-4", "zone-0", 2000, List.of(DrivenNode.address("vm-0")));
+        DrivenNode restarted = driver.start("vm-4", "zone-0", 2000, List.of(DrivenNode.address("vm-0")));
 
-        Duration taken = driver.runUntil(
+        Duration elapsed = driver.runUntil(
                 () -> driver.nodes().stream()
-                        .allMatch(node -> identityOf(node, again).equals(again.identity())),
-                LONG);
-        assertThat(taken).isLessThan(Duration.ofSeconds(4));
-        assertThat(again.identity().incarnation()).isEqualTo(2000);
+                        .allMatch(node -> identityOf(node, restarted).equals(restarted.identity())),
+                MAXIMUM_WAIT);
+        assertThat(elapsed).isLessThan(Duration.ofSeconds(4));
+        assertThat(restarted.identity().incarnation()).isEqualTo(2000);
         assertThat(fleet.get(0).events())
                 .anyMatch(event -> event instanceof MembershipEvent.ConditionChanged changed
                         && changed.member().identity().incarnation() == 1000
@@ -214,19 +219,20 @@
     }
 
     @Test
-    void aNodeWhoseClockWasSetBackTakesAHigherIncarnationThanItsFormerLife() {
+    void aNodeWhoseClockWasSetBackAdoptsAHigherIncarnationThanItsPreviousOne() {
         driver.platform().down();
         List<DrivenNode> fleet = joined(6, 2);
         driver.kill(fleet.get(4));
-        DrivenNode again = driver.start("vm-4", "zone-0", 500, List.of(DrivenNode.address("vm-0")));
+        DrivenNode restarted = driver.start("vm-4", "zone-0", 500, List.of(DrivenNode.address("vm-0")));
 
-        driver.runUntil(() -> allSeeAll(driver.nodes()) && again.identity().incarnation() > 1000, LONG);
-        assertThat(again.identity().incarnation()).isEqualTo(1001);
-        assertThat(allSee(again, MemberCondition.ALIVE)).isTrue();
+        driver.runUntil(
+                () -> allSeeAllAlive(driver.nodes()) && restarted.identity().incarnation() > 1000, MAXIMUM_WAIT);
+        assertThat(restarted.identity().incarnation()).isEqualTo(1001);
+        assertThat(allNodesSee(restarted, MemberCondition.ALIVE)).isTrue();
     }
 
     @Test
-    void theClockSetBackShowsFromThePlatformAloneToo() {
+    void aClockThatWasSetBackIsDetectedFromThePlatformObjectAlone() {
         driver.platform().put("member", "vm-0", memberObject("vm-0", 5000));
         DrivenNode node = driver.start("vm-0", "zone-0", 400, List.of());
 
@@ -240,72 +246,75 @@
     void aNodeJoinsThroughSeedsWhileThePlatformIsDown() {
         joined(6, 2);
         driver.platform().down();
-        DrivenNode late = driver.start("late", "zone-1", 1, List.of(DrivenNode.address("vm-3")));
+        DrivenNode newNode = driver.start("late", "zone-1", 1, List.of(DrivenNode.address("vm-3")));
 
-        assertThat(driver.runUntil(() -> allSeeAll(driver.nodes()), LONG)).isLessThan(Duration.ofSeconds(4));
-        assertThat(driver.runUntil(() -> late.membership().hasJoined(), LONG)).isLessThan(Duration.ofSeconds(4));
+        assertThat(driver.runUntil(() -> allSeeAllAlive(driver.nodes()), MAXIMUM_WAIT))
+                .isLessThan(Duration.ofSeconds(4));
+        assertThat(driver.runUntil(() -> newNode.membership().hasJoined(), MAXIMUM_WAIT))
+                .isLessThan(Duration.ofSeconds(4));
     }
 
     @Test
-    void aNodeWithoutSeedsFindsTheOthersByThePlatform() {
+    void aNodeWithoutSeedsFindsTheOthersThroughThePlatform() {
         joined(6, 2);
-        DrivenNode late = driver.start("late", "zone-1", 1, List.of());
+        DrivenNode newNode = driver.start("late", "zone-1", 1, List.of());
 
-        assertThat(driver.runUntil(() -> allSee(late, MemberCondition.ALIVE), LONG))
+        assertThat(driver.runUntil(() -> allNodesSee(newNode, MemberCondition.ALIVE), MAXIMUM_WAIT))
                 .isLessThan(Duration.ofSeconds(4));
     }
 
     @Test
-    void theFirstNodeIsAloneWithoutDelay() {
+    void theFirstNodeJoinsAloneWithoutDelay() {
         DrivenNode first = driver.start("vm-0", "zone-0", 1, List.of());
 
-        assertThat(driver.runUntil(() -> first.membership().hasJoined(), LONG)).isLessThan(Duration.ofSeconds(1));
+        assertThat(driver.runUntil(() -> first.membership().hasJoined(), MAXIMUM_WAIT))
+                .isLessThan(Duration.ofSeconds(1));
         assertThat(first.events()).contains(new MembershipEvent.SelfJoined(true));
     }
 
     @Test
-    void aLeavingNodeGetsNoNewWorkAndItsExitIsNoSuspicion() {
+    void aLeavingNodeReceivesNoNewWorkAndItsExitRaisesNoSuspicion() {
         List<DrivenNode> fleet = joined(8, 2);
         DrivenNode leaving = fleet.get(2);
         leaving.accept(new MembershipEvent.LeaveRequested());
-        assertThat(driver.runUntil(() -> allSee(leaving, MemberCondition.LEAVING), LONG))
+        assertThat(driver.runUntil(() -> allNodesSee(leaving, MemberCondition.LEAVING), MAXIMUM_WAIT))
                 .isLessThan(Duration.ofSeconds(4));
         assertThat(fleet.get(0).membership().working()).hasSize(7);
 
         leaving.accept(new MembershipEvent.Departing());
         driver.run(Duration.ofMillis(100));
         driver.kill(leaving);
-        assertThat(driver.runUntil(() -> allSee(leaving, MemberCondition.DEAD), LONG))
+        assertThat(driver.runUntil(() -> allNodesSee(leaving, MemberCondition.DEAD), MAXIMUM_WAIT))
                 .isLessThan(Duration.ofSeconds(4));
         assertThat(driver.platform().value("member", leaving.name().value())).isEmpty();
         assertThat(fleet.get(0).membership().statistics().suspicions()).isZero();
     }
 
     @Test
-    void aLeavingNodeThatDiesIsNoticed() {
+    void aLeavingNodeThatDiesIsDetected() {
         List<DrivenNode> fleet = joined(8, 2);
         DrivenNode leaving = fleet.get(2);
         leaving.accept(new MembershipEvent.LeaveRequested());
-        driver.runUntil(() -> allSee(leaving, MemberCondition.LEAVING), LONG);
+        driver.runUntil(() -> allNodesSee(leaving, MemberCondition.LEAVING), MAXIMUM_WAIT);
         driver.kill(leaving);
 
-        assertThat(driver.runUntil(() -> allSee(leaving, MemberCondition.DEAD), LONG))
+        assertThat(driver.runUntil(() -> allNodesSee(leaving, MemberCondition.DEAD), MAXIMUM_WAIT))
                 .isLessThan(Duration.ofSeconds(12));
     }
 
     @Test
-    void silenceOfThePlatformChangesNothing() {
+    void anUnreachablePlatformDoesNotChangeTheMembership() {
         List<DrivenNode> fleet = joined(6, 2);
         driver.platform().down();
         int before = fleet.get(0).events().size();
         driver.run(Duration.ofSeconds(30));
 
-        assertThat(allSeeAll(driver.nodes())).isTrue();
+        assertThat(allSeeAllAlive(driver.nodes())).isTrue();
         assertThat(fleet.get(0).events()).hasSize(before);
     }
 
     @Test
-    void aVmThatIsListedAsLeavingIsToldAndNotTakenForDead() {
+    void aNodeWhoseVmIsListedAsLeavingIsNotifiedAndStaysAlive() {
         List<DrivenNode> fleet = joined(6, 2);
         DrivenNode listed = fleet.get(3);
         fleet.get(0)
@@ -314,28 +323,28 @@
         driver.run(Duration.ofSeconds(10));
 
         assertThat(listed.events()).containsOnlyOnce(new MembershipEvent.LeavingAdvised());
-        assertThat(allSee(listed, MemberCondition.ALIVE)).isTrue();
+        assertThat(allNodesSee(listed, MemberCondition.ALIVE)).isTrue();
     }
 
     @Test
-    void aNodeCallsThePlatformOnceWhenItStartsAndNeverAgain() {
+    void aNodeWritesToThePlatformOnceAtTheStartAndDoesNotCallItAgain() {
         joined(10, 2);
         driver.run(Duration.ofSeconds(5));
         assertThat(driver.platform().calls(DrivenPlatform.Kind.WRITE)).isEqualTo(10);
         driver.platform().resetCalls();
-        driver.run(LONG);
+        driver.run(MAXIMUM_WAIT);
         assertThat(driver.platform().calls(DrivenPlatform.Kind.READ)).isZero();
         assertThat(driver.platform().calls(DrivenPlatform.Kind.LIST)).isZero();
         assertThat(driver.platform().calls(DrivenPlatform.Kind.WRITE)).isZero();
     }
 
     @Test
-    void deadMembersAreForgottenInTheEndAndTheirObjectsDeleted() {
-        driver.options(options(MembershipOptions.DEFAULT.doubtTime(), Duration.ofMinutes(1)));
+    void deadMembersAreRemovedAfterTheRetentionAndTheirObjectsDeleted() {
+        driver.options(options(MembershipOptions.DEFAULT.recoveryTimeout(), Duration.ofMinutes(1)));
         List<DrivenNode> fleet = joined(4, 2);
         DrivenNode dead = fleet.get(3);
         driver.kill(dead);
-        driver.runUntil(() -> allSee(dead, MemberCondition.DEAD), LONG);
+        driver.runUntil(() -> allNodesSee(dead, MemberCondition.DEAD), MAXIMUM_WAIT);
         assertThat(fleet.get(0).membership().members()).hasSize(4);
 
         driver.run(Duration.ofSeconds(70));
@@ -345,7 +354,7 @@
     }
 
     @Test
-    void messagesAreBoundedHoweverManyNodesThereAre() {
+    void messageSizesAreBoundedRegardlessOfTheNumberOfNodes() {
         AtomicInteger rows = new AtomicInteger();
         AtomicInteger summaries = new AtomicInteger();
         driver.observe((_node, message) -> {
@@ -358,14 +367,15 @@
             }
         });
         driver.startFleet(150, 5);
-        assertThat(driver.runUntil(() -> allSeeAll(driver.nodes()), LONG)).isLessThan(Duration.ofSeconds(20));
+        assertThat(driver.runUntil(() -> allSeeAllAlive(driver.nodes()), MAXIMUM_WAIT))
+                .isLessThan(Duration.ofSeconds(20));
 
-        assertThat(rows.get()).isBetween(1, ExchangeContent.ROWS_PER_MESSAGE);
-        assertThat(summaries.get()).isBetween(1, ExchangeContent.SUMMARIES_PER_MESSAGE);
+        assertThat(rows.get()).isBetween(1, ExchangeContent.MAXIMUM_ROWS_PER_MESSAGE);
+        assertThat(summaries.get()).isBetween(1, ExchangeContent.MAXIMUM_SUMMARIES_PER_MESSAGE);
     }
 
     @Test
-    void exchangesBetweenNodesThatBelieveTheSameCarryNoRowsButIntroductions() {
+    void exchangesBetweenNodesWithEqualTablesContainOnlyIntroductions() {
         AtomicInteger exchanges = new AtomicInteger();
         AtomicInteger rows = new AtomicInteger();
         joined(40, 4);
@@ -384,32 +394,34 @@
     }
 
     @Test
-    void theSilenceOfThePlatformIsKnownToNodesThatDoNotCallIt() {
+    void nodesThatDoNotCallThePlatformDetectThatItIsUnreachable() {
         List<DrivenNode> fleet = joined(9, 3);
         driver.run(Duration.ofSeconds(20));
         driver.platform().down();
         driver.run(Duration.ofSeconds(20));
 
-        assertThat(fleet).allSatisfy(node -> assertThat(silence(node)).hasValueSatisfying(time -> assertThat(time)
-                .isBetween(Duration.ofSeconds(15), Duration.ofSeconds(32))));
+        assertThat(fleet)
+                .allSatisfy(node -> assertThat(platformSilence(node)).hasValueSatisfying(time -> assertThat(time)
+                        .isBetween(Duration.ofSeconds(15), Duration.ofSeconds(32))));
     }
 
     @Test
-    void aMinorityConcludesNothingAboutThePlatform() {
+    void nodesInAMinorityDoNotReportThePlatformAsUnreachable() {
         joined(9, 3);
         driver.run(Duration.ofSeconds(20));
         driver.cutZone("zone-2");
         driver.platform().downFor(node -> node.zone().equals("zone-2"));
         driver.run(Duration.ofSeconds(20));
 
-        assertThat(silence(nodeIn("zone-2"))).isEmpty();
-        assertThat(silence(nodeIn("zone-0")))
+        assertThat(platformSilence(nodeIn("zone-2"))).isEmpty();
+        assertThat(platformSilence(nodeIn("zone-0")))
                 .hasValueSatisfying(time -> assertThat(time).isLessThan(Duration.ofSeconds(14)));
     }
 
     private List<DrivenNode> joined(int nodes, int zones) {
         List<DrivenNode> fleet = driver.startFleet(nodes, zones);
-        assertThat(driver.runUntil(() -> allSeeAll(driver.nodes()), LONG)).isLessThan(LONG);
+        assertThat(driver.runUntil(() -> allSeeAllAlive(driver.nodes()), MAXIMUM_WAIT))
+                .isLessThan(MAXIMUM_WAIT);
         driver.run(Duration.ofSeconds(3));
         return fleet;
     }
@@ -418,7 +430,7 @@
         return viewer.membership().find(node.name()).orElseThrow().identity();
     }
 
-    private Optional<Duration> silence(DrivenNode node) {
+    private Optional<Duration> platformSilence(DrivenNode node) {
         return node.platformSilence();
     }
 
@@ -429,11 +441,11 @@
                 .orElseThrow();
     }
 
-    private boolean allSee(DrivenNode node, MemberCondition condition) {
+    private boolean allNodesSee(DrivenNode node, MemberCondition condition) {
         return driver.nodes().stream().allMatch(other -> other.sees(node) == condition);
     }
 
-    private boolean allOthersSee(DrivenNode node, MemberCondition condition) {
+    private boolean otherNodesSee(DrivenNode node, MemberCondition condition) {
         return driver.nodes().stream().allMatch(other -> other == node || other.sees(node) == condition);
     }
 
@@ -444,22 +456,22 @@
         return node;
     }
 
-    private static MembershipOptions options(Duration doubtTime, Duration tombstoneTime) {
+    private static MembershipOptions options(Duration recoveryTimeout, Duration tombstoneRetention) {
         MembershipOptions options = MembershipOptions.DEFAULT;
         return new MembershipOptions(
                 options.probeTimeout(),
                 options.indirectTimeout(),
                 options.indirectProbes(),
                 options.pauseThreshold(),
-                doubtTime,
+                recoveryTimeout,
                 options.contactInterval(),
                 options.reconnectInterval(),
-                options.aloneTime(),
-                tombstoneTime,
-                options.tombstones());
+                options.joinTimeout(),
+                tombstoneRetention,
+                options.maximumTombstones());
     }
 
-    private static boolean allSeeAll(Collection<DrivenNode> nodes) {
+    private static boolean allSeeAllAlive(Collection<DrivenNode> nodes) {
         return nodes.stream()
                 .allMatch(node -> nodes.stream().allMatch(other -> node.sees(other) == MemberCondition.ALIVE));
     }
