--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/driver/CoreDriver.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/driver/CoreDriver.java
@@ -20,10 +20,7 @@
 import java.util.function.BiPredicate;
 import java.util.function.BooleanSupplier;
 
-/**
- * Drives several cores together with a hand-moved clock, and carries their messages with the faults that a test asks
- * for.
- */
+/** Runs several cores on a simulated clock, and delivers their messages with the faults that a test configures. */
 public final class CoreDriver {
 
     private static final long STEP_MILLIS = 10;
@@ -31,14 +28,14 @@
     private final Random random;
     private final Map<String, DrivenNode> nodes = new TreeMap<>();
     private final PriorityQueue<Delivery> deliveries =
-            new PriorityQueue<>(Comparator.comparingLong(Delivery::at).thenComparingLong(Delivery::order));
+            new PriorityQueue<>(Comparator.comparingLong(Delivery::atMillis).thenComparingLong(Delivery::sequence));
     private final DrivenPlatform platform = new DrivenPlatform(this);
     private MembershipOptions options = MembershipOptions.DEFAULT;
-    private long now;
-    private long order;
+    private long nowMillis;
+    private long sequence;
     private double loss;
     private double duplication;
-    private long maximumDelay = 5;
+    private long maximumDelayMillis = 5;
     private BiPredicate<DrivenNode, DrivenNode> cut = (_from, _to) -> false;
     private BiConsumer<DrivenNode, PeerMessage> observer = (_from, _message) -> {};
 
@@ -53,7 +50,8 @@
     }
 
     /**
-     * Starts nodes spread evenly over zones, of which every third belongs to another region, and all knowing the first.
+     * Starts nodes that are distributed evenly over zones, with the first node as the seed of all others.
+     * {@link DrivenNode} derives the region of a node from its zone.
      */
     public List<DrivenNode> startFleet(int count, int zones) {
         List<DrivenNode> started = new ArrayList<>();
@@ -72,20 +70,22 @@
         runUntil(() -> false, time);
     }
 
-    /** Runs until a condition holds, and returns how long that took, which is the limit if it never did. */
+    /**
+     * Runs until a condition holds, and returns the elapsed time, or the limit if the condition did not hold within it.
+     */
     public Duration runUntil(BooleanSupplier condition, Duration limit) {
-        long start = now;
-        while (now - start < limit.toMillis() && !condition.getAsBoolean()) {
-            now += STEP_MILLIS;
+        long start = nowMillis;
+        while (nowMillis - start < limit.toMillis() && !condition.getAsBoolean()) {
+            nowMillis += STEP_MILLIS;
             platform.step();
-            while (!deliveries.isEmpty() && deliveries.peek().at() <= now) {
+            while (!deliveries.isEmpty() && deliveries.peek().atMillis() <= nowMillis) {
                 deliveries.poll().action().run();
             }
             for (DrivenNode node : List.copyOf(nodes.values())) {
                 node.step();
             }
         }
-        return Duration.ofMillis(now - start);
+        return Duration.ofMillis(nowMillis - start);
     }
 
     public DrivenPlatform platform() {
@@ -105,7 +105,7 @@
     }
 
     public void maximumDelay(Duration delay) {
-        maximumDelay = delay.toMillis();
+        maximumDelayMillis = delay.toMillis();
     }
 
     public void cut(BiPredicate<DrivenNode, DrivenNode> separates) {
@@ -133,11 +133,11 @@
     }
 
     long nowMillis() {
-        return now;
+        return nowMillis;
     }
 
-    void later(long delayMillis, Runnable action) {
-        deliveries.add(new Delivery(now + delayMillis, order++, action));
+    void schedule(long delayMillis, Runnable action) {
+        deliveries.add(new Delivery(nowMillis + delayMillis, sequence++, action));
     }
 
     void send(DrivenNode from, PeerEffect.Send send) {
@@ -146,19 +146,19 @@
             from.accept(new PeerEvent.Undeliverable(send.target(), send.message()));
             return;
         }
-        carry(from, address.get(), Optional.of(send.target()), send.message());
+        transmit(from, address.get(), Optional.of(send.target()), send.message());
     }
 
     void sendToAddress(DrivenNode from, PeerEffect.SendToAddress send) {
-        carry(from, send.address(), Optional.empty(), send.message());
+        transmit(from, send.address(), Optional.empty(), send.message());
     }
 
-    private void carry(DrivenNode from, String address, Optional<NodeName> target, PeerMessage message) {
+    private void transmit(DrivenNode from, String address, Optional<NodeName> target, PeerMessage message) {
         observer.accept(from, message);
         int copies = random.nextDouble() < duplication ? 2 : 1;
         for (int i = 0; i < copies; i++) {
             if (random.nextDouble() >= loss) {
-                later(1 + random.nextInt((int) maximumDelay), () -> deliver(from, address, target, message));
+                schedule(1 + random.nextInt((int) maximumDelayMillis), () -> deliver(from, address, target, message));
             }
         }
     }
@@ -175,9 +175,9 @@
         to.accept(new PeerEvent.Received(from.identity(), message));
     }
 
-    private record Delivery(long at, long order, Runnable action) {}
+    private record Delivery(long atMillis, long sequence, Runnable action) {}
 
-    /** Something that takes events. */
+    /** A receiver of events. */
     interface Inbox {
         void accept(Event event);
     }
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/driver/DrivenNode.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/driver/DrivenNode.java
@@ -28,10 +28,13 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** A node of a {@link CoreDriver}: the core with membership and configuration, and what the shell would do for it. */
+/**
+ * A node of a {@link CoreDriver}: a core with membership and configuration, and a replacement of the shell that
+ * executes its effects.
+ */
 public final class DrivenNode implements CoreDriver.Inbox {
 
-    private static final long TICK_MILLIS = 20;
+    private static final long TICK_INTERVAL_MILLIS = 20;
 
     private final CoreDriver driver;
     private final MembershipSystem membership;
@@ -44,7 +47,7 @@
     private List<Event> inbox = new ArrayList<>();
     private NodeIdentity identity;
     private Optional<String> kept = Optional.empty();
-    private long lastTick;
+    private long lastTickMillis;
     private boolean paused;
     private long cpuNanos;
     private long ticks;
@@ -104,7 +107,7 @@
         return configuration;
     }
 
-    /** Returns the generations that came into force, in order. */
+    /** Returns the generations that were activated, in order. */
     public List<Long> generations() {
         return generations;
     }
@@ -113,7 +116,7 @@
         return events;
     }
 
-    /** Returns the envelope that the shell would have kept on disk. */
+    /** Returns the envelope that the shell would have stored on disk. */
     public Optional<String> kept() {
         return kept;
     }
@@ -149,25 +152,25 @@
 
     void step() {
         long now = driver.nowMillis();
-        if (paused || (inbox.isEmpty() && now - lastTick < TICK_MILLIS)) {
+        if (paused || (inbox.isEmpty() && now - lastTickMillis < TICK_INTERVAL_MILLIS)) {
             return;
         }
-        lastTick = now;
-        List<Event> taken = inbox;
+        lastTickMillis = now;
+        List<Event> received = inbox;
         inbox = new ArrayList<>();
         MonotonicTime time = time();
-        long started = System.nanoTime();
-        List<Effect> effects = core.tick(time, taken).effects();
-        cpuNanos += System.nanoTime() - started;
+        long startedNanos = System.nanoTime();
+        List<Effect> effects = core.tick(time, received).effects();
+        cpuNanos += System.nanoTime() - startedNanos;
         ticks++;
-        effects.forEach(this::carryOut);
+        effects.forEach(this::execute);
     }
 
     private MonotonicTime time() {
         return MonotonicTime.ZERO.plus(clockOffset).plus(Duration.ofMillis(driver.nowMillis()));
     }
 
-    private void carryOut(Effect effect) {
+    private void execute(Effect effect) {
         if (effect instanceof PeerEffect.Send send) {
             driver.send(this, send);
         } else if (effect instanceof PeerEffect.SendToAddress send) {
@@ -181,7 +184,7 @@
         } else if (effect instanceof MembershipEffect.Identify identified) {
             identity = identified.identity();
         } else if (effect instanceof ConfigurationEffect.Decode decode) {
-            driver.later(1, () -> accept(Envelopes.decode(decode.envelope())));
+            driver.schedule(1, () -> accept(Envelopes.decode(decode.envelope())));
         } else if (effect instanceof ConfigurationEffect.Keep keep) {
             kept = Optional.of(keep.envelope().toUtf8());
         }
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/driver/DrivenPlatform.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/driver/DrivenPlatform.java
@@ -15,20 +15,20 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 
-/** A small platform for a {@link CoreDriver}: objects with versions, watches, outages and a replica that is behind. */
+/** A simulated platform for a {@link CoreDriver}: objects with versions, watches, outages and a lagging replica. */
 public final class DrivenPlatform {
 
-    private static final long TIMEOUT_MILLIS = 200;
-    private static final long WATCH_MILLIS = 10_000;
+    private static final long CALL_TIMEOUT_MILLIS = 200;
+    private static final long WATCH_TIMEOUT_MILLIS = 10_000;
 
     private final CoreDriver driver;
     private final Map<String, StoredObject> objects = new TreeMap<>();
     private final Map<Kind, Integer> calls = new EnumMap<>(Kind.class);
-    private final List<Waiting> watches = new ArrayList<>();
+    private final List<PendingWatch> watches = new ArrayList<>();
     private Predicate<DrivenNode> unreachable = _node -> false;
     private Optional<Map<String, StoredObject>> replica = Optional.empty();
     private List<PlatformEvent.VirtualMachine> virtualMachines = List.of();
-    private long callMillis = 5;
+    private long answerDelayMillis = 5;
     private long version = 100;
 
     DrivenPlatform(CoreDriver driver) {
@@ -44,14 +44,14 @@
     }
 
     public void slow(Duration delay) {
-        callMillis = delay.toMillis();
+        answerDelayMillis = delay.toMillis();
     }
 
     public void downFor(Predicate<DrivenNode> nodes) {
         unreachable = nodes;
     }
 
-    /** From now on, reads and lists answer what is stored at this time, while watches go on as usual. */
+    /** Makes reads and lists return the current objects from now on, while watches still return later changes. */
     public void freezeReplica() {
         replica = Optional.of(new TreeMap<>(objects));
     }
@@ -83,17 +83,17 @@
     }
 
     void step() {
-        for (Waiting waiting : List.copyOf(watches)) {
-            boolean over = driver.nowMillis() - waiting.since() >= WATCH_MILLIS;
-            if (unreachable.test(waiting.node())) {
-                watches.remove(waiting);
-                fail(waiting.node(), waiting.call().token());
-            } else if (over || !changes(waiting.call()).isEmpty()) {
-                watches.remove(waiting);
-                List<StoredObject> changes = changes(waiting.call());
+        for (PendingWatch pending : List.copyOf(watches)) {
+            boolean expired = driver.nowMillis() - pending.sinceMillis() >= WATCH_TIMEOUT_MILLIS;
+            if (unreachable.test(pending.node())) {
+                watches.remove(pending);
+                fail(pending.node(), pending.call().token());
+            } else if (expired || !changes(pending.call()).isEmpty()) {
+                watches.remove(pending);
+                List<StoredObject> changes = changes(pending.call());
                 answer(
-                        waiting.node(),
-                        new PlatformEvent.ObjectsListed(waiting.call().token(), changes, version, false));
+                        pending.node(),
+                        new PlatformEvent.ObjectsListed(pending.call().token(), changes, version, false));
             }
         }
     }
@@ -101,9 +101,9 @@
     void call(DrivenNode node, PlatformEffect call) {
         calls.merge(Kind.of(call), 1, Integer::sum);
         if (unreachable.test(node)) {
-            driver.later(TIMEOUT_MILLIS, () -> fail(node, call.token()));
+            driver.schedule(CALL_TIMEOUT_MILLIS, () -> fail(node, call.token()));
         } else if (call instanceof PlatformEffect.Watch watch) {
-            watches.add(new Waiting(node, watch, driver.nowMillis()));
+            watches.add(new PendingWatch(node, watch, driver.nowMillis()));
         } else {
             answer(node, execute(call));
         }
@@ -148,7 +148,7 @@
     }
 
     private void answer(DrivenNode node, PlatformEvent event) {
-        driver.later(callMillis, () -> node.accept(event));
+        driver.schedule(answerDelayMillis, () -> node.accept(event));
     }
 
     private static void fail(DrivenNode node, long token) {
@@ -174,5 +174,5 @@
         }
     }
 
-    private record Waiting(DrivenNode node, PlatformEffect.Watch call, long since) {}
+    private record PendingWatch(DrivenNode node, PlatformEffect.Watch call, long sinceMillis) {}
 }
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/driver/Envelopes.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/driver/Envelopes.java
@@ -11,7 +11,10 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** Envelopes as the tests write them: a generation, a colon and a content, which is not understood if it is "newer". */
+/**
+ * Envelopes in the format of the tests: a generation, a colon and a content. The content "newer" stands for a format
+ * that this version cannot read.
+ */
 public final class Envelopes {
 
     private static final FleetConfiguration CONFIGURATION = new FleetConfiguration(
