--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/site/SharedPlatform.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/site/SharedPlatform.java
@@ -15,47 +15,47 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 
-/** The platform's objects as several cores share them, with outages, lost answers and calls that are applied late. */
+/** A simulated platform that several cores share, with outages, lost answers and writes that are applied late. */
 public final class SharedPlatform {
 
     private final Map<String, StoredObject> objects = new TreeMap<>();
     private final List<StoredObject> changes = new ArrayList<>();
     private final List<PlatformEffect> log = new ArrayList<>();
-    private final List<PlatformEffect.Write> late = new ArrayList<>();
-    private BiPredicate<String, PlatformEffect> down = (_node, _call) -> false;
+    private final List<PlatformEffect.Write> delayedWrites = new ArrayList<>();
+    private BiPredicate<String, PlatformEffect> failing = (_node, _call) -> false;
     private BiPredicate<String, PlatformEffect> answerLost = (_node, _call) -> false;
     private BiPredicate<String, PlatformEffect> appliedLate = (_node, _call) -> false;
-    private Predicate<String> cut = _node -> false;
+    private Predicate<String> disconnected = _node -> false;
     private Predicate<String> silent = _node -> false;
     private Function<String, Duration> delay = _node -> Duration.ZERO;
     private long version = 10;
-    private long oldestKnown;
+    private long oldestAvailableVersion;
 
     /** Fails the calls that match. */
     public void failWhere(BiPredicate<String, PlatformEffect> condition) {
-        down = condition;
+        failing = condition;
     }
 
-    /** Applies the calls that match, and loses their answers. */
+    /** Applies the calls that match, and drops their answers. */
     public void loseAnswersWhere(BiPredicate<String, PlatformEffect> condition) {
         answerLost = condition;
     }
 
-    /** Answers the writes that match not at all, and applies them when {@link #applyLate()} is called. */
+    /** Reports no answer to the writes that match, and applies them when {@link #applyLate()} is called. */
     public void applyLateWhere(BiPredicate<String, PlatformEffect> condition) {
         appliedLate = condition;
     }
 
-    /** Applies the writes that were held back, as far as their conditions still hold. */
+    /** Applies the delayed writes whose expected versions still match. */
     public void applyLate() {
-        late.forEach(this::write);
-        late.clear();
+        delayedWrites.forEach(this::write);
+        delayedWrites.clear();
     }
 
-    /** Forgets the history of changes. */
+    /** Discards the history of changes. */
     public void compact() {
         changes.clear();
-        oldestKnown = version;
+        oldestAvailableVersion = version;
     }
 
     /** Puts an object as the operator, an endpoint or a trainer would. */
@@ -80,54 +80,57 @@
                 .toList();
     }
 
-    /** Returns the calls so far. */
+    /** Returns all executed calls. */
     public List<PlatformEffect> log() {
         return log;
     }
 
-    /** Leaves the calls that match without an answer until their time is up, as a cut path does. */
+    /**
+     * Disconnects the nodes that match: their watches end with an error at the wait time, and their other calls stay
+     * unanswered.
+     */
     public void cutWhere(Predicate<String> condition) {
-        cut = condition;
+        disconnected = condition;
     }
 
-    /** Leaves the calls of the nodes that match without any answer for as long as they match. */
+    /** Does not answer the calls of the nodes that match while they match. */
     public void silenceWhere(Predicate<String> condition) {
         silent = condition;
     }
 
-    /** Delays the answers to nodes, which tell what was so when they were written. */
+    /** Delays the answers to nodes. An answer contains the state at the time when it was created. */
     public void delayAnswers(Function<String, Duration> byNode) {
         delay = byNode;
     }
 
-    /** Returns how long an answer is on its way to a node. */
+    /** Returns the delay of an answer to a node. */
     Duration delay(String node) {
         return delay.apply(node);
     }
 
-    /** Returns whether nothing is answered to a node. */
+    /** Returns whether calls of a node are not answered. */
     boolean isSilent(String node) {
         return silent.test(node);
     }
 
     /** Returns whether a call is to be answered now. */
     boolean isReady(String node, PlatformEffect call) {
-        if (cut.test(node)) {
+        if (disconnected.test(node)) {
             return false;
         }
         return !(call instanceof PlatformEffect.Watch watch)
-                || watch.afterVersion() < oldestKnown
+                || watch.afterVersion() < oldestAvailableVersion
                 || !changesAfter(watch).isEmpty();
     }
 
-    /** Carries out a call of a node. */
+    /** Executes a call of a node. */
     PlatformEvent answer(String node, PlatformEffect call) {
         log.add(call);
-        if (cut.test(node) || down.test(node, call)) {
+        if (disconnected.test(node) || failing.test(node, call)) {
             return new PlatformEvent.Unavailable(call.token(), false, "outage");
         }
         if (call instanceof PlatformEffect.Write write && appliedLate.test(node, call)) {
-            late.add(write);
+            delayedWrites.add(write);
             return new PlatformEvent.Unavailable(call.token(), true, "no answer");
         }
         PlatformEvent event = execute(call);
@@ -148,21 +151,21 @@
             return new PlatformEvent.ObjectsListed(list.token(), found, version, false);
         }
         if (call instanceof PlatformEffect.Watch watch) {
-            boolean gone = watch.afterVersion() < oldestKnown;
+            boolean compacted = watch.afterVersion() < oldestAvailableVersion;
             return new PlatformEvent.ObjectsListed(
-                    watch.token(), gone ? List.of() : changesAfter(watch), version, gone);
+                    watch.token(), compacted ? List.of() : changesAfter(watch), version, compacted);
         }
         if (call instanceof PlatformEffect.Write write) {
             return write(write);
         }
-        throw new IllegalArgumentException("Not expected: " + call);
+        throw new IllegalArgumentException("unexpected call: " + call);
     }
 
     private PlatformEvent write(PlatformEffect.Write write) {
         Optional<StoredObject> current =
                 Optional.ofNullable(objects.get(write.key().toString()));
-        long present = current.map(StoredObject::version).orElse(-1L);
-        if (present != write.expectedVersion().orElse(-1)) {
+        long currentVersion = current.map(StoredObject::version).orElse(-1L);
+        if (currentVersion != write.expectedVersion().orElse(-1)) {
             return new PlatformEvent.Conflict(write.token(), current);
         }
         store(write.key(), write.value(), false);
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/site/TestNode.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/site/TestNode.java
@@ -25,20 +25,20 @@
 import java.util.Optional;
 import java.util.function.BiFunction;
 
-/** One core with hand-fed events and a hand-moved clock. */
+/** A single core with simulated events and a simulated clock. */
 public final class TestNode implements MembershipView {
 
     private final TestSite site;
     private final String name;
     private final DecisionCore core;
-    private final List<Event> waiting = new ArrayList<>();
-    private final List<Underway> underway = new ArrayList<>();
-    private final Map<PlatformEffect, MonotonicTime> calls = new LinkedHashMap<>();
+    private final List<Event> inbox = new ArrayList<>();
+    private final List<AnswerInTransit> answersInTransit = new ArrayList<>();
+    private final Map<PlatformEffect, MonotonicTime> pendingCalls = new LinkedHashMap<>();
     private final List<Effect> effects = new ArrayList<>();
     private final List<Decision> decisions = new ArrayList<>();
     private boolean frozen;
     private Optional<MonotonicTime> suspendedAt = Optional.empty();
-    private Duration lag = Duration.ZERO;
+    private Duration clockLag = Duration.ZERO;
 
     TestNode(TestSite site, String name, BiFunction<TestNode, PlatformTokens, List<DecisionSystem>> systems) {
         this.site = site;
@@ -51,87 +51,88 @@
         return name;
     }
 
-    /** Gives the core an event with its next tick. */
+    /** Adds an event for the next tick of the core. */
     public void accept(Event event) {
-        waiting.add(event);
+        inbox.add(event);
     }
 
-    /** Stops and resumes the node's ticks. */
+    /** Stops or resumes the ticks of the node. */
     public void freeze(boolean state) {
         frozen = state;
     }
 
-    /** Returns the effects of a type so far that were not taken yet, and takes them. */
+    /** Removes and returns the recorded effects of a type. */
     public <T extends Effect> List<T> take(Class<T> type) {
         List<T> taken = new ArrayList<>();
         effects.removeIf(effect -> type.isInstance(effect) && taken.add(type.cast(effect)));
         return taken;
     }
 
-    /** Returns the decisions so far. */
+    /** Returns all recorded decisions. */
     public List<Decision> decisions() {
         return decisions;
     }
 
-    /** Suspends the machine: its monotonic clock stands still until it is resumed. */
+    /** Suspends the VM: its monotonic clock stops until it is resumed. */
     public void suspend() {
         suspendedAt = Optional.of(site.now());
     }
 
-    /** Resumes the machine, which finds out by its time of day. */
+    /** Resumes the VM, which detects the suspension by its time of day. */
     public void resume() {
         Duration gap = site.now().since(suspendedAt.orElseThrow());
-        lag = lag.plus(gap);
+        clockLag = clockLag.plus(gap);
         suspendedAt = Optional.empty();
-        waiting.add(0, new Suspended(gap));
+        inbox.add(0, new Suspended(gap));
     }
 
     void step(MonotonicTime siteTime) {
-        takeAnswers(siteTime);
+        executeCalls(siteTime);
         if (frozen || suspendedAt.isPresent()) {
             return;
         }
-        MonotonicTime now = siteTime.plus(lag.negated());
-        List<Event> events = arrived(siteTime);
+        MonotonicTime now = siteTime.plus(clockLag.negated());
+        List<Event> events = takeArrivedEvents(siteTime);
         TickResult result = core.tick(now, events);
         decisions.addAll(result.decisions());
         for (Effect effect : result.effects()) {
             if (effect instanceof PlatformEffect call) {
-                calls.put(call, siteTime);
+                pendingCalls.put(call, siteTime);
             } else {
                 effects.add(effect);
-                site.carry(name, effect);
+                site.transmit(name, effect);
             }
         }
     }
 
-    /** Has the platform answer, whether or not the node runs. */
-    private void takeAnswers(MonotonicTime siteTime) {
+    /** Executes calls at the platform, regardless of whether the node is running. */
+    private void executeCalls(MonotonicTime siteTime) {
         SharedPlatform platform = site.platform();
         if (platform.isSilent(name)) {
             return;
         }
-        for (PlatformEffect call : List.copyOf(calls.keySet())) {
-            if (platform.isReady(name, call) || isOver(call, siteTime)) {
-                calls.remove(call);
-                underway.add(new Underway(platform.answer(name, call), siteTime.plus(platform.delay(name))));
+        for (PlatformEffect call : List.copyOf(pendingCalls.keySet())) {
+            if (platform.isReady(name, call) || isWatchExpired(call, siteTime)) {
+                pendingCalls.remove(call);
+                answersInTransit.add(
+                        new AnswerInTransit(platform.answer(name, call), siteTime.plus(platform.delay(name))));
             }
         }
     }
 
-    /** Takes the events that have arrived. */
-    private List<Event> arrived(MonotonicTime siteTime) {
-        underway.removeIf(answer -> !siteTime.isBefore(answer.due()) && waiting.add(answer.event()));
-        List<Event> events = List.copyOf(waiting);
-        waiting.clear();
+    /** Removes and returns the events that have arrived. */
+    private List<Event> takeArrivedEvents(MonotonicTime siteTime) {
+        answersInTransit.removeIf(answer -> !siteTime.isBefore(answer.due()) && inbox.add(answer.event()));
+        List<Event> events = List.copyOf(inbox);
+        inbox.clear();
         return events;
     }
 
-    /** Returns whether a watch has waited for as long as it may. */
-    private boolean isOver(PlatformEffect call, MonotonicTime now) {
+    /** Returns whether the wait time of a watch is over. */
+    private boolean isWatchExpired(PlatformEffect call, MonotonicTime now) {
         return call instanceof PlatformEffect.Watch watch
                 && watch.waitTime()
-                        .filter(wait -> now.since(calls.get(call)).compareTo(wait) >= 0)
+                        .filter(wait -> now.since(pendingCalls.get(call)).compareTo(wait) >= 0)
                         .isPresent();
     }
 
@@ -153,8 +154,8 @@
                 .or(() -> site.leaving(wanted));
     }
 
-    /** An answer on its way. */
-    private record Underway(Event event, MonotonicTime due) {}
+    /** An answer in transit. */
+    private record AnswerInTransit(Event event, MonotonicTime due) {}
 
     static Member member(String name) {
         return new Member(
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/site/TestSite.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/site/TestSite.java
@@ -22,21 +22,21 @@
 import java.util.function.BiPredicate;
 import java.util.function.Consumer;
 
-/** Some cores that share a platform, moved by hand in ticks of ten milliseconds. */
+/** Several cores that share a platform, on a simulated clock that advances in steps of ten milliseconds. */
 public final class TestSite {
 
-    private static final Duration STEP = Duration.ofMillis(10);
+    private static final Duration STEP_INTERVAL = Duration.ofMillis(10);
 
     private final SharedPlatform platform = new SharedPlatform();
     private final Map<String, TestNode> nodes = new LinkedHashMap<>();
-    private final Set<String> gone = new TreeSet<>();
+    private final Set<String> consideredDead = new TreeSet<>();
     private final Set<String> leaving = new TreeSet<>();
     private final Map<String, Integer> capacities = new LinkedHashMap<>();
     private Consumer<TestSite> everyStep = _site -> {};
     private boolean connected;
-    private BiPredicate<String, String> cut = (_from, _to) -> false;
+    private BiPredicate<String, String> disconnected = (_from, _to) -> false;
     private BiFunction<String, String, Duration> delay = (_from, _to) -> Duration.ZERO;
-    private final List<Underway> underway = new ArrayList<>();
+    private final List<MessageInTransit> messagesInTransit = new ArrayList<>();
     private MonotonicTime now = new MonotonicTime(Duration.ofSeconds(100).toNanos());
 
     /** Returns the platform. */
@@ -44,49 +44,49 @@
         return platform;
     }
 
-    /** Returns the present. */
+    /** Returns the current time. */
     public MonotonicTime now() {
         return now;
     }
 
-    /** Returns the nodes that run. */
+    /** Returns the running nodes. */
     Collection<TestNode> nodes() {
         return nodes.values();
     }
 
-    /** Starts a node, or starts it anew under the same name. */
+    /** Starts a node, or restarts it under the same name. */
     public TestNode start(String name, BiFunction<TestNode, PlatformTokens, List<DecisionSystem>> systems) {
         TestNode node = new TestNode(this, name, systems);
-        gone.remove(name);
+        consideredDead.remove(name);
         nodes.put(name, node);
         return node;
     }
 
-    /** Kills a node: it runs no more, and the others have noticed. */
+    /** Kills a node: it stops running, and the others consider it dead. */
     public void kill(String name) {
         nodes.remove(name);
-        gone.add(name);
+        consideredDead.add(name);
     }
 
-    /** Sets what the processors of a node can do, in hundredths of a core. */
+    /** Sets the processor capacity of a node, in hundredths of a core. */
     public void capacity(String name, int hundredths) {
         capacities.put(name, hundredths);
     }
 
-    /** Lets the others believe that a node is gone though it runs. */
+    /** Makes the others consider a node dead although it is running. */
     public void believeGone(String name) {
-        gone.add(name);
+        consideredDead.add(name);
     }
 
-    /** Lets the others believe that a node is about to stop. */
+    /** Makes the others consider a node as leaving. */
     public void believeLeaving(String name) {
         leaving.add(name);
     }
 
-    /** Carries messages between nodes, except where the path between two names is cut. */
-    public void connect(BiPredicate<String, String> cutBetween) {
+    /** Delivers messages between nodes, except between names that the predicate disconnects. */
+    public void connect(BiPredicate<String, String> disconnects) {
         connected = true;
-        cut = cutBetween;
+        disconnected = disconnects;
     }
 
     /** Delays the messages between two nodes. */
@@ -94,40 +94,40 @@
         delay = between;
     }
 
-    /** Does something after each step, such as playing engines. */
+    /** Sets an action that runs after each step, such as simulating engines. */
     public void everyStep(Consumer<TestSite> action) {
         everyStep = action;
     }
 
-    /** Moves the clock. */
+    /** Advances the clock. */
     public void run(Duration time) {
         MonotonicTime end = now.plus(time);
         while (now.isBefore(end)) {
-            now = now.plus(STEP);
-            underway.removeIf(this::deliverIfDue);
+            now = now.plus(STEP_INTERVAL);
+            messagesInTransit.removeIf(this::deliverIfDue);
             List.copyOf(nodes.values()).forEach(node -> node.step(now));
             everyStep.accept(this);
         }
     }
 
-    void carry(String from, Effect effect) {
+    void transmit(String from, Effect effect) {
         if (!connected || !(effect instanceof PeerEffect.Send send)) {
             return;
         }
         String target = send.target().value();
-        if (!cut.test(from, target)) {
-            Underway message = new Underway(
+        if (!disconnected.test(from, target)) {
+            MessageInTransit message = new MessageInTransit(
                     target,
                     new PeerEvent.Received(member(from).identity(), send.message()),
                     now.plus(delay.apply(from, target)));
             if (!deliverIfDue(message)) {
-                underway.add(message);
+                messagesInTransit.add(message);
             }
         }
     }
 
     /** Delivers a message if it has arrived. */
-    private boolean deliverIfDue(Underway message) {
+    private boolean deliverIfDue(MessageInTransit message) {
         if (now.isBefore(message.due())) {
             return false;
         }
@@ -135,8 +135,8 @@
         return true;
     }
 
-    /** A message on its way. */
-    private record Underway(String target, PeerEvent.Received event, MonotonicTime due) {}
+    /** A message in transit. */
+    private record MessageInTransit(String target, PeerEvent.Received event, MonotonicTime due) {}
 
     Member member(String name) {
         return TestNode.member(name).withCapacity(capacities.getOrDefault(name, 0));
@@ -149,7 +149,7 @@
 
     Collection<Member> workingAsSeenBy(String name) {
         return nodes.keySet().stream()
-                .filter(other -> other.equals(name) || !(gone.contains(other) || leaving.contains(other)))
+                .filter(other -> other.equals(name) || !(consideredDead.contains(other) || leaving.contains(other)))
                 .map(this::member)
                 .toList();
     }
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/site/Troubles.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/site/Troubles.java
@@ -8,82 +8,84 @@
 import java.util.Random;
 
 /**
- * What befalls nodes of a site, each for a time. Only times after a change matter, so all end before the next one.
+ * Faults of the nodes of a site, each for a limited time. Tests examine only the time after a change, so all faults end
+ * before the next change.
  *
- * @param all The troubles.
+ * @param all The faults.
  */
-public record Troubles(List<Trouble> all) {
+public record Troubles(List<Fault> all) {
 
-    /** How long slow answers and messages are on their way. */
-    private static final Duration SLOWNESS = Duration.ofMillis(280);
+    /** The delay of slow answers and messages. */
+    private static final Duration SLOW_DELAY = Duration.ofMillis(280);
 
-    /** Nothing befalls anybody. */
+    /** No faults. */
     public static final Troubles NONE = new Troubles(List.of());
 
-    /** Draws troubles that follow each other at nodes without a pause. */
+    /** Draws random faults that follow each other at each node without a gap. */
     public static Troubles drawn(Collection<String> nodes, MonotonicTime begin, Random random) {
-        List<Trouble> troubles = new ArrayList<>();
+        List<Fault> faults = new ArrayList<>();
         for (String node : nodes) {
             MonotonicTime at = begin;
             for (int i = 0; i < 4; i++) {
                 Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
                 MonotonicTime end = at.plus(Duration.ofMillis(800 + random.nextInt(700)));
-                troubles.add(new Trouble(node, kind, at, end));
+                faults.add(new Fault(node, kind, at, end));
                 at = end;
             }
         }
-        return new Troubles(troubles);
+        return new Troubles(faults);
     }
 
-    /** Nodes lose the platform, and stand still after some time. */
+    /** Creates faults in which nodes lose the platform and freeze some time later. */
     public static Troubles lostAndStill(Collection<String> nodes, MonotonicTime lost, Duration contact) {
-        List<Trouble> troubles = new ArrayList<>();
+        List<Fault> faults = new ArrayList<>();
         MonotonicTime end = lost.plus(Duration.ofSeconds(4));
         for (String node : nodes) {
-            troubles.add(new Trouble(node, Kind.PLATFORM_IS_SILENT, lost, end));
-            troubles.add(new Trouble(node, Kind.STANDS_STILL, lost.plus(contact), end));
+            faults.add(new Fault(node, Kind.PLATFORM_DOES_NOT_ANSWER, lost, end));
+            faults.add(new Fault(node, Kind.NODE_IS_FROZEN, lost.plus(contact), end));
         }
-        return new Troubles(troubles);
+        return new Troubles(faults);
     }
 
-    /** Brings them about in a site, from now on. */
+    /** Injects the faults into a site from now on. */
     public void strike(TestSite site) {
-        site.everyStep(this::strikeNow);
-        strikeNow(site);
+        site.everyStep(this::injectCurrent);
+        injectCurrent(site);
     }
 
-    private void strikeNow(TestSite site) {
+    private void injectCurrent(TestSite site) {
         MonotonicTime now = site.now();
-        site.nodes().forEach(node -> node.freeze(isStruck(node.name(), Kind.STANDS_STILL, now)));
-        site.platform().silenceWhere(name -> isStruck(name, Kind.PLATFORM_IS_SILENT, now));
-        site.platform().failWhere((name, _call) -> isStruck(name, Kind.PLATFORM_REFUSES, now));
-        site.platform().delayAnswers(name -> slowness(isStruck(name, Kind.PLATFORM_IS_SLOW, now)));
-        site.connect((from, to) -> isStruck(from, Kind.IS_CUT_OFF, now) || isStruck(to, Kind.IS_CUT_OFF, now));
-        site.delayMessages((from, _to) -> slowness(isStruck(from, Kind.MESSAGES_ARE_SLOW, now)));
+        site.nodes().forEach(node -> node.freeze(isActive(node.name(), Kind.NODE_IS_FROZEN, now)));
+        site.platform().silenceWhere(name -> isActive(name, Kind.PLATFORM_DOES_NOT_ANSWER, now));
+        site.platform().failWhere((name, _call) -> isActive(name, Kind.PLATFORM_REFUSES, now));
+        site.platform().delayAnswers(name -> delayIf(isActive(name, Kind.PLATFORM_IS_SLOW, now)));
+        site.connect((from, to) ->
+                isActive(from, Kind.NODE_IS_DISCONNECTED, now) || isActive(to, Kind.NODE_IS_DISCONNECTED, now));
+        site.delayMessages((from, _to) -> delayIf(isActive(from, Kind.MESSAGES_ARE_SLOW, now)));
     }
 
-    private static Duration slowness(boolean struck) {
-        return struck ? SLOWNESS : Duration.ZERO;
+    private static Duration delayIf(boolean slow) {
+        return slow ? SLOW_DELAY : Duration.ZERO;
     }
 
-    private boolean isStruck(String node, Kind kind, MonotonicTime now) {
+    private boolean isActive(String node, Kind kind, MonotonicTime now) {
         return all.stream()
-                .anyMatch(trouble -> trouble.node().equals(node)
-                        && trouble.kind() == kind
-                        && !now.isBefore(trouble.from())
-                        && now.isBefore(trouble.until()));
+                .anyMatch(fault -> fault.node().equals(node)
+                        && fault.kind() == kind
+                        && !now.isBefore(fault.from())
+                        && now.isBefore(fault.until()));
     }
 
-    /** What befalls a node. */
+    /** The kind of a fault. */
     public enum Kind {
-        STANDS_STILL,
-        PLATFORM_IS_SILENT,
+        NODE_IS_FROZEN,
+        PLATFORM_DOES_NOT_ANSWER,
         PLATFORM_REFUSES,
         PLATFORM_IS_SLOW,
-        IS_CUT_OFF,
+        NODE_IS_DISCONNECTED,
         MESSAGES_ARE_SLOW
     }
 
-    /** What befalls a node for a time. */
-    public record Trouble(String node, Kind kind, MonotonicTime from, MonotonicTime until) {}
+    /** A fault of a node during an interval. */
+    public record Fault(String node, Kind kind, MonotonicTime from, MonotonicTime until) {}
 }
