--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/ChangeQueue.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/ChangeQueue.java
@@ -24,15 +24,15 @@
     private int equalPartners;
 
     /** The pending changes by the names of their members. */
-    private final EntityTable<NodeName, PendingChange> pendingChanges = new EntityTable<>();
+    private final EntityTable<NodeName, PendingChange> changes = new EntityTable<>();
 
     /**
-     * Adds a change, replacing an earlier one of the same member.
+     * Adds a change, in place of an earlier one of the same member.
      *
      * @param name The member's name.
      */
     void add(NodeName name) {
-        pendingChanges.put(name, new PendingChange(name, 0));
+        changes.put(name, new PendingChange(name, 0));
         equalPartners = 0;
     }
 
@@ -46,7 +46,7 @@
     void recordComparison(boolean equal) {
         equalPartners = equal ? equalPartners + 1 : 0;
         if (equalPartners >= EQUAL_PARTNERS_BEFORE_DROP) {
-            pendingChanges.removeIf(_change -> true);
+            changes.removeIf(_change -> true);
         }
     }
 
@@ -57,18 +57,17 @@
      * @return The names of the members that changed.
      */
     List<NodeName> take(int nodes) {
-        if (pendingChanges.size() == 0) {
+        if (changes.size() == 0) {
             return List.of();
         }
         int limit = TRANSMISSIONS_PER_LOGARITHM * (Integer.SIZE - Integer.numberOfLeadingZeros(nodes + 1));
-        List<NodeName> taken = pendingChanges.rows().stream()
+        List<NodeName> taken = changes.rows().stream()
                 .sorted(Comparator.comparingInt(PendingChange::transmissions))
                 .limit(MAXIMUM_CHANGES_PER_MESSAGE)
                 .map(PendingChange::name)
                 .toList();
-        taken.forEach(
-                name -> pendingChanges.update(name, change -> new PendingChange(name, change.transmissions() + 1)));
-        pendingChanges.removeIf(change -> change.transmissions() >= limit);
+        taken.forEach(name -> changes.update(name, change -> new PendingChange(name, change.transmissions() + 1)));
+        changes.removeIf(change -> change.transmissions() >= limit);
         return taken;
     }
 
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/driver/CoreDriver.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/driver/CoreDriver.java
@@ -36,7 +36,7 @@
     private double loss;
     private double duplication;
     private long maximumDelayMillis = 5;
-    private BiPredicate<DrivenNode, DrivenNode> cut = (_from, _to) -> false;
+    private BiPredicate<DrivenNode, DrivenNode> partition = (_from, _to) -> false;
     private BiConsumer<DrivenNode, PeerMessage> observer = (_from, _message) -> {};
 
     public CoreDriver(long seed) {
@@ -108,16 +108,16 @@
         maximumDelayMillis = delay.toMillis();
     }
 
-    public void cut(BiPredicate<DrivenNode, DrivenNode> separates) {
-        cut = (from, to) -> separates.test(from, to) || separates.test(to, from);
+    public void partition(BiPredicate<DrivenNode, DrivenNode> separates) {
+        partition = (from, to) -> separates.test(from, to) || separates.test(to, from);
     }
 
     public void cutZone(String zone) {
-        cut((from, to) -> from.zone().equals(zone) && !to.zone().equals(zone));
+        partition((from, to) -> from.zone().equals(zone) && !to.zone().equals(zone));
     }
 
     public void heal() {
-        cut = (_from, _to) -> false;
+        partition = (_from, _to) -> false;
     }
 
     public void observe(BiConsumer<DrivenNode, PeerMessage> messages) {
@@ -165,7 +165,7 @@
 
     private void deliver(DrivenNode from, String address, Optional<NodeName> target, PeerMessage message) {
         DrivenNode to = nodes.get(address);
-        if (to != null && cut.test(from, to)) {
+        if (to != null && partition.test(from, to)) {
             return;
         }
         if (to == null || target.filter(name -> !name.equals(to.name())).isPresent()) {
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/membership/MembershipSystemTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/membership/MembershipSystemTest.java
@@ -96,7 +96,7 @@
         DrivenNode paused = fleet.get(1);
         paused.pause();
         driver.run(Duration.ofSeconds(5));
-        driver.cut((from, _to) -> from == paused);
+        driver.partition((from, _to) -> from == paused);
         paused.resume();
 
         driver.runUntil(() -> paused.membership().isDoubtful(), Duration.ofSeconds(1));
@@ -169,7 +169,7 @@
     @Test
     void aNodeThatOnlyOneOtherNodeCannotReachIsNotSuspected() {
         List<DrivenNode> fleet = joined(6, 2);
-        driver.cut((from, to) -> from == fleet.get(1) && to == fleet.get(2));
+        driver.partition((from, to) -> from == fleet.get(1) && to == fleet.get(2));
         driver.run(Duration.ofSeconds(30));
 
         assertThat(fleet)
@@ -194,7 +194,7 @@
     void anIsolatedNodeDeclaresTheOthersDeadLaterThanTheyDeclareItDead() {
         List<DrivenNode> fleet = joined(8, 2);
         DrivenNode isolated = fleet.get(2);
-        driver.cut((from, _to) -> from == isolated);
+        driver.partition((from, _to) -> from == isolated);
 
         driver.runUntil(() -> otherNodesSee(isolated, MemberCondition.DEAD), MAXIMUM_WAIT);
         assertThat(isolated.membership().working()).hasSize(8);
@@ -451,7 +451,7 @@
 
     private DrivenNode isolateWhilePaused(DrivenNode node) {
         node.pause();
-        driver.cut((from, _to) -> from == node);
+        driver.partition((from, _to) -> from == node);
         driver.run(Duration.ofSeconds(2));
         return node;
     }
