--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/BearerCredential.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/BearerCredential.java
@@ -5,23 +5,24 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Reads the key that a request bears as a bearer token. */
+/** Reads the key that a request presents as a bearer token. */
 public final class BearerCredential {
 
-    /** The header that bears the key. */
+    /** The header that carries the key. */
     public static final String HEADER = "Authorization";
 
-    /** The scheme of the header, in lower case: schemes may be written in any case. */
+    /** The authentication scheme in lower case, as schemes are case-insensitive. */
     private static final String SCHEME = "bearer ";
 
     /** This class has no instances. */
     private BearerCredential() {}
 
     /**
-     * Reads the key. A request that bears the header twice presents none, as another reader might take the other one.
+     * Reads the key. A request with more than one such header is unreadable, since another reader might use the other
+     * value.
      *
      * @param values All values of the header.
-     * @return What the request presents.
+     * @return The credential of the request.
      */
     public static Credential read(List<String> values) {
         if (values.isEmpty()) {
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/EndpointStatus.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/EndpointStatus.java
@@ -5,7 +5,7 @@
 import io.yuccaswitch.node.operator.StatusSection;
 import java.util.Map;
 
-/** The part of the status document that shows endpoints and the weight versions that they hold. */
+/** The part of the status document that shows endpoints and the weight versions that they have loaded. */
 final class EndpointStatus implements StatusSection {
 
     /** The table of endpoints. */
@@ -52,9 +52,9 @@
      *
      * @param name The endpoint's name.
      * @param address The endpoint's address.
-     * @param availabilityZone The availability zone that it lies in.
-     * @param condition Whether it takes new work.
-     * @param loadedVersions The weight versions that it last reported, by model.
+     * @param availabilityZone The endpoint's availability zone.
+     * @param condition Whether the endpoint accepts new work.
+     * @param loadedVersions The weight versions that the endpoint last reported, by model.
      */
     private record Row(
             String name, String address, String availabilityZone, String condition, Map<String, Long> loadedVersions) {}
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/HostAndPort.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/HostAndPort.java
@@ -3,7 +3,7 @@
 /**
  * An address that a server listens on.
  *
- * @param host The host, as an IP number or a name.
+ * @param host The host, as an IP address or a name.
  * @param port The port.
  */
 public record HostAndPort(String host, int port) {
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/Node.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/Node.java
@@ -49,16 +49,16 @@
 import java.util.List;
 import org.jboss.logging.Logger;
 
-/** A node: the decision core, the loop that ticks it, and the shell that carries out its effects. */
+/** A node: the decision core, the loop that runs its ticks, and the shell that executes its effects. */
 final class Node {
 
-    /** The exit code when an invariant broke. */
+    /** The exit code when an invariant is violated or the entry address can't be used. */
     private static final int EXIT_BROKEN_INVARIANT = 70;
 
-    /** The time in which the last messages of a node leave before it exits. */
-    private static final Duration DEPARTURE_TIME = Duration.ofMillis(300);
+    /** The delay before the exit, during which the last messages to other nodes are sent. */
+    private static final Duration DEPARTURE_DELAY = Duration.ofMillis(300);
 
-    /** The time that an order may take if its pool is not known. */
+    /** The timeout of an order whose pool is not configured. */
     private static final Duration DEFAULT_ORDER_TIMEOUT = Duration.ofSeconds(10);
 
     /** The logger. */
@@ -73,10 +73,10 @@
     /** The decision core. */
     private final NodeCore core;
 
-    /** What the threads of the shell see of the core. */
+    /** Publishes the state of the core to the threads of the shell. */
     private final NodeObserver observer;
 
-    /** The loop that ticks the core. */
+    /** The loop that runs the ticks of the core. */
     private final DecisionLoop loop;
 
     /** The log of decisions. */
@@ -85,13 +85,13 @@
     /** The client of the platform. */
     private final PlatformClient platform;
 
-    /** The messages between nodes. */
+    /** The transport of messages between nodes. */
     private final PeerTransport transport;
 
-    /** The glue between membership and transport. */
+    /** Connects the membership to the transport. */
     private final MembershipService membership;
 
-    /** The glue between configuration and disk. */
+    /** Connects the configuration to its snapshot on disk. */
     private final ConfigurationService configuration;
 
     /** The clients of endpoints. */
@@ -103,11 +103,11 @@
     /** The interface for operators. */
     private final OperatorServer operators;
 
-    /** The planned stop. */
+    /** The graceful shutdown. */
     private final GracefulShutdown shutdown;
 
     /**
-     * Assembles a node, which listens for other nodes from now on but does nothing yet.
+     * Creates a node. It listens for other nodes from now on, but does nothing else before {@link #start()}.
      *
      * @param settings The node's local settings.
      */
@@ -115,7 +115,7 @@
         this.settings = settings;
         RequestClock clock = new RequestClock(DecisionLoop.now(), System.currentTimeMillis());
         Member self = self(settings, clock.originEpochMillis());
-        observer = new NodeObserver(self.identity(), this::serve, this::sharePlatform);
+        observer = new NodeObserver(self.identity(), this::startEntryServer, this::updatePlatformRates);
         core = new NodeCore(self, settings.seeds(), clock, self.identity().hashCode(), observer);
         loop = new DecisionLoop(
                 core.core(),
@@ -156,12 +156,12 @@
     }
 
     /**
-     * Stops the process at once when a part of the shell threw what nobody handles, as its subscription to the effects
-     * ended thereby. An exception that came after its stream had been cancelled is only logged.
+     * Halts the process after an unhandled exception in the shell, as the exception has ended a subscription to
+     * effects. An exception that arrives after its stream was cancelled is only logged.
      *
      * @param exception The exception.
      */
-    private static void unhandled(Throwable exception) {
+    private static void haltOnUnhandled(Throwable exception) {
         if (exception instanceof UndeliverableException) {
             LOGGER.warn("event=late-exception", exception);
             return;
@@ -170,9 +170,9 @@
         Runtime.getRuntime().halt(EXIT_BROKEN_INVARIANT);
     }
 
-    /** Starts all parts. The entry address is listened on once the node is ready to serve. */
+    /** Starts all components. The entry server starts once the node is ready to serve. */
     void start() {
-        RxJavaPlugins.setErrorHandler(Node::unhandled);
+        RxJavaPlugins.setErrorHandler(Node::haltOnUnhandled);
         subscribe();
         membership.start();
         configuration.start();
@@ -184,7 +184,7 @@
                 observer.identity(), settings.availabilityZone(), settings.peerAddress(), settings.operatorAddress());
     }
 
-    /** Runs the planned stop to its end, or returns at once if it has begun already. */
+    /** Runs the graceful shutdown to its end, or returns immediately if it has already begun. */
     void stopGracefully() {
         if (shutdown.isBegun()) {
             return;
@@ -193,7 +193,7 @@
             shutdown.run();
             entry.close();
             loop.accept(new MembershipEvent.Departing());
-            Thread.sleep(DEPARTURE_TIME.toMillis());
+            Thread.sleep(DEPARTURE_DELAY.toMillis());
         } catch (InterruptedException exception) {
             Thread.currentThread().interrupt();
             LOGGER.warn("event=shutdown-interrupted", exception);
@@ -204,7 +204,7 @@
         LOGGER.infof("event=node-stopped node=%s", observer.identity());
     }
 
-    /** Connects the effects of the core with what carries them out. */
+    /** Subscribes the components that execute the effects of the core. */
     @SuppressWarnings("CheckReturnValue")
     private void subscribe() {
         endpoints.connect();
@@ -217,23 +217,23 @@
         MembershipService.register(core.membership(), metrics);
     }
 
-    /** Listens on the entry address. This is called on the loop's thread once the node is ready. */
-    private void serve() {
+    /** Starts the entry server on a separate thread. This is called on the loop's thread once the node is ready. */
+    private void startEntryServer() {
         Thread thread = new Thread(this::listen, "entry-start");
         thread.start();
     }
 
     /**
-     * Limits this node's calls to its even share of what the platform takes.
+     * Limits the rates of this node's calls to its even share of the platform's rate limits.
      *
-     * @param workingNodes The number of nodes that take work, this one included.
+     * @param workingNodes The number of nodes that accept work, including this one.
      */
-    private void sharePlatform(int workingNodes) {
+    private void updatePlatformRates(int workingNodes) {
         platform.changeRates(platformRates().shareOf(workingNodes));
     }
 
     /**
-     * Returns what the platform takes from all nodes together.
+     * Returns the rate limits of the platform, which apply to all nodes together.
      *
      * @return The rates.
      */
@@ -242,7 +242,7 @@
         return new CallRates(limits.writesPerSecond(), limits.readsPerSecond());
     }
 
-    /** Begins to listen on the entry address, and stops the process if that is impossible. */
+    /** Starts listening on the entry address, and halts the process if this fails. */
     private void listen() {
         try {
             entry.start(HostAndPort.parse(settings.entryAddress()));
@@ -277,16 +277,16 @@
                 settings.operatorToken());
     }
 
-    /** Begins a planned stop that ends the process. */
+    /** Starts a graceful shutdown, which ends the process. */
     private void drain() {
         Thread thread = new Thread(() -> System.exit(0), "drain");
         thread.start();
     }
 
     /**
-     * Returns the longest validity that entry addresses are given with.
+     * Returns the maximum validity of the entry addresses that callers receive.
      *
-     * @return The validity, or nothing at all before the first configuration.
+     * @return The validity, or zero before the first configuration.
      */
     private Duration addressValidity() {
         return observer.configuration()
@@ -296,15 +296,15 @@
     }
 
     /**
-     * Returns the longest flight of an order.
+     * Returns the timeout of an order.
      *
      * @param order The order.
-     * @return The longest flight of the order.
+     * @return The timeout.
      */
     private Duration orderTimeout(WeightEffect.Order order) {
         PoolName pool = order.endpoint().pool();
         return observer.configuration()
-                .map(inForce -> inForce.pools().get(pool))
+                .map(active -> active.pools().get(pool))
                 .map(PoolSettings::weights)
                 .map(weights -> weights.orderTimeout())
                 .orElse(DEFAULT_ORDER_TIMEOUT);
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/NodeCore.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/NodeCore.java
@@ -29,9 +29,8 @@
 import java.util.List;
 
 /**
- * The decision core of a node with all its systems, in the order in which they run: who is there, what is in force,
- * which endpoints there are, who holds leases, which weights go where, which samples are due, and the requests
- * themselves.
+ * The decision core of a node with all its systems, in the order in which they run: membership, configuration,
+ * endpoints, leases, weights, samples and requests.
  */
 final class NodeCore {
 
@@ -44,7 +43,7 @@
     /** The newest versions of the trainers. */
     private final VersionTable versions = new VersionTable();
 
-    /** The engines and models of the pools whose weights this node brings. */
+    /** The engines and models of the pools whose weights this node distributes. */
     private final WeightTables weights = new WeightTables();
 
     /** The membership. */
@@ -53,7 +52,7 @@
     /** The leases. */
     private final LeaseSystem leases;
 
-    /** Keeps requests under which endpoints ended away from further ones. */
+    /** The quarantine, which withholds requests during which endpoints ended from further endpoints. */
     private final QuarantineSystem quarantine;
 
     /** The request path. */
@@ -66,13 +65,13 @@
     private final DecisionCore core;
 
     /**
-     * Assembles a core.
+     * Creates a core.
      *
      * @param self This node as a member.
      * @param seeds The peer addresses of nodes to contact first.
-     * @param clock The clock that counts the windows of request ids.
+     * @param clock The clock that computes the windows of request ids.
      * @param seed The seed of the core's randomness.
-     * @param observer Looks at each tick after all systems have run.
+     * @param observer Runs at the end of each tick, after all systems.
      */
     NodeCore(Member self, List<String> seeds, RequestClock clock, long seed, NodeObserver observer) {
         PlatformTokens tokens = new PlatformTokens();
@@ -166,7 +165,7 @@
     }
 
     /**
-     * Returns what keeps requests under which endpoints ended away from further ones.
+     * Returns the quarantine of requests during which endpoints ended.
      *
      * @return The quarantine.
      */
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/NodeMain.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/NodeMain.java
@@ -14,10 +14,10 @@
 /** The entry point of {@code yuccaswitch-node}. */
 public final class NodeMain {
 
-    /** The exit code when a planned stop came to its end, or help was asked for. */
+    /** The exit code after a graceful shutdown, a successful check or a request for help. */
     private static final int EXIT_OK = 0;
 
-    /** The exit code when an invariant broke or an address can't be listened on. */
+    /** The exit code when the node fails to start. */
     private static final int EXIT_FAILED = 1;
 
     /** The exit code when the command line or the settings are invalid. */
@@ -38,7 +38,7 @@
     @Parameter(names = "--help", help = true, description = "Print this text")
     private boolean help;
 
-    /** Only the entry point creates an instance, to hold the parameters. */
+    /** Creates an instance that holds the parameters of the command line. */
     private NodeMain() {}
 
     /**
@@ -56,9 +56,9 @@
      * Runs a command line.
      *
      * @param arguments The command line.
-     * @param output Where to print what was asked for.
-     * @param errors Where to print errors.
-     * @return The exit code, or empty if the node runs now.
+     * @param output The stream for regular output.
+     * @param errors The stream for errors.
+     * @return The exit code, or empty if the node is running.
      */
     private Optional<Integer> run(String[] arguments, PrintStream output, PrintStream errors) {
         JCommander parser = JCommander.newBuilder()
@@ -90,10 +90,11 @@
     }
 
     /**
-     * Starts a node. The hook is the process's own, as a planned stop concerns far more than its web servers.
+     * Starts a node. It registers its own shutdown hook rather than those of the web servers, as a graceful shutdown
+     * involves far more components than these.
      *
      * @param decoded The node's local settings.
-     * @return An exit code if the node could not start.
+     * @return The exit code, or empty if the node has started.
      */
     @SuppressWarnings("ShutdownHook")
     private static Optional<Integer> start(NodeSettings decoded) {
@@ -110,8 +111,8 @@
     }
 
     /**
-     * Stops a node gracefully and ends the process. A virtual machine that a signal ends would exit with the signal's
-     * code, which supervisors take for a failure.
+     * Stops a node gracefully and halts the process with an exit code of zero. A JVM that is ended by a signal would
+     * exit with the signal's code otherwise, which supervisors treat as a failure.
      *
      * @param node The node.
      */
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/NodeObserver.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/NodeObserver.java
@@ -9,24 +9,24 @@
 import java.util.function.IntConsumer;
 
 /**
- * Runs after all other systems and makes the configuration in force, the node's identity and its readiness visible to
- * the threads of the shell.
+ * Runs after all other systems and publishes the active configuration, the node's identity and its readiness to the
+ * threads of the shell.
  */
 final class NodeObserver {
 
-    /** What to do once the node is ready to serve. */
+    /** Runs once when the node becomes ready to serve. */
     private final Runnable onReady;
 
-    /** Takes the number of nodes that take work when it changes. */
+    /** Receives the number of nodes that accept work whenever it changes. */
     private final IntConsumer onWorkingNodes;
 
-    /** The number of nodes that took work at the tick before. */
+    /** The number of nodes that accepted work at the previous tick. */
     private int workingNodes;
 
     /** The identity of this node. */
     private volatile NodeIdentity identity;
 
-    /** The configuration in force, or empty before the first one. */
+    /** The active configuration, or empty before the first one. */
     private volatile Optional<FleetConfiguration> configuration = Optional.empty();
 
     /** Whether the node is ready to serve. */
@@ -36,8 +36,8 @@
      * Creates a new observer.
      *
      * @param identity The identity that the node starts with.
-     * @param onReady What to do once the node is ready to serve, which must not block.
-     * @param onWorkingNodes Takes the number of nodes that take work when it changes, and must not block.
+     * @param onReady Runs once when the node becomes ready to serve, and must not block.
+     * @param onWorkingNodes Receives the number of nodes that accept work whenever it changes, and must not block.
      */
     NodeObserver(NodeIdentity identity, Runnable onReady, IntConsumer onWorkingNodes) {
         this.identity = identity;
@@ -46,10 +46,10 @@
     }
 
     /**
-     * Looks at the tick after all systems have run.
+     * Observes a tick after all systems have run.
      *
      * @param tick The tick.
-     * @param currentWorkingNodes The number of nodes that take work, this one included.
+     * @param currentWorkingNodes The number of nodes that accept work, including this one.
      */
     void run(Tick tick, int currentWorkingNodes) {
         for (ConfigurationEvent.InForce event : tick.events(ConfigurationEvent.InForce.class)) {
@@ -78,9 +78,9 @@
     }
 
     /**
-     * Returns the configuration in force.
+     * Returns the active configuration.
      *
-     * @return The configuration in force, or empty before the first one.
+     * @return The active configuration, or empty before the first one.
      */
     Optional<FleetConfiguration> configuration() {
         return configuration;
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/NodeSettings.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/NodeSettings.java
@@ -8,21 +8,21 @@
 import java.util.Optional;
 
 /**
- * The local settings of a node, which stay apart from the fleet's configuration.
+ * The local settings of a node, which are separate from the configuration of the fleet.
  *
  * @param name The node's name.
  * @param site The name of the site, which all nodes of the site share.
- * @param availabilityZone The availability zone that the VM lies in.
- * @param region The region that the VM lies in.
+ * @param availabilityZone The availability zone of the VM.
+ * @param region The region of the VM.
  * @param entryAddress The address for callers and trainers as {@code host:port}.
  * @param peerAddress The address for other nodes as {@code host:port}.
  * @param operatorAddress The address for operators as {@code host:port}.
- * @param seeds The peer addresses of nodes to ask first when the platform does not answer.
- * @param platform How the platform is reached.
+ * @param seeds The peer addresses of the nodes to contact first when the platform does not answer.
+ * @param platform The settings of the connection to the platform.
  * @param peerToken The token that all nodes of the site share.
  * @param operatorToken The token that operators present.
  * @param dataFolder The folder on a small disk, if the VM has one.
- * @param log How the node writes its logs.
+ * @param log The settings of the logs.
  */
 public record NodeSettings(
         @Setting(description = "The node's name, unique within the site.") NodeName name,
@@ -47,12 +47,12 @@
     }
 
     /**
-     * How the platform is reached.
+     * The settings of the connection to the platform.
      *
      * @param address The platform's address as {@code host:port}.
      * @param token The bearer token for the platform.
-     * @param writesPerSecond The writes a second that the platform takes from all nodes together.
-     * @param readsPerSecond The reads a second that the platform takes from all nodes together.
+     * @param writesPerSecond The maximum writes per second that the platform accepts from all nodes together.
+     * @param readsPerSecond The maximum reads per second that the platform accepts from all nodes together.
      */
     public record PlatformSettings(
             @Setting(description = "The platform's address as host:port.") String address,
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/NodeStatus.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/NodeStatus.java
@@ -4,23 +4,23 @@
 import java.lang.management.ManagementFactory;
 import java.util.Optional;
 
-/** The part of the status document that names the node and its release. */
+/** The part of the status document that shows the node, its release and its readiness. */
 final class NodeStatus implements StatusSection {
 
-    /** The release that is shown if the program was not packaged. */
-    private static final String UNPACKAGED = "unpackaged";
+    /** The release that is shown if the program does not run from a packaged archive. */
+    private static final String UNPACKAGED_RELEASE = "unpackaged";
 
     /** The node's local settings. */
     private final NodeSettings settings;
 
-    /** What the threads of the shell see of the core. */
+    /** Supplies the identity and the readiness of the node. */
     private final NodeObserver observer;
 
     /**
      * Creates a new section.
      *
      * @param settings The node's local settings.
-     * @param observer What the threads of the shell see of the core.
+     * @param observer Supplies the identity and the readiness of the node.
      */
     NodeStatus(NodeSettings settings, NodeObserver observer) {
         this.settings = settings;
@@ -37,7 +37,7 @@
     @Override
     public Object content() {
         String release = Optional.ofNullable(NodeStatus.class.getPackage().getImplementationVersion())
-                .orElse(UNPACKAGED);
+                .orElse(UNPACKAGED_RELEASE);
         return new Content(
                 observer.identity().toString(),
                 settings.availabilityZone().toString(),
@@ -51,8 +51,8 @@
      * The content of the section.
      *
      * @param identity The node's name and incarnation.
-     * @param availabilityZone The availability zone that the VM lies in.
-     * @param region The region that the VM lies in.
+     * @param availabilityZone The availability zone of the VM.
+     * @param region The region of the VM.
      * @param release The release of the program.
      * @param uptimeMillis The milliseconds since the process started.
      * @param ready {@code true} if the node serves callers.
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/SteadyTimeOfDay.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/SteadyTimeOfDay.java
@@ -4,58 +4,57 @@
 import java.util.function.LongSupplier;
 
 /**
- * The time of day, without the steps of a machine's clock that are taken back: a step counts only once it has lasted.
- * With the machine's clock alone, one that is set wrong for some seconds counts the requests of these seconds in a
- * wrong window.
+ * The time of day, without transient steps of the system clock: a step is applied only once it has persisted. A system
+ * clock that is wrong for a few seconds would otherwise assign the requests of these seconds to a wrong window.
  */
 public final class SteadyTimeOfDay implements LongSupplier {
 
-    /**
-     * The difference from which on a change of the clock is a step: far more than a clock drifts between two readings.
-     */
+    /** The minimum change of the clock that is treated as a step: far more than a clock drifts between two readings. */
     private static final long STEP_MILLIS = 250;
 
-    /** How long a step has to last until it counts: longer than a clock that was set wrong by mistake is left so. */
-    private static final Duration LASTING = Duration.ofSeconds(45);
+    /**
+     * The time after which a step is applied: longer than a clock that was set wrongly by mistake usually stays wrong.
+     */
+    private static final Duration STEP_CONFIRMATION_DELAY = Duration.ofSeconds(45);
 
-    /** Tells the machine's time of day, in milliseconds since the epoch. */
+    /** Supplies the system clock's time of day, in milliseconds since the epoch. */
     private final LongSupplier timeOfDay;
 
-    /** Tells the monotonic time, in nanoseconds. */
+    /** Supplies the monotonic time, in nanoseconds. */
     private final LongSupplier monotonic;
 
-    /** What the monotonic time lacks of the time of day, in milliseconds. */
-    private long offset;
+    /** The difference between the time of day and the monotonic time, in milliseconds. */
+    private long offsetMillis;
 
-    /** Since when the clock has differed by a step, in monotonic nanoseconds, or a negative number if it does not. */
-    private long stepSince = -1;
+    /** The monotonic time in nanoseconds at which a pending step was first seen, or a negative number without one. */
+    private long stepSinceNanos = -1;
 
     /**
-     * Creates a time of day that agrees with the machine's clock.
+     * Creates a time of day that starts with the time of the system clock.
      *
-     * @param timeOfDay Tells the machine's time of day, in milliseconds since the epoch.
-     * @param monotonic Tells the monotonic time, in nanoseconds.
+     * @param timeOfDay Supplies the system clock's time of day, in milliseconds since the epoch.
+     * @param monotonic Supplies the monotonic time, in nanoseconds.
      */
     public SteadyTimeOfDay(LongSupplier timeOfDay, LongSupplier monotonic) {
         this.timeOfDay = timeOfDay;
         this.monotonic = monotonic;
-        offset = timeOfDay.getAsLong() - millis(monotonic.getAsLong());
+        offsetMillis = timeOfDay.getAsLong() - millis(monotonic.getAsLong());
     }
 
     @Override
     public synchronized long getAsLong() {
         long nanos = monotonic.getAsLong();
         long current = timeOfDay.getAsLong() - millis(nanos);
-        if (Math.abs(current - offset) < STEP_MILLIS) {
-            offset = current;
-            stepSince = -1;
-        } else if (stepSince < 0) {
-            stepSince = nanos;
-        } else if (nanos - stepSince >= LASTING.toNanos()) {
-            offset = current;
-            stepSince = -1;
+        if (Math.abs(current - offsetMillis) < STEP_MILLIS) {
+            offsetMillis = current;
+            stepSinceNanos = -1;
+        } else if (stepSinceNanos < 0) {
+            stepSinceNanos = nanos;
+        } else if (nanos - stepSinceNanos >= STEP_CONFIRMATION_DELAY.toNanos()) {
+            offsetMillis = current;
+            stepSinceNanos = -1;
         }
-        return millis(nanos) + offset;
+        return millis(nanos) + offsetMillis;
     }
 
     /**
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/package-info.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/package-info.java
@@ -1,2 +1,2 @@
-/** The process that runs on every entry VM: the shell around the decision core. */
+/** The process that runs on every entry VM: the decision core and the shell that executes its effects. */
 package io.yuccaswitch.node;
--- a/yuccaswitch-node/src/test/java/io/yuccaswitch/node/BearerCredentialTest.java
+++ b/yuccaswitch-node/src/test/java/io/yuccaswitch/node/BearerCredentialTest.java
@@ -7,11 +7,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a request presents. */
 final class BearerCredentialTest {
 
     @Test
-    void theSchemeIsReadInAnyCaseAndSpacing() {
+    void theSchemeIsReadInAnyCaseAndWithAnySpacing() {
         Credential expected = new Credential.Key(KeyDigest.of("secret"));
         assertThat(BearerCredential.read(List.of("Bearer secret"))).isEqualTo(expected);
         assertThat(BearerCredential.read(List.of("bEARER   secret"))).isEqualTo(expected);
@@ -19,7 +18,7 @@
     }
 
     @Test
-    void whatIsNotOneKeyIsNone() {
+    void headersWithoutExactlyOneKeyYieldNoKey() {
         Credential unreadable = new Credential.Unreadable();
         assertThat(BearerCredential.read(List.of("Bearer secret", "Bearer other")))
                 .isEqualTo(unreadable);
@@ -30,7 +29,7 @@
     }
 
     @Test
-    void aKeyOfThirtyTwoKilobytesIsAKeyLikeAnother() {
+    void aKeyOfThirtyTwoKilobytesIsRead() {
         String key = "k".repeat(32 * 1024);
         assertThat(BearerCredential.read(List.of("Bearer " + key))).isEqualTo(new Credential.Key(KeyDigest.of(key)));
     }
--- a/yuccaswitch-node/src/test/java/io/yuccaswitch/node/SteadyTimeOfDayTest.java
+++ b/yuccaswitch-node/src/test/java/io/yuccaswitch/node/SteadyTimeOfDayTest.java
@@ -4,48 +4,47 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The time of day that usage is counted by. */
 final class SteadyTimeOfDayTest {
 
-    private static final long START = 1_700_000_000_000L;
+    private static final long START_MILLIS = 1_700_000_000_000L;
 
-    private long clock = START;
+    private long clockMillis = START_MILLIS;
     private long nanos;
-    private final SteadyTimeOfDay time = new SteadyTimeOfDay(() -> clock, () -> nanos);
+    private final SteadyTimeOfDay time = new SteadyTimeOfDay(() -> clockMillis, () -> nanos);
 
     @Test
-    void itFollowsAClockThatDrifts() {
+    void theTimeFollowsADriftingClock() {
         for (int second = 0; second < 100; second++) {
             nanos += 1_000_000_000L;
-            clock += 1010;
-            assertThat(time.getAsLong()).isEqualTo(clock);
+            clockMillis += 1010;
+            assertThat(time.getAsLong()).isEqualTo(clockMillis);
         }
     }
 
     @Test
-    void aStepThatIsTakenBackDoesNotCount() {
-        pass(1000);
-        clock -= 2000;
-        pass(8000);
-        assertThat(time.getAsLong()).isEqualTo(START + 9000);
-        clock += 2000;
-        pass(1000);
-        assertThat(time.getAsLong()).isEqualTo(START + 10_000);
+    void aRevertedStepIsIgnored() {
+        advance(1000);
+        clockMillis -= 2000;
+        advance(8000);
+        assertThat(time.getAsLong()).isEqualTo(START_MILLIS + 9000);
+        clockMillis += 2000;
+        advance(1000);
+        assertThat(time.getAsLong()).isEqualTo(START_MILLIS + 10_000);
     }
 
     @Test
-    void aStepThatLastsCounts() {
-        pass(1000);
-        clock += 5000;
-        pass(10);
-        assertThat(time.getAsLong()).isEqualTo(START + 1010);
-        pass(60_000);
+    void aPersistentStepIsApplied() {
+        advance(1000);
+        clockMillis += 5000;
+        advance(10);
+        assertThat(time.getAsLong()).isEqualTo(START_MILLIS + 1010);
+        advance(60_000);
         time.getAsLong();
-        assertThat(time.getAsLong()).isEqualTo(clock);
+        assertThat(time.getAsLong()).isEqualTo(clockMillis);
     }
 
-    private void pass(long millis) {
+    private void advance(long millis) {
         nanos += millis * 1_000_000;
-        clock += millis;
+        clockMillis += millis;
     }
 }
