--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/configuration/ConfigurationService.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/configuration/ConfigurationService.java
@@ -18,9 +18,8 @@
 import org.jboss.logging.Logger;
 
 /**
- * Carries out what the distribution of the configuration wants, on a thread of its own and in order, since decoding a
- * large configuration would hold up the decision loop. A configuration that can't be decoded is reported as rejected
- * and never stops the process.
+ * Executes the effects of the configuration in order on a separate thread, since decoding a large configuration would
+ * delay the decision loop. A configuration that can't be decoded is reported as rejected and never stops the process.
  */
 public final class ConfigurationService implements AutoCloseable {
 
@@ -33,16 +32,16 @@
     /** The decision loop. */
     private final DecisionLoop loop;
 
-    /** Decodes envelopes. */
+    /** The decoder of envelopes. */
     private final EnvelopeDecoder decoder;
 
     /** The snapshot, if the VM has a disk. */
     private final Optional<SnapshotFile> snapshot;
 
-    /** The configurations that were rejected. */
+    /** Counts the rejected configurations. */
     private final Counter rejected;
 
-    /** The thread that decodes and writes. */
+    /** The thread that decodes configurations and writes the snapshot. */
     private final ExecutorService executor = Executors.newSingleThreadExecutor(task -> {
         Thread thread = new Thread(task, "configuration");
         thread.setDaemon(true);
@@ -53,12 +52,12 @@
     private final CompositeDisposable subscriptions = new CompositeDisposable();
 
     /**
-     * Creates a service that does nothing yet.
+     * Creates a service that is not started yet.
      *
      * @param loop The decision loop.
-     * @param decoder Decodes envelopes.
+     * @param decoder The decoder of envelopes.
      * @param dataFolder The data folder, if the VM has a disk.
-     * @param metrics The registry to count in.
+     * @param metrics The registry of the metrics.
      */
     public ConfigurationService(
             DecisionLoop loop, EnvelopeDecoder decoder, Optional<Path> dataFolder, MetricRegistry metrics) {
@@ -68,11 +67,11 @@
         rejected = metrics.counter("configuration.rejected");
     }
 
-    /** Subscribes to the effects and reads the snapshot. This is called before the loop starts. */
+    /** Subscribes to the effects and reads the snapshot. Must be called before the loop starts. */
     public void start() {
         Scheduler scheduler = Schedulers.from(executor);
         subscriptions.add(
-                loop.effects(ConfigurationEffect.class).observeOn(scheduler).subscribe(this::carryOut));
+                loop.effects(ConfigurationEffect.class).observeOn(scheduler).subscribe(this::execute));
         snapshot.ifPresent(file -> executor.execute(() -> readSnapshot(file)));
     }
 
@@ -84,20 +83,20 @@
     }
 
     /**
-     * Hands the snapshot to the decision core, if there is one that is whole.
+     * Submits the snapshot to the decision core if it is present and intact.
      *
-     * @param file The snapshot.
+     * @param file The file of the snapshot.
      */
     private void readSnapshot(SnapshotFile file) {
         file.read().map(ConfigurationEvent.SnapshotFound::new).ifPresent(loop::accept);
     }
 
     /**
-     * Carries out an effect.
+     * Executes an effect.
      *
      * @param effect The effect.
      */
-    private void carryOut(ConfigurationEffect effect) {
+    private void execute(ConfigurationEffect effect) {
         if (effect instanceof ConfigurationEffect.Decode decode) {
             loop.accept(decode(decode.envelope()));
         } else if (effect instanceof ConfigurationEffect.Keep keep) {
@@ -106,13 +105,13 @@
     }
 
     /**
-     * Decodes an envelope. Whatever goes wrong with it is a rejection, since an envelope comes from outside.
+     * Decodes an envelope and reports a rejection. Any failure is a rejection, since envelopes come from outside.
      *
      * @param envelope The envelope.
      * @return The decoded generation, or its rejection.
      */
     private ConfigurationEvent decode(Bytes envelope) {
-        ConfigurationEvent event = attempt(envelope);
+        ConfigurationEvent event = tryDecode(envelope);
         if (event instanceof ConfigurationEvent.Rejected rejection) {
             rejected.inc();
             LOGGER.errorf(
@@ -123,12 +122,12 @@
     }
 
     /**
-     * Tries to decode an envelope.
+     * Decodes an envelope, and turns an exception into a rejection.
      *
      * @param envelope The envelope.
      * @return The decoded generation, or its rejection.
      */
-    private ConfigurationEvent attempt(Bytes envelope) {
+    private ConfigurationEvent tryDecode(Bytes envelope) {
         try {
             return decoder.decode(envelope);
         } catch (RuntimeException exception) {
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/configuration/ConfigurationStatus.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/configuration/ConfigurationStatus.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** The part of the status document that shows which generation is in force, and for how long. */
+/** The part of the status document that shows the active generation and how long it has been active. */
 public final class ConfigurationStatus implements StatusSection {
 
     /** The configuration. */
@@ -39,9 +39,9 @@
     /**
      * The content of the section.
      *
-     * @param generation The generation in force, or zero if there is none.
-     * @param inForceForMillis The milliseconds for which it has been in force, or empty if there is none.
-     * @param heldGeneration The highest generation that the node holds, whether or not it understands it.
+     * @param generation The active generation, or zero if there is none.
+     * @param inForceForMillis The milliseconds since it became active, or empty if there is none.
+     * @param heldGeneration The highest generation that the node holds, whether or not the node could decode it.
      * @param ready {@code true} if the node may serve.
      */
     private record Content(long generation, Optional<Long> inForceForMillis, long heldGeneration, boolean ready) {}
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/configuration/EnvelopeDecoder.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/configuration/EnvelopeDecoder.java
@@ -11,7 +11,7 @@
 import java.util.OptionalLong;
 import java.util.stream.Collectors;
 
-/** Decodes envelopes of the configuration, whoever sent them. */
+/** Decodes envelopes of the configuration, independent of their sender. */
 @FunctionalInterface
 public interface EnvelopeDecoder {
 
@@ -26,8 +26,8 @@
     /** Decodes envelopes that hold the merged folder as JSON, as the operators' command writes them. */
     final class OfDocument implements EnvelopeDecoder {
 
-        /** The largest number of errors that a rejection names. */
-        private static final int NAMED_ERRORS = 3;
+        /** The maximum number of errors that a rejection lists. */
+        private static final int MAXIMUM_LISTED_ERRORS = 3;
 
         /** {@inheritDoc} */
         @Override
@@ -47,14 +47,14 @@
         }
 
         /**
-         * Names the first errors of a result.
+         * Joins the first errors of a result.
          *
          * @param result The result.
          * @return The reason of the rejection.
          */
         private static String reason(SettingsResult<FleetConfiguration> result) {
             return result.errors().stream()
-                    .limit(NAMED_ERRORS)
+                    .limit(MAXIMUM_LISTED_ERRORS)
                     .map(SettingsError::toString)
                     .collect(Collectors.joining("; "));
         }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/configuration/package-info.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** The shell of the configuration: decoding of generations, and their snapshot on disk. */
+/** Decodes the generations of the configuration and stores their snapshot on disk. */
 package io.yuccaswitch.node.configuration;
--- a/yuccaswitch-node/src/test/java/io/yuccaswitch/node/configuration/EnvelopeDecoderTest.java
+++ b/yuccaswitch-node/src/test/java/io/yuccaswitch/node/configuration/EnvelopeDecoderTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void aContentOfANewerReleaseIsRejectedWithItsGeneration() {
+    void contentOfANewerReleaseIsRejectedWithItsGeneration() {
         assertThat(decoder.decode(envelope("{\"site\": \"padma\", \"fromTheFuture\": 1}")))
                 .isInstanceOfSatisfying(ConfigurationEvent.Rejected.class, rejected -> {
                     assertThat(rejected.generation()).isEqualTo(OptionalLong.of(7));
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void rubbishIsRejectedWithoutAGeneration() {
+    void malformedInputIsRejectedWithoutAGeneration() {
         assertThat(decoder.decode(Bytes.ofUtf8("{rubbish")))
                 .isInstanceOfSatisfying(ConfigurationEvent.Rejected.class, rejected -> assertThat(rejected.generation())
                         .isEmpty());
