--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/disk/SnapshotFile.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/disk/SnapshotFile.java
@@ -13,20 +13,20 @@
 import org.jboss.logging.Logger;
 
 /**
- * A file that holds one value and is replaced as a whole. The value is written to a second file that then takes the
- * place of the first one, such that a reader finds the old value or the new one. A file that is torn, damaged or of
- * another format reads as if it were not there. Instances are confined to one thread.
+ * A file that holds one value and is replaced atomically. The value is written to a second file, which is then renamed
+ * to the first one, so that a reader finds either the old value or the new one. A file that is truncated, damaged or of
+ * another format is treated as absent. Instances are confined to one thread.
  */
 public final class SnapshotFile {
 
-    /** The first bytes of each file: an abbreviation and the version of the format. */
-    private static final long FORMAT = 0x5955_4343_534E_0001L;
+    /** The first bytes of each file: a magic number and the version of the format. */
+    private static final long FORMAT_ID = 0x5955_4343_534E_0001L;
 
     /** The number of bytes before the value: the format, the length and the checksum. */
-    private static final int HEADER_SIZE = Long.BYTES + Integer.BYTES + Integer.BYTES;
+    private static final int HEADER_BYTES = Long.BYTES + Integer.BYTES + Integer.BYTES;
 
-    /** The largest size of a value. */
-    private static final int MAXIMUM_SIZE = 256 * 1024 * 1024;
+    /** The maximum size of a value. */
+    private static final int MAXIMUM_VALUE_BYTES = 256 * 1024 * 1024;
 
     /** The logger. */
     private static final Logger LOGGER = Logger.getLogger(SnapshotFile.class);
@@ -34,11 +34,11 @@
     /** The file. */
     private final Path file;
 
-    /** The file that is written before it takes the place of the other one. */
+    /** The file that is written first and then renamed to the other one. */
     private final Path replacement;
 
     /**
-     * Creates a new instance, without touching the disk.
+     * Creates a new instance without accessing the disk.
      *
      * @param file The file.
      */
@@ -50,7 +50,7 @@
     /**
      * Reads the value.
      *
-     * @return The value, or empty if there is none that is whole.
+     * @return The value, or empty if there is no intact one.
      */
     public Optional<Bytes> read() {
         if (!Files.exists(file)) {
@@ -69,13 +69,13 @@
     }
 
     /**
-     * Replaces the value. A failure is logged and leaves the value before.
+     * Replaces the value. A failure is logged and leaves the previous value in place.
      *
      * @param value The value.
-     * @return {@code true} if the value is on the disk.
+     * @return {@code true} if the value was written to the disk.
      */
     public boolean write(Bytes value) {
-        if (value.size() > MAXIMUM_SIZE) {
+        if (value.size() > MAXIMUM_VALUE_BYTES) {
             LOGGER.warnf("event=snapshot-too-large file=%s bytes=%d", file, value.size());
             return false;
         }
@@ -92,14 +92,14 @@
     }
 
     /**
-     * Writes the second file and waits until it is on the disk.
+     * Writes the second file and forces it to the disk.
      *
      * @param value The value.
-     * @throws IOException If the disk failed.
+     * @throws IOException If the disk fails.
      */
     private void writeReplacement(Bytes value) throws IOException {
-        ByteBuffer header = ByteBuffer.allocate(HEADER_SIZE)
-                .putLong(FORMAT)
+        ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES)
+                .putLong(FORMAT_ID)
                 .putInt(value.size())
                 .putInt(checksum(value))
                 .flip();
@@ -119,7 +119,7 @@
      *
      * @param channel The channel.
      * @param buffer The buffer.
-     * @throws IOException If the disk failed.
+     * @throws IOException If the disk fails.
      */
     private static void writeFully(FileChannel channel, ByteBuffer buffer) throws IOException {
         while (buffer.hasRemaining()) {
@@ -128,10 +128,10 @@
     }
 
     /**
-     * Waits until the entries of a folder are on the disk, so that a replaced file survives a crash of the VM.
+     * Forces the entries of a folder to the disk, so that a replaced file survives a crash of the VM.
      *
      * @param folder The folder.
-     * @throws IOException If the disk failed.
+     * @throws IOException If the disk fails.
      */
     private static void force(Path folder) throws IOException {
         try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
@@ -143,10 +143,10 @@
      * Decodes the content of a file.
      *
      * @param content The content.
-     * @return The value, or empty if the content is torn, damaged or of another format.
+     * @return The value, or empty if the content is truncated, damaged or of another format.
      */
     private static Optional<Bytes> decode(ByteBuffer content) {
-        if (content.remaining() < HEADER_SIZE || content.getLong() != FORMAT) {
+        if (content.remaining() < HEADER_BYTES || content.getLong() != FORMAT_ID) {
             return Optional.empty();
         }
         int size = content.getInt();
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/disk/package-info.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/disk/package-info.java
@@ -1,2 +1,2 @@
-/** What a node keeps on the small disk that a few VMs have. Nothing on a disk is ever the only copy. */
+/** Storage on the small disk that a few VMs have. A disk never holds the only copy of any data. */
 package io.yuccaswitch.node.disk;
--- a/yuccaswitch-node/src/test/java/io/yuccaswitch/node/disk/SnapshotFileTest.java
+++ b/yuccaswitch-node/src/test/java/io/yuccaswitch/node/disk/SnapshotFileTest.java
@@ -16,7 +16,7 @@
     private Path folder;
 
     @Test
-    void aValueIsReadBackAndReplacedAsAWhole() {
+    void aValueIsReadBackAndReplacedCompletely() {
         SnapshotFile file = new SnapshotFile(folder.resolve("new/folder/snapshot"));
         assertThat(file.read()).isEmpty();
         assertThat(file.write(Bytes.ofUtf8("one"))).isTrue();
@@ -25,25 +25,25 @@
     }
 
     @Test
-    void aTornFileReadsAsIfItWereNotThere() throws IOException {
+    void aTruncatedFileIsTreatedAsAbsent() throws IOException {
         Path path = folder.resolve("snapshot");
         SnapshotFile file = new SnapshotFile(path);
         file.write(Bytes.ofUtf8("a value of some length"));
-        byte[] whole = Files.readAllBytes(path);
-        for (int length = 0; length < whole.length; length++) {
-            Files.write(path, Arrays.copyOf(whole, length));
+        byte[] complete = Files.readAllBytes(path);
+        for (int length = 0; length < complete.length; length++) {
+            Files.write(path, Arrays.copyOf(complete, length));
             assertThat(file.read()).isEmpty();
         }
     }
 
     @Test
-    void aDamagedFileReadsAsIfItWereNotThere() throws IOException {
+    void aDamagedFileIsTreatedAsAbsent() throws IOException {
         Path path = folder.resolve("snapshot");
         SnapshotFile file = new SnapshotFile(path);
         file.write(Bytes.ofUtf8("a value of some length"));
-        byte[] whole = Files.readAllBytes(path);
-        for (int i = 0; i < whole.length; i++) {
-            byte[] damaged = whole.clone();
+        byte[] complete = Files.readAllBytes(path);
+        for (int i = 0; i < complete.length; i++) {
+            byte[] damaged = complete.clone();
             damaged[i] ^= 0x40;
             Files.write(path, damaged);
             assertThat(file.read()).isEmpty();
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void aCrashBeforeTheReplacementLeavesTheValueBefore() throws IOException {
+    void aCrashBeforeTheReplacementKeepsThePreviousValue() throws IOException {
         Path path = folder.resolve("snapshot");
         SnapshotFile file = new SnapshotFile(path);
         file.write(Bytes.ofUtf8("before"));
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void aDiskThatFailsIsReportedAndThrowsNothing() throws IOException {
+    void aFailingDiskIsReportedWithoutAnException() throws IOException {
         Path occupied = folder.resolve("occupied");
         Files.writeString(occupied, "a file where the folder should be");
         assertThat(new SnapshotFile(occupied.resolve("snapshot")).write(Bytes.ofUtf8("value")))
