--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/endpoint/EndpointShell.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/endpoint/EndpointShell.java
@@ -19,7 +19,7 @@
 import io.yuccaswitch.node.decision.DecisionLoop;
 
 /**
- * Carries out the effects that concern endpoints: attempts, probes, readings of cache events and settlements.
+ * Executes the effects that concern endpoints: attempts, probes, reads of cache events and settlements.
  *
  * <p>The systems run in this order: {@code VirtualMachineListSystem}, {@code EndpointSystem}, {@code ProbeSystem}, and
  * then those that route requests. All share one {@link EndpointTable}, as does this class.
@@ -32,19 +32,19 @@
     /** The table of endpoints, which is only read on the loop's thread. */
     private final EndpointTable table;
 
-    /** Carries out attempts. */
+    /** The client that executes attempts. */
     private final EndpointClient client;
 
-    /** Asks endpoints for their load. */
+    /** Queries endpoints for their load. */
     private final LoadProber prober;
 
     /** Reads the changes of prefix caches. */
     private final CacheEventPoller cachePoller;
 
-    /** Asks endpoints what became of requests. */
+    /** Queries endpoints for the outcomes of requests. */
     private final SettlementClient settlement;
 
-    /** Gives orders to engines. */
+    /** Sends orders to engines. */
     private final OrderClient orders;
 
     /**
@@ -66,7 +66,7 @@
     }
 
     /**
-     * Returns the client that gives orders to engines, for the effects that concern weights.
+     * Returns the client that sends orders to engines, for the effects that concern weights.
      *
      * @return The client.
      */
@@ -90,9 +90,9 @@
     }
 
     /**
-     * Carries out an attempt.
+     * Executes an attempt.
      *
-     * @param send What is to be done.
+     * @param send The effect that describes the attempt.
      * @return The progress and the end of the attempt.
      */
     private Observable<RequestEvent> attempt(RequestEffect.Send send) {
