--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/AnswerWriter.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/AnswerWriter.java
@@ -12,14 +12,14 @@
     /** The content type of documents. */
     static final String JSON = "application/json";
 
-    /** The header that says when it is worth to ask again. */
+    /** The header that says when a retry may succeed. */
     private static final String RETRY_AFTER = "Retry-After";
 
-    /** The status of a request that makes no sense in any configuration. */
+    /** The status of a request that is invalid in any configuration. */
     private static final int BAD_REQUEST = 400;
 
-    /** The number of milliseconds of a second. */
-    private static final long MILLIS = 1000;
+    /** The number of milliseconds in a second. */
+    private static final long MILLIS_PER_SECOND = 1000;
 
     /** This class has no instances. */
     private AnswerWriter() {}
@@ -57,19 +57,19 @@
     }
 
     /**
-     * Writes a refusal that the decision core never saw. Unless the request itself makes no sense, an id that the
-     * caller gave may have run before, when the configuration was another one or through another node.
+     * Writes a refusal of a request that did not reach the decision core. Unless the request itself is invalid, a
+     * request with an id that the caller gave may have run earlier, with another configuration or through another node.
      *
      * @param context The request.
      * @param refusal The refusal.
      */
     static void refuse(Context context, EntryException refusal) {
         String id = Optional.ofNullable(context.header(EntryHeaders.REQUEST_ID)).orElse("");
-        boolean surelyNotRun = id.isEmpty() || refusal.status() == BAD_REQUEST;
+        boolean definitelyNotRun = id.isEmpty() || refusal.status() == BAD_REQUEST;
         ErrorDocument document = ErrorDocument.of(
                 refusal.code(),
                 refusal.getMessage(),
-                surelyNotRun ? ErrorDocument.Ran.NO : ErrorDocument.Ran.UNKNOWN,
+                definitelyNotRun ? ErrorDocument.Ran.NO : ErrorDocument.Ran.UNKNOWN,
                 refusal.retryAfter(),
                 id);
         error(context, refusal.status(), document, refusal.retryAfter());
@@ -81,11 +81,11 @@
      * @param context The request.
      * @param status The HTTP status.
      * @param document The document.
-     * @param retryAfter The time after which it is worth to ask again, or empty.
+     * @param retryAfter The time after which a retry may succeed, or empty.
      */
     private static void error(Context context, int status, ErrorDocument document, Optional<Duration> retryAfter) {
-        retryAfter.ifPresent(
-                time -> context.header(RETRY_AFTER, Long.toString((time.toMillis() + MILLIS - 1) / MILLIS)));
+        retryAfter.ifPresent(time -> context.header(
+                RETRY_AFTER, Long.toString((time.toMillis() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND)));
         context.status(status).contentType(JSON).result(EntryJson.write(document));
     }
 }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/AuthenticatedCaller.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/AuthenticatedCaller.java
@@ -4,20 +4,20 @@
 import io.yuccaswitch.core.identity.CallerName;
 
 /**
- * A caller that is known.
+ * A caller that has been authenticated.
  *
  * @param name The caller's name.
- * @param priority The highest priority class that the caller may ask for.
+ * @param priority The highest priority class that the caller may request.
  */
 record AuthenticatedCaller(CallerName name, PriorityClass priority) {
 
     /**
-     * Bounds the priority class that a request asks for.
+     * Limits the priority class of a request to the highest one of the caller.
      *
-     * @param asked The class that is asked for.
-     * @return The class, or the highest one that the caller may have.
+     * @param requested The requested class.
+     * @return The requested class, or the highest one of the caller if that is lower.
      */
-    PriorityClass bounded(PriorityClass asked) {
-        return asked.compareTo(priority) > 0 ? priority : asked;
+    PriorityClass limited(PriorityClass requested) {
+        return requested.compareTo(priority) > 0 ? priority : requested;
     }
 }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/CallerAuthentication.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/CallerAuthentication.java
@@ -14,26 +14,26 @@
 import java.util.Optional;
 
 /**
- * Tells callers by their tokens. A request without a token belongs to the first caller by name that has none; in a
- * configuration without any caller, everybody is the same anonymous one.
+ * Identifies callers by their tokens. A request without a token belongs to the first caller, in order of their names,
+ * that has no token. Without any configured caller, all requests belong to one anonymous caller.
  */
 final class CallerAuthentication {
 
-    /** The caller of a configuration that names none. */
+    /** The caller of all requests if no caller is configured. */
     private static final AuthenticatedCaller ANONYMOUS =
             new AuthenticatedCaller(new CallerName("anonymous"), PriorityClass.NORMAL);
 
-    /** The status of a request without a known token. */
+    /** The status of a request without a configured token. */
     private static final int UNAUTHORIZED = 401;
 
     /** This class has no instances. */
     private CallerAuthentication() {}
 
     /**
-     * Tells the caller of a request.
+     * Identifies the caller of a request.
      *
      * @param context The request.
-     * @param configuration The configuration in force.
+     * @param configuration The active configuration.
      * @return The caller.
      */
     static AuthenticatedCaller authenticate(Context context, FleetConfiguration configuration) {
@@ -52,10 +52,10 @@
     }
 
     /**
-     * Compares a caller's token with the presented one, by their digests.
+     * Compares the digest of a caller's token with that of the presented one.
      *
      * @param caller The caller.
-     * @param credential What the request presents.
+     * @param credential The credential of the request.
      * @return {@code true} if the token is the caller's, or if neither has one.
      */
     private static boolean matches(CallerSettings caller, Credential credential) {
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/EntryAddressRoute.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/EntryAddressRoute.java
@@ -13,28 +13,28 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 
-/** Names the entry addresses to use: live nodes, the caller's availability zone first. A leaving node is not named. */
+/** Returns the entry addresses of live nodes, those in the caller's availability zone first, without leaving nodes. */
 final class EntryAddressRoute {
 
-    /** The loop whose table of members is read. */
+    /** The loop of the decision core. */
     private final DecisionLoop loop;
 
-    /** The members, read on the loop's thread. */
+    /** The members, which are read on the loop's thread. */
     private final MembershipView membership;
 
-    /** The clock that counts the windows of request ids. */
+    /** The clock that computes the windows of request ids. */
     private final RequestClock clock;
 
-    /** Returns the configuration in force. */
+    /** Supplies the active configuration. */
     private final Supplier<FleetConfiguration> configuration;
 
     /**
      * Creates a new route.
      *
-     * @param loop The loop whose table of members is read.
+     * @param loop The loop of the decision core.
      * @param membership The members.
-     * @param clock The clock that counts the windows of request ids.
-     * @param configuration Returns the configuration in force.
+     * @param clock The clock that computes the windows of request ids.
+     * @param configuration Supplies the active configuration.
      */
     EntryAddressRoute(
             DecisionLoop loop,
@@ -53,26 +53,26 @@
      * @param context The request.
      */
     void handle(Context context) {
-        FleetConfiguration inForce = configuration.get();
+        FleetConfiguration active = configuration.get();
         Optional<String> zone = Optional.ofNullable(context.queryParam("availabilityZone"));
         CompletableFuture<List<Member>> members = loop.inspect(() -> List.copyOf(membership.working()));
         context.future(() -> members.thenAccept(working -> context.contentType("application/json")
                 .result(EntryJson.write(
-                        new EntryAddresses(inForce.entry().addressValidity().toMillis(), addresses(working, zone))))));
+                        new EntryAddresses(active.entry().addressValidity().toMillis(), addresses(working, zone))))));
     }
 
     /**
-     * Orders the addresses.
+     * Sorts the addresses.
      *
-     * @param working The members that take work.
-     * @param zone The caller's availability zone, or empty if it did not say.
+     * @param working The members that accept work.
+     * @param zone The caller's availability zone, or empty if the caller did not specify one.
      * @return The addresses.
      */
     private List<EntryAddresses.Address> addresses(Collection<Member> working, Optional<String> zone) {
-        Comparator<Member> ownZoneFirst = Comparator.comparing(
+        Comparator<Member> callerZoneFirst = Comparator.comparing(
                 member -> !zone.equals(Optional.of(member.availabilityZone().value())));
         return working.stream()
-                .sorted(ownZoneFirst.thenComparing(Member::identity))
+                .sorted(callerZoneFirst.thenComparing(Member::identity))
                 .map(member -> new EntryAddresses.Address(
                         member.entryAddress(),
                         member.identity().name().value(),
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/EntryException.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/EntryException.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** A request of a caller that is refused before it reaches the decision core, such that it surely did not run. */
+/** The refusal of a caller's request before it reaches the decision core, so that this call does not run it. */
 final class EntryException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
@@ -14,11 +14,11 @@
     /** The code of the refusal. */
     private final String code;
 
-    /** The time after which it is worth to ask again, or {@code null} if it never is. */
+    /** The time after which a retry may succeed, or {@code null} if a retry can't succeed. */
     private final Duration retryAfter;
 
     /**
-     * Creates a refusal that holds for as long as the request is the same.
+     * Creates a refusal of a request that can't succeed when it is retried.
      *
      * @param status The HTTP status of the answer.
      * @param code The code of the refusal.
@@ -32,12 +32,12 @@
     }
 
     /**
-     * Creates a refusal that may not hold later.
+     * Creates a refusal of a request that may succeed when it is retried later.
      *
      * @param status The HTTP status of the answer.
      * @param code The code of the refusal.
      * @param message The explanation for the caller.
-     * @param retryAfter The time after which it is worth to ask again.
+     * @param retryAfter The time after which a retry may succeed.
      */
     EntryException(int status, String code, String message, Duration retryAfter) {
         super(message);
@@ -65,9 +65,9 @@
     }
 
     /**
-     * Returns the time after which it is worth to ask again.
+     * Returns the time after which a retry may succeed.
      *
-     * @return The time, or empty if it never is.
+     * @return The time, or empty if a retry can't succeed.
      */
     Optional<Duration> retryAfter() {
         return Optional.ofNullable(retryAfter);
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/EntryHeaders.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/EntryHeaders.java
@@ -8,32 +8,32 @@
 import java.util.Optional;
 
 /**
- * The headers by which a caller says how its request is to be treated.
+ * The headers with which a caller controls the handling of its request.
  *
  * @param id The identifier that the caller gave, or empty.
- * @param idempotent Whether the caller said that the request may run more than once, or empty.
- * @param timeLeft The time that the caller gives, or empty.
- * @param priority The priority class that the caller asks for.
+ * @param idempotent Whether the request may run more than once, or empty if the caller did not specify it.
+ * @param timeLeft The time until the deadline that the caller gave, or empty.
+ * @param priority The priority class that the caller requests.
  */
 record EntryHeaders(
         Optional<RequestId> id, Optional<Boolean> idempotent, Optional<Duration> timeLeft, PriorityClass priority) {
 
-    /** The header that bears the identifier of a request. */
+    /** The header that carries the identifier of a request. */
     static final String REQUEST_ID = "X-Request-Id";
 
     /** The header that says whether a request may run more than once. */
     private static final String IDEMPOTENT = "X-Idempotent";
 
-    /** The header that gives the time left for a request. */
+    /** The header that gives the time until the deadline of a request. */
     private static final String DEADLINE = "X-Deadline-Millis";
 
-    /** The header that asks for a priority class. */
+    /** The header that requests a priority class. */
     private static final String PRIORITY = "X-Priority";
 
-    /** The longest time that a caller may give. */
+    /** The maximum time until the deadline that a caller may give. */
     private static final long MAXIMUM_DEADLINE_MILLIS = Duration.ofHours(1).toMillis();
 
-    /** The status of a request with a header that makes no sense. */
+    /** The status of a request with an invalid header. */
     private static final int BAD_REQUEST = 400;
 
     /**
@@ -80,7 +80,7 @@
     }
 
     /**
-     * Reads a time.
+     * Reads the time until a deadline.
      *
      * @param value The text.
      * @return The time.
@@ -113,10 +113,10 @@
     }
 
     /**
-     * Describes a header that makes no sense.
+     * Creates the refusal of an invalid header.
      *
      * @param header The header.
-     * @param expected What it should hold.
+     * @param expected The description of valid values.
      * @return The refusal.
      */
     private static EntryException invalid(String header, String expected) {
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/EntryJson.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/EntryJson.java
@@ -13,7 +13,7 @@
     /** The mapper. */
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** The status of a body that is no document. */
+    /** The status of a body that is not a JSON object. */
     private static final int BAD_REQUEST = 400;
 
     /** This class has no instances. */
@@ -23,13 +23,13 @@
      * Writes a document.
      *
      * @param document The document.
-     * @return The document as text.
+     * @return The document as JSON in UTF-8.
      */
     static byte[] write(Object document) {
         try {
             return MAPPER.writeValueAsString(document).getBytes(StandardCharsets.UTF_8);
         } catch (JsonProcessingException exception) {
-            throw new IllegalStateException("Not a document", exception);
+            throw new IllegalStateException("The document can't be written as JSON", exception);
         }
     }
 
@@ -45,7 +45,7 @@
     /**
      * Reads an object.
      *
-     * @param content The document as text.
+     * @param content The document as JSON in UTF-8.
      * @return The object.
      */
     static ObjectNode read(byte[] content) {
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Describes a body that is no object.
+     * Creates the refusal of a body that is not a JSON object.
      *
      * @return The refusal.
      */
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/EntryServer.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/EntryServer.java
@@ -23,40 +23,40 @@
 /**
  * The HTTP interface for callers.
  *
- * <p>To wire it, create it before the loop starts, as it subscribes to {@code RequestEffect.Conclude}, {@code Stream}
- * and {@code LookedUp}; pass the registrars of further routes of the entry address, such as those for trainers; start
- * it once the node is ready, and close it last in a planned stop.
+ * <p>An instance must be created before the loop starts, as it subscribes to {@code RequestEffect.Conclude},
+ * {@code Stream} and {@code LookedUp}. It accepts the registrars of further routes of the entry address, such as those
+ * for trainers. It is started once the node is ready, and closed last in a graceful shutdown.
  */
 public final class EntryServer implements AutoCloseable {
 
-    /** The largest number of threads that take requests. */
-    private static final int THREADS = 64;
+    /** The maximum number of threads that read requests. */
+    private static final int MAXIMUM_REQUEST_THREADS = 64;
 
-    /** The smallest number of threads that take requests. */
-    private static final int IDLE_THREADS = 4;
+    /** The minimum number of threads that read requests. */
+    private static final int MINIMUM_REQUEST_THREADS = 4;
 
-    /** The largest number of threads that write answers. */
+    /** The number of threads that write answers. */
     private static final int WRITER_THREADS = 32;
 
     /** The status of a request to a node that is not ready. */
     private static final int UNAVAILABLE = 503;
 
-    /** The time after which a node that is not ready may be asked again. */
+    /** The time after which a caller may retry a request to a node that was not ready. */
     private static final Duration NOT_READY_RETRY_AFTER = Duration.ofSeconds(1);
 
-    /** The executor behind the threads that write answers. */
-    private final ExecutorService executor = Executors.newFixedThreadPool(WRITER_THREADS, EntryServer::writer);
+    /** The executor of the threads that write answers. */
+    private final ExecutorService executor = Executors.newFixedThreadPool(WRITER_THREADS, EntryServer::newWriterThread);
 
-    /** Returns the configuration in force. */
+    /** Supplies the active configuration. */
     private final Supplier<Optional<FleetConfiguration>> configuration;
 
-    /** The route that names the entry addresses. */
+    /** The route that lists the entry addresses. */
     private final EntryAddressRoute addresses;
 
-    /** The routes that carry requests to endpoints. */
+    /** The routes that forward requests to endpoints. */
     private final RequestRoutes requests;
 
-    /** The route that tells what became of a request. */
+    /** The route that returns the outcome of a request. */
     private final LookupRoute lookups;
 
     /** The server. */
@@ -67,9 +67,9 @@
      *
      * @param loop The loop of the decision core.
      * @param membership The members, which are read on the loop's thread.
-     * @param self Returns this life of this node, on any thread.
-     * @param clock The clock that counts the windows of request ids, the same as that of the request system.
-     * @param configuration Returns the configuration in force on any thread, or empty before the first one.
+     * @param self Supplies the current identity of this node, on any thread.
+     * @param clock The clock that computes the windows of request ids, the same as that of the request system.
+     * @param configuration Supplies the active configuration on any thread, or empty before the first one.
      * @param furtherRoutes The registrars of further routes of the entry address.
      */
     public EntryServer(
@@ -81,14 +81,15 @@
             List<Consumer<RoutesConfig>> furtherRoutes) {
         this.configuration = configuration;
         Scheduler writers = Schedulers.from(executor);
-        addresses = new EntryAddressRoute(loop, membership, clock, this::inForce);
-        requests = new RequestRoutes(new WaitingCallers(loop), new RequestReader(self, clock), this::inForce, writers);
-        lookups = new LookupRoute(loop, this::inForce, writers);
+        addresses = new EntryAddressRoute(loop, membership, clock, this::activeConfiguration);
+        requests = new RequestRoutes(
+                new WaitingCallers(loop), new RequestReader(self, clock), this::activeConfiguration, writers);
+        lookups = new LookupRoute(loop, this::activeConfiguration, writers);
         server = Javalin.create(config -> configure(config, furtherRoutes));
     }
 
     /**
-     * Starts to listen.
+     * Starts listening.
      *
      * @param address The address to listen on.
      */
@@ -120,25 +121,25 @@
      */
     private void configure(JavalinConfig config, List<Consumer<RoutesConfig>> furtherRoutes) {
         config.startup.showJavalinBanner = false;
-        config.jetty.threadPool = new QueuedThreadPool(THREADS, IDLE_THREADS);
+        config.jetty.threadPool = new QueuedThreadPool(MAXIMUM_REQUEST_THREADS, MINIMUM_REQUEST_THREADS);
         RoutesConfig routes = config.routes;
         routes.get("/v1/entry-addresses", addresses::handle);
         routes.post("/v1/completions", requests::generate);
         routes.post("/v1/chat/completions", requests::generate);
         routes.get("/v1/requests/<id>", lookups::handle);
-        service(routes, "/services/{pool}");
-        service(routes, "/services/{pool}/<path>");
+        registerService(routes, "/services/{pool}");
+        registerService(routes, "/services/{pool}/<path>");
         routes.exception(EntryException.class, (refusal, context) -> AnswerWriter.refuse(context, refusal));
         furtherRoutes.forEach(registrar -> registrar.accept(routes));
     }
 
     /**
-     * Registers a path that passes through to plain services.
+     * Registers a path whose requests are forwarded unchanged to services.
      *
      * @param routes The routes to change.
      * @param path The path.
      */
-    private void service(RoutesConfig routes, String path) {
+    private void registerService(RoutesConfig routes, String path) {
         routes.get(path, requests::serve);
         routes.head(path, requests::serve);
         routes.post(path, requests::serve);
@@ -149,11 +150,11 @@
     }
 
     /**
-     * Returns the configuration in force.
+     * Returns the active configuration.
      *
      * @return The configuration.
      */
-    private FleetConfiguration inForce() {
+    private FleetConfiguration activeConfiguration() {
         return configuration
                 .get()
                 .orElseThrow(() -> new EntryException(
@@ -163,10 +164,10 @@
     /**
      * Creates a thread that writes answers.
      *
-     * @param task What the thread runs.
+     * @param task The task of the thread.
      * @return The thread.
      */
-    private static Thread writer(Runnable task) {
+    private static Thread newWriterThread(Runnable task) {
         Thread thread = new Thread(task, "entry-writer");
         thread.setDaemon(true);
         return thread;
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/ErrorDocument.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/ErrorDocument.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 
 /**
- * The body of an answer that is an error.
+ * The body of an error answer.
  *
  * @param error The error.
  * @param requestId The identifier of the request, or an empty text if it has none.
@@ -18,7 +18,7 @@
      * @param code The code.
      * @param message The explanation.
      * @param ran Whether the request ran.
-     * @param retryAfter The time after which it is worth to ask again, or empty.
+     * @param retryAfter The time after which a retry may succeed, or empty.
      * @param requestId The identifier of the request, or an empty text.
      * @return The document.
      */
@@ -33,22 +33,22 @@
      * @param code The code.
      * @param message The explanation.
      * @param ran {@code no}, {@code yes} or {@code unknown}.
-     * @param retryAfterMillis The time after which it is worth to ask again, or {@code null}.
+     * @param retryAfterMillis The time after which a retry may succeed, or {@code null}.
      */
     @JsonInclude(JsonInclude.Include.NON_NULL)
     record Detail(String code, String message, String ran, Long retryAfterMillis) {}
 
     /** Whether a request ran. */
     enum Ran {
-        /** The request surely did not run. */
+        /** The request definitely did not run. */
         NO,
-        /** The request surely ran. */
+        /** The request definitely ran. */
         YES,
         /** The request may have run. */
         UNKNOWN;
 
         /**
-         * Returns the value as documents bear it.
+         * Returns the value as it is written in documents.
          *
          * @return The value in lower case.
          */
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/EventStreamWriter.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/EventStreamWriter.java
@@ -14,16 +14,16 @@
 import java.util.Optional;
 
 /**
- * Streams a generation to its caller as server-sent events. The status is sent with the first text, such that a request
- * that fails before gets a plain error; a failure after it is told by an error event, and the stream then ends without
- * its final mark. An instance belongs to one request and is used by one thread at a time.
+ * Streams a generation to its caller as server-sent events. The status is sent with the first text, so that a request
+ * that fails earlier gets a plain error answer. A later failure is reported by an error event, after which the stream
+ * ends without its end marker. An instance belongs to one request and is used by one thread at a time.
  */
 final class EventStreamWriter {
 
-    /** The mark at the end of a whole stream. */
-    private static final String DONE = "data: [DONE]\n\n";
+    /** The marker at the end of a complete stream. */
+    private static final String END_MARKER = "data: [DONE]\n\n";
 
-    /** The path of chats. */
+    /** The path of chat completions. */
     private static final String CHAT_PATH = "/v1/chat/completions";
 
     /** The HTTP status of a stream. */
@@ -38,8 +38,8 @@
     /** The name of the model, as the caller gave it. */
     private final String model;
 
-    /** The number of characters that were sent. */
-    private int sent;
+    /** The number of characters that have been sent. */
+    private int sentCharacters;
 
     /** The stream, or {@code null} before the first event. */
     private OutputStream output;
@@ -57,14 +57,14 @@
     }
 
     /**
-     * Takes in what is known next.
+     * Handles the next signal about the request.
      *
      * @param signal The progress or the outcome.
      */
     void accept(Signal signal) {
         try {
             if (signal instanceof Signal.Progressed progressed) {
-                text(progressed.generated());
+                sendText(progressed.generated());
             } else if (signal instanceof Signal.Concluded concluded) {
                 conclude(concluded.outcome());
             }
@@ -74,15 +74,15 @@
     }
 
     /**
-     * Sends the text that was not sent yet.
+     * Sends the text that has not been sent yet.
      *
-     * @param generated All that was generated so far.
-     * @throws IOException If the caller is gone.
+     * @param generated The complete generation so far.
+     * @throws IOException If the caller has disconnected.
      */
-    private void text(Generation generated) throws IOException {
-        if (generated.text().length() > sent) {
-            event(chunk(generated.text().substring(sent), Optional.empty()));
-            sent = generated.text().length();
+    private void sendText(Generation generated) throws IOException {
+        if (generated.text().length() > sentCharacters) {
+            sendEvent(chunk(generated.text().substring(sentCharacters), Optional.empty()));
+            sentCharacters = generated.text().length();
         }
     }
 
@@ -90,15 +90,15 @@
      * Ends the stream.
      *
      * @param outcome The outcome.
-     * @throws IOException If the caller is gone.
+     * @throws IOException If the caller has disconnected.
      */
     private void conclude(Outcome outcome) throws IOException {
         if (outcome instanceof Outcome.Answered answered
                 && answered.generation().isPresent()) {
             Generation generation = answered.generation().get();
-            text(generation);
-            event(end(generation));
-            write(DONE);
+            sendText(generation);
+            sendEvent(finalEvent(generation));
+            write(END_MARKER);
             return;
         }
         if (output == null) {
@@ -106,19 +106,19 @@
             return;
         }
         if (outcome instanceof Outcome.Answered) {
-            event(EntryJson.object().put("error", "The answer to a stream was not a generation."));
+            sendEvent(EntryJson.object().put("error", "The answer to a stream was not a generation."));
             return;
         }
-        event(AnswerWriter.document(request.id(), OutcomeStatus.of(outcome)));
+        sendEvent(AnswerWriter.document(request.id(), OutcomeStatus.of(outcome)));
     }
 
     /**
-     * Makes the final event.
+     * Creates the final event.
      *
-     * @param generation What was generated.
+     * @param generation The generation.
      * @return The event.
      */
-    private ObjectNode end(Generation generation) {
+    private ObjectNode finalEvent(Generation generation) {
         ObjectNode end = chunk("", Optional.of(generation.finishReason()));
         end.putObject("usage").put("completion_tokens", generation.tokens());
         ArrayNode segments = end.putArray("segments");
@@ -132,10 +132,10 @@
     }
 
     /**
-     * Makes an event with text.
+     * Creates an event with text.
      *
      * @param text The text.
-     * @param finishReason The reason for which the generation ended, or empty if it goes on.
+     * @param finishReason The reason for which the generation ended, or empty if it continues.
      * @return The event.
      */
     private ObjectNode chunk(String text, Optional<String> finishReason) {
@@ -158,17 +158,17 @@
      * Sends an event.
      *
      * @param document The event's data.
-     * @throws IOException If the caller is gone.
+     * @throws IOException If the caller has disconnected.
      */
-    private void event(Object document) throws IOException {
+    private void sendEvent(Object document) throws IOException {
         write("data: " + new String(EntryJson.write(document), StandardCharsets.UTF_8) + "\n\n");
     }
 
     /**
-     * Sends text, after the status and headers if they were not sent yet.
+     * Sends text, preceded by the status and the headers if they have not been sent yet.
      *
      * @param text The text.
-     * @throws IOException If the caller is gone.
+     * @throws IOException If the caller has disconnected.
      */
     private void write(String text) throws IOException {
         if (output == null) {
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/LookupRoute.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/LookupRoute.java
@@ -15,16 +15,16 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** Tells what became of a request. */
+/** Returns the outcome of a request. */
 final class LookupRoute {
 
-    /** The time that a search may take. */
-    private static final Duration TIMEOUT = Duration.ofSeconds(10);
+    /** The time after which a lookup fails. */
+    private static final Duration LOOKUP_TIMEOUT = Duration.ofSeconds(10);
 
-    /** The loop that searches. */
+    /** The loop of the decision core, which performs the lookup. */
     private final DecisionLoop loop;
 
-    /** Returns the configuration in force. */
+    /** Supplies the active configuration. */
     private final Supplier<FleetConfiguration> configuration;
 
     /** The threads that write answers. */
@@ -33,8 +33,8 @@
     /**
      * Creates a new route.
      *
-     * @param loop The loop that searches.
-     * @param configuration Returns the configuration in force.
+     * @param loop The loop of the decision core, which performs the lookup.
+     * @param configuration Supplies the active configuration.
      * @param writers The threads that write answers.
      */
     LookupRoute(DecisionLoop loop, Supplier<FleetConfiguration> configuration, Scheduler writers) {
@@ -44,7 +44,7 @@
     }
 
     /**
-     * Answers with what became of a request.
+     * Answers with the outcome of a request.
      *
      * @param context The HTTP request.
      */
@@ -52,11 +52,11 @@
         AuthenticatedCaller caller = CallerAuthentication.authenticate(context, configuration.get());
         RequestId id = EntryHeaders.id(context.pathParam("id"));
         CompletableFuture<Outcome> found = new CompletableFuture<>();
-        Disposable waiting = loop.effects(RequestEffect.LookedUp.class)
+        Disposable subscription = loop.effects(RequestEffect.LookedUp.class)
                 .filter(effect -> effect.id().equals(id))
                 .map(RequestEffect.LookedUp::outcome)
                 .first(new Outcome.Unknown("stopped", "The node stopped."))
-                .timeout(TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
+                .timeout(LOOKUP_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
                 .onErrorReturnItem(new Outcome.Unknown("no-answer", "The search took too long."))
                 .observeOn(writers)
                 .subscribe(found::complete, found::completeExceptionally);
@@ -64,11 +64,11 @@
         context.future(() -> found.thenAccept(outcome -> context.header(EntryHeaders.REQUEST_ID, id.value())
                         .contentType(AnswerWriter.JSON)
                         .result(EntryJson.write(document(id, outcome))))
-                .whenComplete((_result, _failure) -> waiting.dispose()));
+                .whenComplete((_result, _failure) -> subscription.dispose()));
     }
 
     /**
-     * Describes an outcome.
+     * Creates the document of an outcome.
      *
      * @param id The identifier of the request.
      * @param outcome The outcome.
@@ -91,7 +91,7 @@
     }
 
     /**
-     * Names the state of a request without an answer.
+     * Returns the state of a request without an answer.
      *
      * @param outcome The outcome.
      * @return The state.
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/RequestReader.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/RequestReader.java
@@ -29,35 +29,35 @@
 /** Reads the requests of callers. */
 final class RequestReader {
 
-    /** The methods that are idempotent unless a caller says otherwise. */
+    /** The methods that are idempotent unless the caller specifies otherwise. */
     private static final Set<String> IDEMPOTENT_METHODS = Set.of("GET", "HEAD");
 
-    /** The status of a request that makes no sense. */
+    /** The status of an invalid request. */
     private static final int BAD_REQUEST = 400;
 
-    /** The status of a request to nowhere. */
+    /** The status of a request to an unknown pool or model. */
     private static final int NOT_FOUND = 404;
 
     /** The status of a request that is too large. */
     private static final int TOO_LARGE = 413;
 
-    /** The number of characters of a token, roughly. */
+    /** The approximate number of characters of a token. */
     private static final int CHARACTERS_PER_TOKEN = 4;
 
-    /** The prefix of the paths that pass through to plain services. */
-    private static final String SERVICES = "/services/";
+    /** The prefix of the paths that are forwarded to services. */
+    private static final String SERVICES_PREFIX = "/services/";
 
-    /** This life of this node, which ids that the node makes are homed at. */
+    /** Supplies the current identity of this node, which is the home of the ids that it creates. */
     private final Supplier<NodeIdentity> self;
 
-    /** The clock that counts the windows of request ids. */
+    /** The clock that computes the windows of request ids. */
     private final RequestClock clock;
 
     /**
      * Creates a new reader.
      *
-     * @param self Returns this life of this node.
-     * @param clock The clock that counts the windows of request ids.
+     * @param self Supplies the current identity of this node.
+     * @param clock The clock that computes the windows of request ids.
      */
     RequestReader(Supplier<NodeIdentity> self, RequestClock clock) {
         this.self = self;
@@ -68,7 +68,7 @@
      * Reads a request for a generation.
      *
      * @param context The request.
-     * @param configuration The configuration in force.
+     * @param configuration The active configuration.
      * @return The request.
      */
     Request generation(Context context, FleetConfiguration configuration) {
@@ -82,7 +82,7 @@
                 headers.id().orElseGet(this::newId),
                 target.pool(),
                 caller.name(),
-                caller.bounded(headers.priority()),
+                caller.limited(headers.priority()),
                 headers.idempotent().orElse(true),
                 document.path("stream").asBoolean(false),
                 deadline(headers, target.settings()),
@@ -98,10 +98,10 @@
     }
 
     /**
-     * Reads a request that passes through to a plain service.
+     * Reads a request that is forwarded to a service.
      *
      * @param context The request.
-     * @param configuration The configuration in force.
+     * @param configuration The active configuration.
      * @return The request.
      */
     Request service(Context context, FleetConfiguration configuration) {
@@ -119,7 +119,7 @@
                 headers.id().orElseGet(this::newId),
                 new PoolName(name),
                 caller.name(),
-                caller.bounded(headers.priority()),
+                caller.limited(headers.priority()),
                 headers.idempotent().orElseGet(() -> IDEMPOTENT_METHODS.contains(method)),
                 false,
                 deadline(headers, settings),
@@ -135,7 +135,7 @@
     }
 
     /**
-     * Returns the path and query for the service, in the encoding that the caller chose.
+     * Returns the path and query for the service in their original encoding.
      *
      * @param context The request.
      * @param pool The name of the pool.
@@ -143,13 +143,13 @@
      */
     private static String servicePath(Context context, String pool) {
         String raw = context.req().getRequestURI();
-        String path = raw.substring(Math.min(raw.length(), SERVICES.length() + pool.length()));
+        String path = raw.substring(Math.min(raw.length(), SERVICES_PREFIX.length() + pool.length()));
         String query = context.queryString();
         return (path.startsWith("/") ? path : "/" + path) + (query == null ? "" : "?" + query);
     }
 
     /**
-     * Makes an id whose home is this node.
+     * Creates an id whose home is this node.
      *
      * @return The id.
      */
@@ -170,10 +170,10 @@
     }
 
     /**
-     * Reads the body of a request up to the largest size.
+     * Reads the body of a request up to the maximum size.
      *
      * @param context The request.
-     * @param configuration The configuration in force.
+     * @param configuration The active configuration.
      * @return The body.
      */
     private static byte[] body(Context context, FleetConfiguration configuration) {
@@ -190,10 +190,10 @@
     }
 
     /**
-     * Finds the pool that serves a model: a trainer's model, or else the pool of that name.
+     * Finds the pool that serves a model: the pool of the trainer of this model, or else the pool of the same name.
      *
      * @param model The name of the model.
-     * @param configuration The configuration in force.
+     * @param configuration The active configuration.
      * @return The pool.
      */
     private static Target target(String model, FleetConfiguration configuration) {
@@ -213,7 +213,7 @@
     }
 
     /**
-     * Reads the prompt, the messages of a chat in the form in which engines name their prefixes.
+     * Reads the prompt. The messages of a chat are joined in the format of which engines hash the prefixes.
      *
      * @param document The body.
      * @return The prompt.
@@ -238,11 +238,11 @@
     }
 
     /**
-     * What serves a model.
+     * The pool that serves a model.
      *
      * @param pool The name of the pool.
      * @param settings The settings of the pool.
-     * @param model The model that must be loaded, or empty if any will do.
+     * @param model The model that must be loaded, or empty if any model is accepted.
      */
     private record Target(PoolName pool, PoolSettings settings, Optional<String> model) {}
 }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/RequestRoutes.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/RequestRoutes.java
@@ -9,16 +9,16 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 
-/** The routes that carry requests to endpoints. */
+/** The routes that forward requests to endpoints. */
 final class RequestRoutes {
 
     /** The callers that wait for outcomes. */
     private final WaitingCallers callers;
 
-    /** What reads requests. */
+    /** The reader of requests. */
     private final RequestReader reader;
 
-    /** Returns the configuration in force. */
+    /** Supplies the active configuration. */
     private final Supplier<FleetConfiguration> configuration;
 
     /** The threads that write answers. */
@@ -28,8 +28,8 @@
      * Creates new routes.
      *
      * @param callers The callers that wait for outcomes.
-     * @param reader What reads requests.
-     * @param configuration Returns the configuration in force.
+     * @param reader The reader of requests.
+     * @param configuration Supplies the active configuration.
      * @param writers The threads that write answers.
      */
     RequestRoutes(
@@ -44,7 +44,7 @@
     }
 
     /**
-     * Takes a request for a generation.
+     * Handles a request for a generation.
      *
      * @param context The request.
      */
@@ -53,17 +53,17 @@
         if (request.streaming()) {
             stream(context, request);
         } else {
-            whole(context, request);
+            answerWithOutcome(context, request);
         }
     }
 
     /**
-     * Takes a request to a plain service.
+     * Handles a request to a service.
      *
      * @param context The request.
      */
     void serve(Context context) {
-        whole(context, reader.service(context, configuration.get()));
+        answerWithOutcome(context, reader.service(context, configuration.get()));
     }
 
     /**
@@ -72,19 +72,19 @@
      * @param context The HTTP request.
      * @param request The request.
      */
-    private void whole(Context context, Request request) {
+    private void answerWithOutcome(Context context, Request request) {
         CompletableFuture<Signal.Concluded> outcome = new CompletableFuture<>();
-        Disposable waiting = callers.submit(request)
+        Disposable subscription = callers.submit(request)
                 .observeOn(writers)
                 .ofType(Signal.Concluded.class)
                 .subscribe(outcome::complete, outcome::completeExceptionally);
         context.future(
                 () -> outcome.thenAccept(concluded -> AnswerWriter.write(context, request.id(), concluded.outcome()))
-                        .whenComplete((_result, _failure) -> waiting.dispose()));
+                        .whenComplete((_result, _failure) -> subscription.dispose()));
     }
 
     /**
-     * Streams a generation. A caller that can't be written to went away.
+     * Streams a generation. A caller is treated as disconnected if writing to it fails.
      *
      * @param context The HTTP request.
      * @param request The request.
@@ -92,9 +92,9 @@
     private void stream(Context context, Request request) {
         EventStreamWriter writer = new EventStreamWriter(request, context);
         CompletableFuture<Void> finished = new CompletableFuture<>();
-        Disposable waiting = callers.submit(request)
+        Disposable subscription = callers.submit(request)
                 .observeOn(writers, false, 1)
                 .subscribe(writer::accept, _failure -> finished.complete(null), () -> finished.complete(null));
-        context.future(() -> finished.whenComplete((_result, _failure) -> waiting.dispose()));
+        context.future(() -> finished.whenComplete((_result, _failure) -> subscription.dispose()));
     }
 }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/WaitingCallers.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/WaitingCallers.java
@@ -20,13 +20,13 @@
 import java.util.Map;
 
 /**
- * The callers that wait for outcomes, by the identifiers of their requests. Several may wait for the same request; the
- * core is told that the caller went away when the last one did. An identifier belongs to one request until the core is
- * done with it, such that an outcome never reaches the caller of another request.
+ * The callers that wait for outcomes, by the identifiers of their requests. Several callers may wait for the same
+ * request, which is cancelled when the last of them disconnects. An identifier belongs to one request until the core
+ * has finished this request, so that an outcome never reaches the caller of another request.
  */
 final class WaitingCallers {
 
-    /** The loop that takes the requests. */
+    /** The loop of the decision core, which receives the requests. */
     private final DecisionLoop loop;
 
     /** The waiting callers, guarded by this instance. */
@@ -36,21 +36,21 @@
     private final CompositeDisposable subscriptions = new CompositeDisposable();
 
     /**
-     * Creates a registry that listens to the loop.
+     * Creates a registry that is subscribed to the effects of the loop.
      *
-     * @param loop The loop that takes the requests.
+     * @param loop The loop of the decision core, which receives the requests.
      */
     WaitingCallers(DecisionLoop loop) {
         this.loop = loop;
-        subscriptions.add(loop.effects(RequestEffect.Conclude.class).subscribe(this::conclude));
-        subscriptions.add(loop.effects(RequestEffect.Stream.class).subscribe(this::stream));
+        subscriptions.add(loop.effects(RequestEffect.Conclude.class).subscribe(this::publishOutcome));
+        subscriptions.add(loop.effects(RequestEffect.Stream.class).subscribe(this::publishProgress));
     }
 
     /**
-     * Hands a request to the core and returns what becomes of it. A subscriber that disposes went away.
+     * Submits a request to the core and returns its progress and outcome. A subscriber that cancels has disconnected.
      *
      * @param request The request.
-     * @return The progress, of which the latest part is kept, and then the outcome.
+     * @return The progress, of which only the latest signal is buffered, and then the outcome.
      */
     Flowable<Signal> submit(Request request) {
         Subject<Signal> signals = ReplaySubject.createWithSize(1);
@@ -63,41 +63,41 @@
             entry.waiting.add(signals);
             loop.accept(new RequestEvent.Arrived(request));
         }
-        return signals.toFlowable(BackpressureStrategy.LATEST).doOnCancel(() -> leave(request.id(), signals));
+        return signals.toFlowable(BackpressureStrategy.LATEST).doOnCancel(() -> removeCaller(request.id(), signals));
     }
 
     /**
-     * Tells a caller's going away.
+     * Removes a caller that has disconnected, and cancels the request if no other caller waits for it.
      *
      * @param id The identifier of the request.
-     * @param signals What the caller listened to.
+     * @param signals The signals to which the caller was subscribed.
      */
-    private synchronized void leave(RequestId id, Subject<Signal> signals) {
+    private synchronized void removeCaller(RequestId id, Subject<Signal> signals) {
         Entry entry = entries.get(id);
         if (entry == null || !entry.waiting.remove(signals) || !entry.waiting.isEmpty()) {
             return;
         }
         loop.accept(new RequestEvent.Cancelled(id));
-        Completable.fromCompletionStage(loop.inspect(() -> forget(id))).subscribe(CompletableSubject.create());
+        Completable.fromCompletionStage(loop.inspect(() -> removeIfUnused(id))).subscribe(CompletableSubject.create());
     }
 
     /**
-     * Forgets an identifier once the core has taken in that nobody waits any more.
+     * Removes an identifier once the core has processed the cancellation, unless a caller waits again.
      *
      * @param id The identifier of the request.
-     * @return {@code true} if the identifier was forgotten.
+     * @return {@code true} if the identifier was removed.
      */
-    private synchronized boolean forget(RequestId id) {
+    private synchronized boolean removeIfUnused(RequestId id) {
         Entry entry = entries.get(id);
         return entry != null && entry.waiting.isEmpty() && entries.remove(id, entry);
     }
 
     /**
-     * Passes on an outcome.
+     * Publishes an outcome to the waiting callers.
      *
      * @param effect The effect.
      */
-    private void conclude(RequestEffect.Conclude effect) {
+    private void publishOutcome(RequestEffect.Conclude effect) {
         Entry entry;
         synchronized (this) {
             entry = entries.remove(effect.id());
@@ -111,11 +111,11 @@
     }
 
     /**
-     * Passes on progress.
+     * Publishes progress to the waiting callers.
      *
      * @param effect The effect.
      */
-    private void stream(RequestEffect.Stream effect) {
+    private void publishProgress(RequestEffect.Stream effect) {
         List<Subject<Signal>> waiting;
         synchronized (this) {
             Entry entry = entries.get(effect.id());
@@ -124,18 +124,18 @@
         waiting.forEach(signals -> signals.onNext(new Signal.Progressed(effect.generated())));
     }
 
-    /** What a waiting caller learns. */
+    /** A signal to a waiting caller. */
     sealed interface Signal {
 
         /**
-         * A part of the answer is there.
+         * A part of the answer is available.
          *
-         * @param generated All that was generated so far.
+         * @param generated The complete generation so far.
          */
         record Progressed(Generation generated) implements Signal {}
 
         /**
-         * The outcome is there.
+         * The outcome is available.
          *
          * @param outcome The outcome.
          */
@@ -148,7 +148,7 @@
         /** The fingerprint of the request. */
         private final long fingerprint;
 
-        /** What the callers listen to. */
+        /** The signals to which the callers are subscribed. */
         private final List<Subject<Signal>> waiting = new ArrayList<>();
 
         /**
--- a/yuccaswitch-node/src/test/java/io/yuccaswitch/node/entry/EntryServerTest.java
+++ b/yuccaswitch-node/src/test/java/io/yuccaswitch/node/entry/EntryServerTest.java
@@ -55,7 +55,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The entry over HTTP with the true core behind it; the test plays the endpoints. */
+/** Tests the entry over HTTP with the real decision core. The tests act as the endpoints. */
 class EntryServerTest {
 
     private static final String CONFIGURATION =
@@ -73,8 +73,8 @@
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private final FleetConfiguration configuration = configuration();
-    private final BlockingQueue<RequestEffect.Send> sends = new LinkedBlockingQueue<>();
-    private final BlockingQueue<RequestEffect.CancelAttempt> cancels = new LinkedBlockingQueue<>();
+    private final BlockingQueue<RequestEffect.Send> sentAttempts = new LinkedBlockingQueue<>();
+    private final BlockingQueue<RequestEffect.CancelAttempt> cancelledAttempts = new LinkedBlockingQueue<>();
     private final OkHttpClient client = new OkHttpClient.Builder()
             .retryOnConnectionFailure(false)
             .readTimeout(20, TimeUnit.SECONDS)
@@ -96,8 +96,8 @@
 
     @BeforeEach
     void start() {
-        subscriptions.add(loop.effects(RequestEffect.Send.class).subscribe(sends::add));
-        subscriptions.add(loop.effects(RequestEffect.CancelAttempt.class).subscribe(cancels::add));
+        subscriptions.add(loop.effects(RequestEffect.Send.class).subscribe(sentAttempts::add));
+        subscriptions.add(loop.effects(RequestEffect.CancelAttempt.class).subscribe(cancelledAttempts::add));
         loop.start();
         loop.accept(new ConfigurationEvent.InForce(1, configuration));
         server.start(HostAndPort.parse("127.0.0.1:0"));
@@ -142,18 +142,18 @@
         return response;
     }
 
-    private RequestEffect.Send nextSend() throws InterruptedException {
-        RequestEffect.Send send = sends.poll(20, TimeUnit.SECONDS);
+    private RequestEffect.Send nextAttempt() throws InterruptedException {
+        RequestEffect.Send send = sentAttempts.poll(20, TimeUnit.SECONDS);
         assertThat(send).isNotNull();
         return send;
     }
 
-    private void end(RequestEffect.Send send, AttemptResult result) {
+    private void endAttempt(RequestEffect.Send send, AttemptResult result) {
         loop.accept(new RequestEvent.AttemptEnded(send.id(), send.attempt(), send.endpoint(), result));
     }
 
     private void answer(RequestEffect.Send send, int status, String text) {
-        end(send, new AttemptResult.Whole(status, "text/plain", Bytes.ofUtf8(text), Optional.empty()));
+        endAttempt(send, new AttemptResult.Whole(status, "text/plain", Bytes.ofUtf8(text), Optional.empty()));
     }
 
     private static Generation generation(String text, int tokens, String finishReason) {
@@ -165,12 +165,12 @@
     }
 
     @Test
-    void aPostPassesThroughAndItsAnswerBearsItsId() throws Exception {
+    void aPostIsForwardedAndItsAnswerCarriesItsId() throws Exception {
         CompletableFuture<Response> response = call(request("/services/ledger-app/post/a%20b?x=1&y=%2F")
                 .header("X-Request-Id", "vm-1@3/own")
                 .post(json("{\"amount\":1}"))
                 .build());
-        RequestEffect.Send send = nextSend();
+        RequestEffect.Send send = nextAttempt();
         assertThat(send.request().path()).isEqualTo("/post/a%20b?x=1&y=%2F");
         assertThat(send.request().idempotent()).isFalse();
         assertThat(send.request().body().toUtf8()).isEqualTo("{\"amount\":1}");
@@ -182,10 +182,10 @@
     }
 
     @Test
-    void anIdThatTheNodeMakesIsHomedAtTheNode() throws Exception {
+    void theHomeOfAGeneratedIdIsTheNode() throws Exception {
         CompletableFuture<Response> response =
                 call(request("/services/ledger-app/post").post(json("{}")).build());
-        RequestEffect.Send send = nextSend();
+        RequestEffect.Send send = nextAttempt();
         answer(send, 200, "posted");
 
         assertThat(send.id().home()).contains(SELF);
@@ -193,32 +193,32 @@
     }
 
     @Test
-    void theSameIdFromTwoCallersAtOnceRunsOnceAndAnotherBodyIsRefused() throws Exception {
+    void concurrentRequestsWithTheSameIdRunOnceAndAnotherBodyIsRefused() throws Exception {
         Request post = request("/services/ledger-app/post")
                 .header("X-Request-Id", "vm-1@3/own")
                 .post(json("{}"))
                 .build();
         CompletableFuture<Response> first = call(post);
-        RequestEffect.Send send = nextSend();
+        RequestEffect.Send send = nextAttempt();
         CompletableFuture<Response> second = call(post);
-        Response foreign =
+        Response conflicting =
                 call(post.newBuilder().post(json("{\"other\":1}")).build()).get();
-        assertThat(foreign.code()).isEqualTo(409);
+        assertThat(conflicting.code()).isEqualTo(409);
         answer(send, 200, "posted");
 
         assertThat(first.get().body().string()).isEqualTo("posted");
         assertThat(second.get().body().string()).isEqualTo("posted");
-        assertThat(sends).isEmpty();
+        assertThat(sentAttempts).isEmpty();
     }
 
     @Test
-    void aRefusalIsToldAtOnceWithItsTruthAndWhenToComeBack() throws Exception {
+    void aRefusalReportsThatTheRequestDidNotRunAndWhenToRetry() throws Exception {
         CompletableFuture<Response> response = call(request("/services/ledger-app/post")
                 .header("X-Request-Id", "vm-1@3/own")
                 .post(json("{}"))
                 .build());
         for (int attempt = 0; attempt < 3; attempt++) {
-            end(nextSend(), new AttemptResult.NotRun("connect-failed", false));
+            endAttempt(nextAttempt(), new AttemptResult.NotRun("connect-failed", false));
         }
         JsonNode error = document(response.get());
 
@@ -230,17 +230,17 @@
     }
 
     @Test
-    void aFailureAfterTheSendNeverSaysNotRun() throws Exception {
+    void aFailureAfterTheSendIsNeverReportedAsNotRun() throws Exception {
         CompletableFuture<Response> response =
                 call(request("/services/ledger-app/post").post(json("{}")).build());
-        end(nextSend(), new AttemptResult.MaybeRun("connection-lost", Optional.empty()));
+        endAttempt(nextAttempt(), new AttemptResult.MaybeRun("connection-lost", Optional.empty()));
 
         assertThat(response.get().code()).isEqualTo(502);
         assertThat(document(response.get()).path("error").path("ran").asText()).isEqualTo("unknown");
     }
 
     @Test
-    void whatMakesNoSenseIsRefusedBeforeTheCore() throws Exception {
+    void invalidRequestsAreRefusedBeforeTheyReachTheCore() throws Exception {
         assertThat(code(new Request.Builder()
                         .url("http://127.0.0.1:" + server.port() + "/services/ledger-app/post")
                         .build()))
@@ -255,10 +255,10 @@
                         .build()))
                 .isEqualTo(400);
         assertThat(code(request("/v1/completions").post(json("[]")).build())).isEqualTo(400);
-        assertThat(sends).isEmpty();
+        assertThat(sentAttempts).isEmpty();
     }
 
-    /** Reads an answer to its end. A connection of which an answer is left unread must not serve another call. */
+    /** Reads an answer to its end, as a connection with unread data must not be reused for another call. */
     private int code(Request request) throws Exception {
         try (Response response = call(request).get()) {
             response.body().bytes();
@@ -267,18 +267,20 @@
     }
 
     @Test
-    void aStreamGoesOnAcrossEnginesWithoutARepeatedOrMissingToken() throws Exception {
+    void aStreamResumesAtAnotherEngineWithoutRepeatedOrMissingTokens() throws Exception {
         CompletableFuture<Response> response = call(request("/v1/completions")
                 .post(json("{\"model\":\"matcher-lm\",\"prompt\":\"hello\",\"stream\":true}"))
                 .build());
-        RequestEffect.Send first = nextSend();
+        RequestEffect.Send first = nextAttempt();
         loop.accept(new RequestEvent.Progressed(first.id(), first.attempt(), generation("t0 t1 ", 2, "")));
         BufferedSource events = response.get().body().source();
         assertThat(text(events)).isEqualTo("t0 t1 ");
-        end(first, new AttemptResult.MaybeRun("connection-lost", Optional.of(generation("t0 t1 t2 ", 3, ""))));
-        RequestEffect.Send second = nextSend();
+        endAttempt(first, new AttemptResult.MaybeRun("connection-lost", Optional.of(generation("t0 t1 t2 ", 3, ""))));
+        RequestEffect.Send second = nextAttempt();
         assertThat(second.resumeFrom()).contains(generation("t0 t1 t2 ", 3, ""));
-        end(second, new AttemptResult.Whole(200, "", Bytes.EMPTY, Optional.of(generation("t0 t1 t2 t3 ", 4, "stop"))));
+        endAttempt(
+                second,
+                new AttemptResult.Whole(200, "", Bytes.EMPTY, Optional.of(generation("t0 t1 t2 t3 ", 4, "stop"))));
 
         StringBuilder rest = new StringBuilder();
         String last = "";
@@ -293,25 +295,25 @@
     }
 
     @Test
-    void aStreamThatFailsIsNeverMarkedAsWhole() throws Exception {
+    void aFailedStreamIsNeverMarkedAsComplete() throws Exception {
         CompletableFuture<Response> response = call(request("/v1/completions")
                 .header("X-Deadline-Millis", "1500")
                 .post(json("{\"model\":\"matcher-lm\",\"prompt\":\"hello\",\"stream\":true}"))
                 .build());
-        RequestEffect.Send send = nextSend();
+        RequestEffect.Send send = nextAttempt();
         loop.accept(new RequestEvent.Progressed(send.id(), send.attempt(), generation("t0 ", 1, "")));
-        String whole = response.get().body().string();
+        String events = response.get().body().string();
 
-        assertThat(whole).contains("deadline-exceeded").doesNotContain("[DONE]");
+        assertThat(events).contains("deadline-exceeded").doesNotContain("[DONE]");
     }
 
     @Test
-    void aCallerThatLeavesAStreamStopsTheEngine() throws Exception {
+    void disconnectingFromAStreamCancelsTheAttempt() throws Exception {
         Call call = client.newCall(request("/v1/completions")
                 .post(json("{\"model\":\"matcher-lm\",\"prompt\":\"hello\",\"stream\":true}"))
                 .build());
         CompletableFuture<Response> response = start(call);
-        RequestEffect.Send send = nextSend();
+        RequestEffect.Send send = nextAttempt();
         loop.accept(new RequestEvent.Progressed(send.id(), send.attempt(), generation("t0 ", 1, "")));
         response.get();
         call.cancel();
@@ -322,13 +324,13 @@
                     text.append("t ");
                     loop.accept(new RequestEvent.Progressed(
                             send.id(), send.attempt(), generation(text.toString(), text.length() / 2, "")));
-                    return !cancels.isEmpty();
+                    return !cancelledAttempts.isEmpty();
                 });
-        assertThat(cancels.peek().id()).isEqualTo(send.id());
+        assertThat(cancelledAttempts.peek().id()).isEqualTo(send.id());
     }
 
     @Test
-    void entryAddressesPutTheOwnZoneFirstAndDoNotNameALeavingNode() throws Exception {
+    void entryAddressesListTheCallersZoneFirstAndOmitLeavingNodes() throws Exception {
         JsonNode document = document(
                 call(request("/v1/entry-addresses?availabilityZone=z1").build()).get());
 
@@ -342,12 +344,12 @@
     }
 
     @Test
-    void aLookUpTellsWhatBecameOfARequest() throws Exception {
+    void aLookupReturnsTheOutcomeOfARequest() throws Exception {
         CompletableFuture<Response> response = call(request("/services/ledger-app/post")
                 .header("X-Request-Id", "vm-1@3/own")
                 .post(json("{}"))
                 .build());
-        RequestEffect.Send send = nextSend();
+        RequestEffect.Send send = nextAttempt();
         JsonNode running =
                 document(call(request("/v1/requests/vm-1%403%2Fown").build()).get());
         assertThat(running.path("code").asText()).isEqualTo("in-progress");
@@ -377,7 +379,7 @@
                 .asText();
     }
 
-    /** The members and endpoints. */
+    /** The members and endpoints of the site. */
     private final class Site implements MembershipView, EndpointView {
 
         @Override
