--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/logging/EarlyLogConfiguration.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/logging/EarlyLogConfiguration.java
@@ -11,17 +11,17 @@
 import ch.qos.logback.core.spi.ContextAwareBase;
 
 /**
- * Sets up the log back end until the settings are read and {@link LogConfiguration} takes over: warnings go to standard
- * error. The back end finds this class as a service. A file in its own format would cost each start of a process the
- * reading of that format, about a third of the time until it serves.
+ * Configures Logback until the settings have been read and {@link LogConfiguration} is applied: warnings are written to
+ * standard error. Logback finds this class as a service. Parsing a configuration file in the format of Logback would
+ * take about a third of the time from the start of a process until it serves.
  */
 @ConfiguratorRank(ConfiguratorRank.CUSTOM_HIGH_PRIORITY)
 public final class EarlyLogConfiguration extends ContextAwareBase implements Configurator {
 
-    /** The pattern of the lines. */
+    /** The pattern of log lines. */
     private static final String PATTERN = "%level %logger{0} %msg%n";
 
-    /** Creates the configuration, as the back end does. */
+    /** Creates the configuration. Logback calls this constructor. */
     public EarlyLogConfiguration() {}
 
     @Override
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/logging/LogConfiguration.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/logging/LogConfiguration.java
@@ -13,28 +13,28 @@
 import java.util.TreeMap;
 import org.slf4j.LoggerFactory;
 
-/** Sets up the log back end, and changes levels while the process runs. */
+/** Configures Logback, and changes levels at run time. */
 public final class LogConfiguration {
 
-    /** The name that stands for the root logger. */
+    /** The name of the root logger in settings and requests. */
     public static final String ROOT = "root";
 
-    /** The pattern of lines of keys and values. */
+    /** The pattern of log lines with keys and values. */
     private static final String PATTERN =
             "time=%d{yyyy-MM-dd'T'HH:mm:ss.SSSXXX} level=%level logger=%logger{0} thread=\"%thread\" %msg%n";
 
-    /** The loggers of libraries that are quiet unless settings say otherwise. */
-    private static final Map<String, Level> QUIET =
+    /** The default levels of the loggers of verbose libraries. */
+    private static final Map<String, Level> LIBRARY_LEVELS =
             Map.of("org.eclipse.jetty", Level.WARN, "io.javalin", Level.WARN, "okhttp3", Level.WARN);
 
-    /** The number of lines that may wait for the reader of the log. */
-    private static final int QUEUED_LINES = 2048;
+    /** The maximum number of lines that wait to be written. */
+    private static final int QUEUE_CAPACITY = 2048;
 
     /** This class has no instances. */
     private LogConfiguration() {}
 
     /**
-     * Applies settings to the log back end, replacing whatever was set up before.
+     * Applies settings to Logback, replacing its previous configuration.
      *
      * @param settings The settings.
      */
@@ -48,7 +48,7 @@
         Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
         root.setLevel(Level.INFO);
         root.addAppender(queue(appender, context));
-        QUIET.forEach((name, level) -> context.getLogger(name).setLevel(level));
+        LIBRARY_LEVELS.forEach((name, level) -> context.getLogger(name).setLevel(level));
         settings.levels().forEach(LogConfiguration::setLevel);
     }
 
@@ -56,7 +56,7 @@
      * Changes the level of a logger.
      *
      * @param name The logger's name, or {@link #ROOT}.
-     * @param level The level, such as {@code DEBUG}. An unknown one counts as {@code INFO}.
+     * @param level The level, such as {@code DEBUG}. An unknown level is treated as {@code INFO}.
      */
     public static void setLevel(String name, String level) {
         logger(name).setLevel(Level.toLevel(level, Level.INFO));
@@ -90,8 +90,8 @@
     }
 
     /**
-     * Puts a bounded queue before an appender. Threads that log never wait for the reader of the log: while the queue
-     * is full, lines are dropped.
+     * Puts a bounded queue before an appender. Logging threads never block on a slow reader of the log: lines are
+     * dropped while the queue is full.
      *
      * @param appender The appender.
      * @param context The context.
@@ -100,7 +100,7 @@
     private static AsyncAppender queue(ConsoleAppender<ILoggingEvent> appender, LoggerContext context) {
         AsyncAppender queue = new AsyncAppender();
         queue.setContext(context);
-        queue.setQueueSize(QUEUED_LINES);
+        queue.setQueueSize(QUEUE_CAPACITY);
         queue.setDiscardingThreshold(0);
         queue.setNeverBlock(true);
         queue.addAppender(appender);
@@ -108,7 +108,7 @@
         return queue;
     }
 
-    /** Writes the lines that wait, for a short time at most. It is called right before the process ends. */
+    /** Writes the queued lines within a short time limit. Must be called right before the process ends. */
     public static void close() {
         ((LoggerContext) LoggerFactory.getILoggerFactory()).stop();
     }
@@ -117,7 +117,7 @@
      * Creates the encoder of a format.
      *
      * @param format The format.
-     * @param context The context of the log back end.
+     * @param context The context of Logback.
      * @return The started encoder.
      */
     private static Encoder<ILoggingEvent> encoder(LogFormat format, LoggerContext context) {
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/logging/LogFormat.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/logging/LogFormat.java
@@ -1,9 +1,9 @@
 package io.yuccaswitch.node.logging;
 
-/** How log lines are written. */
+/** The format of log lines. */
 public enum LogFormat {
     /** As pairs of keys and values. */
     KEY_VALUE,
-    /** As one JSON object a line. */
+    /** As one JSON object per line. */
     JSON
 }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/logging/LogSettings.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/logging/LogSettings.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * How a node writes its logs.
+ * The settings of a node's logs.
  *
- * @param format How log lines are written.
+ * @param format The format of log lines.
  * @param levels The levels of loggers by their names, such as {@code DEBUG}.
  */
 public record LogSettings(
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/logging/package-info.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/logging/package-info.java
@@ -1,2 +1,2 @@
-/** Structured logs: one line for each event, as key=value pairs or as JSON. */
+/** Structured logs: one line per event, as key=value pairs or as JSON. */
 package io.yuccaswitch.node.logging;
--- a/yuccaswitch-node/src/test/java/io/yuccaswitch/node/logging/EarlyLogConfigurationTest.java
+++ b/yuccaswitch-node/src/test/java/io/yuccaswitch/node/logging/EarlyLogConfigurationTest.java
@@ -13,12 +13,12 @@
 final class EarlyLogConfigurationTest {
 
     @Test
-    void theBackEndFindsTheConfigurationAsAService() {
+    void theConfigurationIsRegisteredAsAService() {
         assertThat(ServiceLoader.load(Configurator.class)).hasAtLeastOneElementOfType(EarlyLogConfiguration.class);
     }
 
     @Test
-    void onlyWarningsAreWrittenAndToStandardError() {
+    void onlyWarningsAreWrittenToStandardError() {
         LoggerContext context = new LoggerContext();
         Configurator.ExecutionStatus status = new EarlyLogConfiguration().configure(context);
         Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
--- a/yuccaswitch-node/src/test/java/io/yuccaswitch/node/logging/SlowLogReaderTest.java
+++ b/yuccaswitch-node/src/test/java/io/yuccaswitch/node/logging/SlowLogReaderTest.java
@@ -12,48 +12,48 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.parallel.Isolated;
 
-/** What a reader of the log that stands still does to those who log. */
+/** Guards against threads that block on logging because the reader of standard output is stuck. */
 @Isolated
 final class SlowLogReaderTest {
 
     @Test
-    void aReaderThatStandsStillBlocksNobody() throws InterruptedException {
-        PrintStream before = System.out;
-        CountDownLatch reading = new CountDownLatch(1);
-        System.setOut(new PrintStream(new StandingStill(reading), true, StandardCharsets.UTF_8));
-        Thread logging = new Thread(SlowLogReaderTest::logMuch);
+    void aBlockedReaderDoesNotBlockLoggingThreads() throws InterruptedException {
+        PrintStream originalOutput = System.out;
+        CountDownLatch resumed = new CountDownLatch(1);
+        System.setOut(new PrintStream(new BlockedStream(resumed), true, StandardCharsets.UTF_8));
+        Thread logging = new Thread(SlowLogReaderTest::logManyLines);
         try {
             LogConfiguration.apply(new LogSettings(LogFormat.KEY_VALUE, Map.of()));
             logging.start();
             logging.join(TimeUnit.SECONDS.toMillis(30));
             assertThat(logging.isAlive()).isFalse();
         } finally {
-            reading.countDown();
-            System.setOut(before);
+            resumed.countDown();
+            System.setOut(originalOutput);
             LogConfiguration.apply(new LogSettings(LogFormat.KEY_VALUE, Map.of()));
         }
     }
 
-    private static void logMuch() {
+    private static void logManyLines() {
         Logger logger = Logger.getLogger(SlowLogReaderTest.class);
         for (int line = 0; line < 20_000; line++) {
             logger.infof("event=line number=%d", line);
         }
     }
 
-    /** A stream whose writes wait until it is read. */
-    private static final class StandingStill extends OutputStream {
+    /** A stream whose writes block until the reader resumes. */
+    private static final class BlockedStream extends OutputStream {
 
-        private final CountDownLatch reading;
+        private final CountDownLatch resumed;
 
-        StandingStill(CountDownLatch reading) {
-            this.reading = reading;
+        BlockedStream(CountDownLatch resumed) {
+            this.resumed = resumed;
         }
 
         @Override
         public void write(int _value) {
             try {
-                reading.await();
+                resumed.await();
             } catch (InterruptedException _exception) {
                 Thread.currentThread().interrupt();
             }
