--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/membership/MembershipService.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/membership/MembershipService.java
@@ -12,7 +12,7 @@
 import io.yuccaswitch.protocol.PeerTransport;
 import java.util.function.ToLongFunction;
 
-/** Connects the membership with the transport: where nodes listen, who this node is, and what goes to whom. */
+/** Connects the membership to the transport: peer addresses, the identity of this node, and messages. */
 public final class MembershipService implements AutoCloseable {
 
     /** The decision loop. */
@@ -28,7 +28,7 @@
     private final CompositeDisposable subscriptions = new CompositeDisposable();
 
     /**
-     * Creates a service that does nothing yet.
+     * Creates a service that is not started yet.
      *
      * @param loop The decision loop.
      * @param transport The transport.
@@ -40,27 +40,27 @@
         this.addresses = addresses;
     }
 
-    /** Subscribes to the effects. This is called before the loop starts. */
+    /** Subscribes to the effects. Must be called before the loop starts. */
     public void start() {
-        subscriptions.add(loop.effects(MembershipEffect.class).subscribe(this::carryOut));
+        subscriptions.add(loop.effects(MembershipEffect.class).subscribe(this::execute));
         subscriptions.add(transport.subscribe(loop.effects(PeerEffect.class)));
     }
 
     /**
-     * Shows what the membership counts as metrics. The numbers are read from another thread than the one that counts,
-     * and may be slightly behind.
+     * Registers the statistics of the membership as metrics. They are read from another thread than the one that
+     * counts, and may lag slightly.
      *
      * @param membership The membership.
-     * @param metrics The registry to show them in.
+     * @param metrics The registry of the metrics.
      */
     public static void register(MembershipSystem membership, MetricRegistry metrics) {
-        gauge(membership, metrics, "exchanges", MembershipStatistics::exchanges);
-        gauge(membership, metrics, "answers", MembershipStatistics::answers);
-        gauge(membership, metrics, "suspicions", MembershipStatistics::suspicions);
-        gauge(membership, metrics, "suspicions.refuted", MembershipStatistics::refutedSuspicions);
-        gauge(membership, metrics, "deaths.refuted", MembershipStatistics::refutedDeaths);
-        gauge(membership, metrics, "objections", MembershipStatistics::ownRefutations);
-        gauge(membership, metrics, "pauses", MembershipStatistics::pauses);
+        registerGauge(membership, metrics, "exchanges", MembershipStatistics::exchanges);
+        registerGauge(membership, metrics, "answers", MembershipStatistics::answers);
+        registerGauge(membership, metrics, "suspicions", MembershipStatistics::suspicions);
+        registerGauge(membership, metrics, "suspicions.refuted", MembershipStatistics::refutedSuspicions);
+        registerGauge(membership, metrics, "deaths.refuted", MembershipStatistics::refutedDeaths);
+        registerGauge(membership, metrics, "objections", MembershipStatistics::ownRefutations);
+        registerGauge(membership, metrics, "pauses", MembershipStatistics::pauses);
     }
 
     /** {@inheritDoc} */
@@ -70,11 +70,11 @@
     }
 
     /**
-     * Carries out an effect.
+     * Executes an effect.
      *
      * @param effect The effect.
      */
-    private void carryOut(MembershipEffect effect) {
+    private void execute(MembershipEffect effect) {
         if (effect instanceof MembershipEffect.LearnAddress learned) {
             addresses.learn(learned.node(), learned.peerAddress());
         } else if (effect instanceof MembershipEffect.ForgetAddress forgotten) {
@@ -85,19 +85,19 @@
     }
 
     /**
-     * Shows one number as a metric.
+     * Registers one statistic as a metric.
      *
      * @param membership The membership.
-     * @param metrics The registry to show it in.
+     * @param metrics The registry of the metrics.
      * @param name The name after the prefix.
-     * @param number Reads the number.
+     * @param statistic Reads the statistic.
      */
-    private static void gauge(
+    private static void registerGauge(
             MembershipSystem membership,
             MetricRegistry metrics,
             String name,
-            ToLongFunction<MembershipStatistics> number) {
+            ToLongFunction<MembershipStatistics> statistic) {
         metrics.register(MetricRegistry.name("membership", name), (Gauge<Long>)
-                () -> number.applyAsLong(membership.statistics()));
+                () -> statistic.applyAsLong(membership.statistics()));
     }
 }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/membership/MembershipStatus.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/membership/MembershipStatus.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The part of the status document that shows what a node believes of the others. */
+/** The part of the status document that shows this node's view of the members. */
 public final class MembershipStatus implements StatusSection {
 
     /** The membership. */
@@ -64,9 +64,9 @@
      * The content of the section.
      *
      * @param self This node's identity.
-     * @param doubtful {@code true} if this node was paused and has not heard from another one since.
-     * @param members The members, dead ones included.
-     * @param statistics What was counted since the process started.
+     * @param doubtful {@code true} if this node was paused and has not received a message from another one since.
+     * @param members The members, including dead ones.
+     * @param statistics The statistics since the process started.
      */
     private record Content(String self, boolean doubtful, List<Row> members, MembershipStatistics statistics) {}
 
@@ -74,12 +74,13 @@
      * A member.
      *
      * @param identity The member's identity.
-     * @param availabilityZone The availability zone that it lies in.
-     * @param condition What this node believes of it.
-     * @param entryAddress Its address for callers.
-     * @param operatorAddress Its address for operators.
-     * @param generation The highest generation of the configuration that it last said it holds.
-     * @param platformLastHeardAgoMillis The milliseconds between the platform's last answer to it and its last report.
+     * @param availabilityZone The member's availability zone.
+     * @param condition The member's condition as this node sees it.
+     * @param entryAddress The member's address for callers.
+     * @param operatorAddress The member's address for operators.
+     * @param generation The highest generation of the configuration that the member last reported to hold.
+     * @param platformLastHeardAgoMillis The milliseconds between the platform's last answer to the member and the
+     *     member's last report.
      */
     private record Row(
             String identity,
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/membership/package-info.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/membership/package-info.java
@@ -1,2 +1,2 @@
-/** The shell of the membership: addresses, identity, status and metrics. */
+/** Connects the membership to the transport, the status document and the metrics. */
 package io.yuccaswitch.node.membership;
--- a/yuccaswitch-node/src/test/java/io/yuccaswitch/node/membership/MembershipBenchmark.java
+++ b/yuccaswitch-node/src/test/java/io/yuccaswitch/node/membership/MembershipBenchmark.java
@@ -24,17 +24,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Prints the figures of the membership and of the distribution of the configuration. Cores are driven in memory with a
- * hand-moved clock, and messages are delayed by one to five milliseconds; sizes are those of the frames on the wire. It
- * is not run with the other tests.
+ * Measures the membership and the distribution of the configuration. Decision cores run in memory with a simulated
+ * clock, messages are delayed by one to five milliseconds, and sizes are those of the encoded frames. It does not run
+ * with the other tests.
  */
 class MembershipBenchmark {
 
-    private static final int DEATHS = 8;
-    private static final int GENERATIONS = 15;
-    private static final int PAUSES = 10;
-    private static final Duration WINDOW = Duration.ofSeconds(30);
-    private static final Duration LIMIT = Duration.ofMinutes(2);
+    private static final int VICTIM_END_INDEX = 8;
+    private static final int GENERATIONS_PER_CASE = 15;
+    private static final int PAUSES_PER_DURATION = 10;
+    private static final Duration MEASUREMENT_INTERVAL = Duration.ofSeconds(30);
+    private static final Duration CONVERGENCE_TIMEOUT = Duration.ofMinutes(2);
 
     private final PeerMessageCodec codec =
             new PeerMessageCodec(PeerMessages.registry(), PeerTransportSettings.MAXIMUM_FRAME_LENGTH);
@@ -65,19 +65,23 @@
             bytes.merge(node.name(), size(message), Long::sum);
             messages[0]++;
         });
-        driver.run(WINDOW);
+        driver.run(MEASUREMENT_INTERVAL);
         driver.observe((_node, _message) -> {});
         int nodes = driver.nodes().size();
-        double mean = bytes.values().stream().mapToLong(Long::longValue).sum() / seconds(WINDOW) / nodes;
-        double most = bytes.values().stream().mapToLong(Long::longValue).max().orElse(0) / seconds(WINDOW);
-        double cpu = driver.nodes().stream().mapToLong(DrivenNode::cpuNanos).sum() / 1e9 / seconds(WINDOW) / nodes;
+        double mean = bytes.values().stream().mapToLong(Long::longValue).sum() / seconds(MEASUREMENT_INTERVAL) / nodes;
+        double maximum =
+                bytes.values().stream().mapToLong(Long::longValue).max().orElse(0) / seconds(MEASUREMENT_INTERVAL);
+        double cpu = driver.nodes().stream().mapToLong(DrivenNode::cpuNanos).sum()
+                / 1e9
+                / seconds(MEASUREMENT_INTERVAL)
+                / nodes;
         double tick = driver.nodes().stream()
                 .mapToDouble(DrivenNode::cpuMicrosPerTick)
                 .average()
                 .orElse(0);
         print(
-                "  idle: sent per node %.0f B/s (most %.0f), %.1f messages/s; core %.3f%% of a CPU, %.1f us a tick",
-                mean, most, messages[0] / seconds(WINDOW) / nodes, cpu * 100, tick);
+                "  idle: sent per node %.0f B/s (max %.0f), %.1f messages/s; core %.3f%% of a CPU, %.1f us per tick",
+                mean, maximum, messages[0] / seconds(MEASUREMENT_INTERVAL) / nodes, cpu * 100, tick);
         print(
                 "  platform calls of all nodes per second: watch %.2f list %.2f read %.2f write %.2f",
                 rate(driver, DrivenPlatform.Kind.WATCH),
@@ -87,25 +91,25 @@
     }
 
     private void generations(CoreDriver driver) {
-        List<Double> up = new ArrayList<>();
-        List<Double> down = new ArrayList<>();
-        for (int i = 2; i < 2 + GENERATIONS; i++) {
+        List<Double> platformUp = new ArrayList<>();
+        List<Double> platformDown = new ArrayList<>();
+        for (int i = 2; i < 2 + GENERATIONS_PER_CASE; i++) {
             long generation = i;
             driver.platform().configure(Envelopes.of(generation));
-            up.add(seconds(until(driver, () -> all(driver, generation))));
+            platformUp.add(seconds(until(driver, () -> allHaveGeneration(driver, generation))));
         }
-        for (int i = 2 + GENERATIONS; i < 2 + 2 * GENERATIONS; i++) {
+        for (int i = 2 + GENERATIONS_PER_CASE; i < 2 + 2 * GENERATIONS_PER_CASE; i++) {
             long generation = i;
             DrivenNode first = driver.nodes().iterator().next();
             driver.platform().down();
             driver.run(Duration.ofSeconds(1));
             first.accept(Envelopes.decode(Envelopes.of(generation)));
-            down.add(seconds(until(driver, () -> all(driver, generation))));
+            platformDown.add(seconds(until(driver, () -> allHaveGeneration(driver, generation))));
         }
         driver.platform().up();
         driver.run(Duration.ofSeconds(10));
-        print("  generation in force on all, platform up: %s", quantiles(up));
-        print("  generation in force on all, platform down, from one node: %s", quantiles(down));
+        print("  generation active on all nodes, platform up: %s", quantiles(platformUp));
+        print("  generation active on all nodes, platform down, from one node: %s", quantiles(platformDown));
     }
 
     private void pauses(CoreDriver driver) {
@@ -113,7 +117,7 @@
             long suspicions = sum(driver, MembershipStatistics::suspicions);
             long refuted = sum(driver, MembershipStatistics::refutedDeaths);
             List<DrivenNode> nodes = List.copyOf(driver.nodes());
-            for (int i = 0; i < PAUSES; i++) {
+            for (int i = 0; i < PAUSES_PER_DURATION; i++) {
                 DrivenNode paused = nodes.get(i % nodes.size());
                 paused.pause();
                 driver.run(Duration.ofMillis(millis));
@@ -121,8 +125,8 @@
                 driver.run(Duration.ofSeconds(6));
             }
             print(
-                    "  %d pauses of %d ms: %d suspicions raised, %d beliefs of death over all nodes taken back",
-                    PAUSES,
+                    "  %d pauses of %d ms: %d suspicions raised, %d death verdicts of all nodes refuted",
+                    PAUSES_PER_DURATION,
                     millis,
                     sum(driver, MembershipStatistics::suspicions) - suspicions,
                     sum(driver, MembershipStatistics::refutedDeaths) - refuted);
@@ -144,14 +148,14 @@
             all.add(seconds(some.plus(rest)));
             driver.run(Duration.ofSeconds(2));
         }
-        print("  dead node noticed by the first: %s", quantiles(first));
-        print("  dead node noticed by all: %s", quantiles(all));
-        print("  false suspicions during this: %d", survivorsRefuted(driver, victims) - refuted);
+        print("  dead node detected by the first node: %s", quantiles(first));
+        print("  dead node detected by all nodes: %s", quantiles(all));
+        print("  false suspicions meanwhile: %d", survivorsRefuted(driver, victims) - refuted);
     }
 
     private static List<DrivenNode> victims(CoreDriver driver) {
         return List.copyOf(driver.nodes())
-                .subList(1, Math.min(DEATHS, driver.nodes().size() - 2));
+                .subList(1, Math.min(VICTIM_END_INDEX, driver.nodes().size() - 2));
     }
 
     private static long survivorsRefuted(CoreDriver driver, List<DrivenNode> victims) {
@@ -165,16 +169,16 @@
         return codec.encode(message).orElseThrow().size();
     }
 
-    private static boolean all(CoreDriver driver, long generation) {
+    private static boolean allHaveGeneration(CoreDriver driver, long generation) {
         return driver.nodes().stream().allMatch(node -> node.configuration().generation() == generation);
     }
 
     private static Duration until(CoreDriver driver, BooleanSupplier condition) {
-        return driver.runUntil(condition, LIMIT);
+        return driver.runUntil(condition, CONVERGENCE_TIMEOUT);
     }
 
     private static double rate(CoreDriver driver, DrivenPlatform.Kind kind) {
-        return driver.platform().calls(kind) / seconds(WINDOW);
+        return driver.platform().calls(kind) / seconds(MEASUREMENT_INTERVAL);
     }
 
     private static long sum(CoreDriver driver, ToLongFunction<MembershipStatistics> number) {
--- a/yuccaswitch-node/src/test/java/io/yuccaswitch/node/membership/MembershipOverTransportTest.java
+++ b/yuccaswitch-node/src/test/java/io/yuccaswitch/node/membership/MembershipOverTransportTest.java
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void nodesJoinShareAConfigurationAndNoticeADeadOneOverTcpWhileThePlatformIsDown() {
+    void nodesJoinShareAConfigurationAndDetectADeadNodeOverTcpWhileThePlatformIsDown() {
         Node first = node("vm-0", List.of());
         Node second = node("vm-1", List.of(first.address()));
         Node third = node("vm-2", List.of(first.address()));
@@ -88,7 +88,7 @@
 
         private final ConfigurationState configuration = new ConfigurationState();
         private final LearnedAddresses addresses = new LearnedAddresses();
-        private final AtomicReference<DecisionLoop> target = new AtomicReference<>();
+        private final AtomicReference<DecisionLoop> loopReference = new AtomicReference<>();
         private final PeerTransport transport;
         private final MembershipSystem membership;
         private final DecisionLoop loop;
@@ -103,7 +103,7 @@
                     PeerMessages.registry(),
                     identity,
                     addresses,
-                    event -> target.get().accept(event),
+                    event -> loopReference.get().accept(event),
                     new MetricRegistry());
             Member self = new Member(
                     identity, new AvailabilityZone("garia"), "kolkata", address(), "e", "o", MemberCondition.ALIVE);
@@ -113,7 +113,7 @@
                     new DecisionCore(
                             List.of(membership, new ConfigurationSystem(configuration, membership, tokens)), 1),
                     () -> {});
-            target.set(loop);
+            loopReference.set(loop);
             service = new ConfigurationService(
                     loop, new EnvelopeDecoder.OfDocument(), Optional.of(data), new MetricRegistry());
             service.start();
