--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/operator/OperatorServer.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/operator/OperatorServer.java
@@ -36,23 +36,23 @@
 /** The HTTP interface for operators. */
 public final class OperatorServer implements AutoCloseable {
 
-    /** The time within which the decision loop must answer, in seconds. */
+    /** The seconds after which an inspection of the decision loop fails. */
     private static final long INSPECTION_TIMEOUT_SECONDS = 5;
 
-    /** The largest number of threads of the server. */
-    private static final int THREADS = 8;
+    /** The maximum number of threads of the server. */
+    private static final int MAXIMUM_THREADS = 8;
 
-    /** The smallest number of threads of the server. */
-    private static final int IDLE_THREADS = 2;
+    /** The minimum number of threads of the server. */
+    private static final int MINIMUM_THREADS = 2;
 
-    /** The path that answers whether the process lives, without credentials. */
+    /** The path of the liveness check, which needs no credentials. */
     private static final String HEALTH_PATH = "/healthz";
 
-    /** The path that answers whether the node serves callers, without credentials. */
+    /** The path of the readiness check, which needs no credentials. */
     private static final String READINESS_PATH = "/readyz";
 
-    /** The prefix of the header that bears a token. */
-    private static final String BEARER = "Bearer ";
+    /** The prefix of a bearer token in its header. */
+    private static final String BEARER_PREFIX = "Bearer ";
 
     /** The writer of documents. */
     private final ObjectMapper mapper = new ObjectMapper()
@@ -60,7 +60,7 @@
             .registerModule(new JavaTimeModule())
             .addMixIn(io.yuccaswitch.core.value.Bytes.class, BytesMixIn.class);
 
-    /** The loop whose tables are shown. */
+    /** The loop of the decision core, whose tables are shown. */
     private final DecisionLoop loop;
 
     /** The log of decisions. */
@@ -69,13 +69,13 @@
     /** The sections of the status document. */
     private final List<StatusSection> sections;
 
-    /** Shows requests under which endpoints ended. */
+    /** The routes of the quarantine. */
     private final QuarantineRoutes quarantine;
 
-    /** The planned stop. */
+    /** The graceful shutdown. */
     private final GracefulShutdown shutdown;
 
-    /** What to do when an operator asks for a planned stop. */
+    /** Runs when an operator requests a graceful shutdown. */
     private final Runnable onDrain;
 
     /** Whether the node is ready to serve callers. */
@@ -84,7 +84,7 @@
     /** The token that operators present. */
     private final Optional<String> token;
 
-    /** The metrics in the form in which they are scraped. */
+    /** The metrics in the Prometheus format. */
     private final PrometheusRegistry metrics = new PrometheusRegistry();
 
     /** The server. */
@@ -93,14 +93,14 @@
     /**
      * Creates a new server that does not listen yet.
      *
-     * @param loop The loop whose tables are shown.
+     * @param loop The loop of the decision core, whose tables are shown.
      * @param decisions The log of decisions.
      * @param sections The sections of the status document.
-     * @param shutdown The planned stop.
-     * @param onDrain What to do when an operator asks for a planned stop, which must not block.
+     * @param shutdown The graceful shutdown.
+     * @param onDrain Runs when an operator requests a graceful shutdown, and must not block.
      * @param ready Whether the node is ready to serve callers.
      * @param registry The metrics of the node.
-     * @param token The token that operators present, or empty to let everybody in.
+     * @param token The token that operators present, or empty to accept all requests.
      */
     @SuppressWarnings("TooManyArguments")
     public OperatorServer(
@@ -125,7 +125,7 @@
     }
 
     /**
-     * Starts to listen.
+     * Starts listening.
      *
      * @param address The address to listen on.
      */
@@ -146,7 +146,7 @@
      */
     private void configure(JavalinConfig config) {
         config.startup.showJavalinBanner = false;
-        config.jetty.threadPool = new QueuedThreadPool(THREADS, IDLE_THREADS);
+        config.jetty.threadPool = new QueuedThreadPool(MAXIMUM_THREADS, MINIMUM_THREADS);
         config.routes.before(this::authenticate);
         config.routes.get("/status", this::status);
         config.routes.get("/metrics", this::scrape);
@@ -163,17 +163,18 @@
     }
 
     /**
-     * Refuses requests without the operators' token.
+     * Rejects requests without the operators' token.
      *
      * @param context The request.
      */
     private void authenticate(Context context) {
-        boolean open = context.path().equals(HEALTH_PATH) || context.path().equals(READINESS_PATH);
-        if (open || token.isEmpty()) {
+        boolean unprotected =
+                context.path().equals(HEALTH_PATH) || context.path().equals(READINESS_PATH);
+        if (unprotected || token.isEmpty()) {
             return;
         }
         String presented = Optional.ofNullable(context.header("Authorization")).orElse("");
-        if (!digest(presented).equals(digest(BEARER + token.get()))) {
+        if (!digest(presented).equals(digest(BEARER_PREFIX + token.get()))) {
             context.status(HttpStatus.UNAUTHORIZED);
             write(context, new ErrorDocument("unauthorized", "Present the operators' token as a bearer token."));
             context.skipRemainingHandlers();
@@ -181,7 +182,7 @@
     }
 
     /**
-     * Hashes a text such that comparing two of them tells nothing by its duration.
+     * Hashes a text, so that the duration of a comparison reveals nothing about the text.
      *
      * @param text The text.
      * @return The hash of the text.
@@ -223,10 +224,10 @@
     }
 
     /**
-     * Answers that the decision loop did not.
+     * Answers that the decision loop did not answer.
      *
      * @param context The request.
-     * @param exception The reason.
+     * @param exception The cause.
      */
     private void unavailable(Context context, Exception exception) {
         context.status(HttpStatus.SERVICE_UNAVAILABLE);
@@ -234,7 +235,7 @@
     }
 
     /**
-     * Answers with the metrics in text format.
+     * Answers with the metrics in the Prometheus text format.
      *
      * @param context The request.
      */
@@ -271,7 +272,7 @@
     }
 
     /**
-     * Begins a planned stop.
+     * Starts a graceful shutdown.
      *
      * @param context The request.
      */
@@ -312,7 +313,7 @@
     }
 
     /**
-     * An answer that something went wrong.
+     * An error answer.
      *
      * @param code The code of the error.
      * @param message The explanation.
@@ -320,9 +321,9 @@
     private record ErrorDocument(String code, String message) {}
 
     /**
-     * How far a planned stop has come.
+     * The progress of a graceful shutdown.
      *
-     * @param begun Whether the stop has begun.
+     * @param begun Whether the shutdown has begun.
      * @param unfinished The names of the steps that have not finished.
      */
     private record ShutdownDocument(boolean begun, List<String> unfinished) {}
@@ -335,13 +336,13 @@
      */
     private record Explanation(String subject, List<Decision> decisions) {}
 
-    /** Writes bytes by their size alone, so that no content of callers shows in a status document. */
+    /** Writes only the size of bytes, so that no content of callers appears in a status document. */
     private interface BytesMixIn {
 
         /**
-         * Returns the text that stands for the bytes.
+         * Returns the text that represents the bytes.
          *
-         * @return The text that stands for the bytes.
+         * @return The text that represents the bytes.
          */
         @Override
         @com.fasterxml.jackson.annotation.JsonValue
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/operator/QuarantineRoutes.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/operator/QuarantineRoutes.java
@@ -17,25 +17,25 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Shows operators the requests under which endpoints ended, and lets them let a request go. */
+/** Lists the requests during which endpoints ended, and lets operators release a request from quarantine. */
 public final class QuarantineRoutes {
 
-    /** The path of the list, and what the path of one request begins with. */
+    /** The path of the list, and the prefix of the paths of single requests. */
     public static final String PATH = "/quarantine";
 
     /** The writer of documents. */
     private final ObjectMapper mapper = new ObjectMapper();
 
-    /** Takes what operators want. */
+    /** Receives the events of operators. */
     private final EventSink events;
 
-    /** What is known. */
+    /** The latest view of the quarantine. */
     private volatile QuarantineView view = QuarantineView.EMPTY;
 
     /**
-     * Creates routes and connects them to the core.
+     * Creates routes that are connected to the core.
      *
-     * @param loop The core.
+     * @param loop The loop of the decision core.
      */
     @SuppressWarnings("CheckReturnValue")
     public QuarantineRoutes(DecisionLoop loop) {
@@ -44,9 +44,9 @@
     }
 
     /**
-     * Answers with the requests, those that ended most endpoints first.
+     * Answers with the requests in descending order of the number of endpoints that ended.
      *
-     * @param context The call.
+     * @param context The HTTP request.
      */
     public void list(Context context) {
         List<Entry> entries = view.entries().values().stream()
@@ -57,17 +57,17 @@
     }
 
     /**
-     * Lets a request go at all nodes.
+     * Releases a request at all nodes.
      *
-     * @param context The call.
+     * @param context The HTTP request.
      * @param text The request's fingerprint.
      */
     public void release(Context context, String text) {
         Optional<RequestFingerprint> fingerprint = RequestFingerprint.parse(text);
-        boolean known = fingerprint.flatMap(view::find).isPresent();
-        if (!known) {
+        boolean listed = fingerprint.flatMap(view::find).isPresent();
+        if (!listed) {
             context.status(HttpStatus.NOT_FOUND);
-            write(context, new Failure("unknown-request", "No endpoint ended under a request " + text + "."));
+            write(context, new Failure("unknown-request", "The quarantine has no request " + text + "."));
             return;
         }
         events.accept(new QuarantineEvent.Released(fingerprint.get()));
@@ -78,7 +78,7 @@
     /**
      * Writes a document as the answer.
      *
-     * @param context The call.
+     * @param context The HTTP request.
      * @param document The document.
      */
     private void write(Context context, Object document) {
@@ -90,14 +90,14 @@
     }
 
     /**
-     * The requests.
+     * The list of requests.
      *
      * @param requests The requests.
      */
     private record Document(List<Entry> requests) {}
 
     /**
-     * An answer that something went wrong.
+     * An error answer.
      *
      * @param code The code of the error.
      * @param message The explanation.
@@ -105,15 +105,15 @@
     private record Failure(String code, String message) {}
 
     /**
-     * One request.
+     * A request.
      *
-     * @param fingerprint What recognises it.
+     * @param fingerprint The fingerprint that identifies the request.
      * @param request The method, host and path.
-     * @param held Whether it is held.
-     * @param endedEndpoints How many endpoints surely ended under it.
-     * @param since When the first did.
-     * @param heldUntil Until when it is held, or an empty text.
-     * @param endpoints The endpoints.
+     * @param held Whether the request is held in quarantine.
+     * @param endedEndpoints The number of endpoints that definitely ended while they ran the request.
+     * @param since The time at which the first of them ended.
+     * @param heldUntil The time until which the request is held, or an empty text.
+     * @param endpoints The endpoints that ended.
      */
     private record Entry(
             String fingerprint,
@@ -127,7 +127,7 @@
         /**
          * Describes a request.
          *
-         * @param entry What is known of it.
+         * @param entry The entry of the request.
          * @return The description.
          */
         static Entry of(QuarantineView.Entry entry) {
