--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/peer/LearnedAddresses.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/peer/LearnedAddresses.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.jboss.logging.Logger;
 
-/** The addresses of other nodes, as the membership learned them. */
+/** The peer addresses of other nodes that the membership has learned. */
 public final class LearnedAddresses implements PeerAddressBook {
 
     /** The logger. */
@@ -25,7 +25,7 @@
     }
 
     /**
-     * Remembers where a node listens.
+     * Records the address of a node.
      *
      * @param node The node.
      * @param address The address as {@code host:port}.
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Forgets where a node listens.
+     * Removes the address of a node.
      *
      * @param node The node.
      */
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/peer/PeerMessages.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/peer/PeerMessages.java
@@ -17,8 +17,8 @@
 import io.yuccaswitch.protocol.PeerMessageRegistry;
 
 /**
- * The numbers of all messages between nodes. A number stays with its message for ever: a message that is no longer sent
- * leaves its number unused.
+ * The numbers of all messages between nodes. The number of a message never changes, and the number of a message that is
+ * no longer sent must not be reused.
  */
 public final class PeerMessages {
 
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/peer/package-info.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/peer/package-info.java
@@ -1,2 +1,2 @@
-/** The shell of the messages between nodes. */
+/** The messages between nodes and the addresses to which they are sent. */
 package io.yuccaswitch.node.peer;
--- a/yuccaswitch-node/src/test/java/io/yuccaswitch/node/peer/ArbitraryValues.java
+++ b/yuccaswitch-node/src/test/java/io/yuccaswitch/node/peer/ArbitraryValues.java
@@ -14,10 +14,10 @@
 import java.util.OptionalLong;
 import java.util.Set;
 
-/** Makes a value of any type that messages consist of, with nothing left empty. */
+/** Creates a value of any type that occurs in messages, without empty containers. */
 final class ArbitraryValues {
 
-    private static final Map<Class<?>, Object> SIMPLE = Map.ofEntries(
+    private static final Map<Class<?>, Object> LEAF_VALUES = Map.ofEntries(
             Map.entry(boolean.class, true),
             Map.entry(int.class, 3),
             Map.entry(long.class, 5L),
@@ -40,8 +40,8 @@
             return container(parameterized);
         }
         Class<?> raw = (Class<?>) type;
-        if (SIMPLE.containsKey(raw)) {
-            return SIMPLE.get(raw);
+        if (LEAF_VALUES.containsKey(raw)) {
+            return LEAF_VALUES.get(raw);
         }
         if (raw.isEnum()) {
             return raw.getEnumConstants()[raw.getEnumConstants().length - 1];
@@ -70,7 +70,7 @@
         try {
             return type.getDeclaredConstructor(types).newInstance(values);
         } catch (ReflectiveOperationException exception) {
-            throw new IllegalStateException("No value of " + type, exception);
+            throw new IllegalStateException("Can't create a value of " + type, exception);
         }
     }
 }
--- a/yuccaswitch-node/src/test/java/io/yuccaswitch/node/peer/PeerMessagesTest.java
+++ b/yuccaswitch-node/src/test/java/io/yuccaswitch/node/peer/PeerMessagesTest.java
@@ -44,7 +44,7 @@
 
     @ParameterizedTest
     @MethodSource("messageTypes")
-    void everyMessageSurvivesItsWayToAnotherNode(Class<? extends PeerMessage> type) throws InterruptedException {
+    void everyMessageArrivesUnchangedAtAnotherNode(Class<? extends PeerMessage> type) throws InterruptedException {
         PeerMessage message = type.cast(ArbitraryValues.of(type));
         BlockingQueue<Event> received = new LinkedBlockingQueue<>();
         try (PeerTransport to = transport("to", received);
