--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/shutdown/DrainStep.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/shutdown/DrainStep.java
@@ -1,6 +1,6 @@
 package io.yuccaswitch.node.shutdown;
 
-/** A part of a node that has something to finish before the process may exit. */
+/** A component of a node that must finish its work before the process may exit. */
 public interface DrainStep {
 
     /**
@@ -10,13 +10,13 @@
      */
     String name();
 
-    /** Begins to finish: from now on the part takes no new work from outside. This method does not block. */
+    /** Starts draining, after which the component accepts no new work from outside. This method does not block. */
     void begin();
 
     /**
-     * Returns whether the part has finished.
+     * Returns whether the component has finished.
      *
-     * @return {@code true} if nothing of this part is cut when the process exits now.
+     * @return {@code true} if the process may exit without interrupting work of this component.
      */
     boolean isFinished();
 }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/shutdown/GracefulShutdown.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/shutdown/GracefulShutdown.java
@@ -7,12 +7,12 @@
 import org.jboss.logging.Logger;
 
 /**
- * The planned stop of a node: each step is begun in its turn and waited for, such that no request in progress is cut. A
- * stop waits without a bound, since whoever wants a node dead at once can kill it.
+ * The graceful shutdown of a node: the steps run one after the other, so that no request in progress is interrupted. It
+ * has no time limit, since the process can be killed to end a node immediately.
  */
 public final class GracefulShutdown {
 
-    /** The pause between two looks at a step. */
+    /** The interval at which the end of a step is polled. */
     private static final Duration POLL_INTERVAL = Duration.ofMillis(50);
 
     /** The logger. */
@@ -21,7 +21,7 @@
     /** The steps, in the order in which they are begun. */
     private final List<DrainStep> steps;
 
-    /** Whether the stop has begun. */
+    /** Whether the shutdown has begun. */
     private final AtomicBoolean begun = new AtomicBoolean();
 
     /**
@@ -34,9 +34,9 @@
     }
 
     /**
-     * Returns whether the stop has begun.
+     * Returns whether the shutdown has begun.
      *
-     * @return {@code true} if the stop has begun.
+     * @return {@code true} if the shutdown has begun.
      */
     public boolean isBegun() {
         return begun.get();
@@ -55,7 +55,7 @@
     }
 
     /**
-     * Runs the stop to its end. Only the first call does anything.
+     * Runs the shutdown to its end. All calls but the first return immediately.
      *
      * @throws InterruptedException If the calling thread is interrupted while it waits.
      */
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/shutdown/InspectionStep.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/shutdown/InspectionStep.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.BooleanSupplier;
 
-/** Waits until the tables of the decision core say that a part of the node has finished. */
+/** Waits until a condition on the tables of the decision core holds. */
 public final class InspectionStep implements DrainStep {
 
     /** The name of the step. */
@@ -13,18 +13,18 @@
     /** The loop of the decision core. */
     private final DecisionLoop loop;
 
-    /** Reads the tables, on the loop's thread. */
+    /** Evaluates the condition on the loop's thread. */
     private final BooleanSupplier finished;
 
-    /** The latest question to the loop, which begins as an unfavourable answer. */
-    private volatile CompletableFuture<Boolean> question = CompletableFuture.completedFuture(false);
+    /** The latest inspection of the tables, initially with the result that the step has not finished. */
+    private volatile CompletableFuture<Boolean> inspection = CompletableFuture.completedFuture(false);
 
     /**
      * Creates a new step.
      *
      * @param name The name of the step.
      * @param loop The loop of the decision core.
-     * @param finished Reads the tables and returns whether the part has finished.
+     * @param finished Returns whether the step has finished, and is called on the loop's thread.
      */
     public InspectionStep(String name, DecisionLoop loop, BooleanSupplier finished) {
         this.name = name;
@@ -41,13 +41,13 @@
     /** {@inheritDoc} */
     @Override
     public void begin() {
-        question = loop.inspect(finished::getAsBoolean);
+        inspection = loop.inspect(finished::getAsBoolean);
     }
 
     /** {@inheritDoc} */
     @Override
     public boolean isFinished() {
-        CompletableFuture<Boolean> latest = question;
+        CompletableFuture<Boolean> latest = inspection;
         if (!latest.isDone()) {
             return false;
         }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/shutdown/LeavingStep.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/shutdown/LeavingStep.java
@@ -8,28 +8,28 @@
 import java.util.function.Supplier;
 
 /**
- * Tells the other nodes that this one leaves, such that none names it among the entry addresses, and waits until the
- * longest validity of any such answer has passed. The node serves as before meanwhile.
+ * Announces to the other nodes that this one leaves, so that they no longer include it in the entry addresses, and
+ * waits until all answers that include it have expired. The node continues to serve meanwhile.
  */
 public final class LeavingStep implements DrainStep {
 
-    /** The time in which the news reaches the nodes that may still name this one. */
-    private static final Duration NEWS_TIME = Duration.ofSeconds(2);
+    /** The margin for the announcement to reach all nodes that may still include this one in their answers. */
+    private static final Duration ANNOUNCEMENT_MARGIN = Duration.ofSeconds(2);
 
     /** The loop of the decision core. */
     private final DecisionLoop loop;
 
-    /** Returns the longest validity that entry addresses were given with. */
+    /** Supplies the maximum validity of the entry addresses that callers received. */
     private final Supplier<Duration> validity;
 
-    /** The time at which the step has finished, or empty before it was begun. */
-    private volatile Optional<MonotonicTime> end = Optional.empty();
+    /** The time at which the step is finished, or empty before it has begun. */
+    private volatile Optional<MonotonicTime> finishTime = Optional.empty();
 
     /**
      * Creates a new step.
      *
      * @param loop The loop of the decision core.
-     * @param validity Returns the longest validity that entry addresses were given with.
+     * @param validity Supplies the maximum validity of the entry addresses that callers received.
      */
     public LeavingStep(DecisionLoop loop, Supplier<Duration> validity) {
         this.loop = loop;
@@ -46,12 +46,12 @@
     @Override
     public void begin() {
         loop.accept(new MembershipEvent.LeaveRequested());
-        end = Optional.of(DecisionLoop.now().plus(validity.get()).plus(NEWS_TIME));
+        finishTime = Optional.of(DecisionLoop.now().plus(validity.get()).plus(ANNOUNCEMENT_MARGIN));
     }
 
     /** {@inheritDoc} */
     @Override
     public boolean isFinished() {
-        return end.filter(time -> time.isBefore(DecisionLoop.now())).isPresent();
+        return finishTime.filter(time -> time.isBefore(DecisionLoop.now())).isPresent();
     }
 }
