--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/trainer/PendingAnswers.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/trainer/PendingAnswers.java
@@ -8,21 +8,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The answers that HTTP requests wait for, by the key under which the decision core gives them.
+ * The answers of the decision core for which HTTP requests wait, by their keys.
  *
  * @param <K> The type of the keys.
  * @param <A> The type of the answers.
  */
 final class PendingAnswers<K, A> {
 
-    /** The answers that are waited for. */
+    /** The pending answers. */
     private final Map<K, SingleSubject<A>> waiting = new ConcurrentHashMap<>();
 
     /**
-     * Waits for an answer. All that wait under the same key get the same answer.
+     * Waits for an answer. All subscribers with the same key receive the same answer.
      *
      * @param key The key.
-     * @param timeout The time after which waiting fails.
+     * @param timeout The time after which the wait fails.
      * @return The answer.
      */
     Single<A> await(K key, Duration timeout) {
@@ -31,7 +31,7 @@
     }
 
     /**
-     * Gives an answer to all that wait for it.
+     * Completes a pending answer for all its subscribers.
      *
      * @param key The key.
      * @param answer The answer.
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/trainer/SampleDrainStep.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/trainer/SampleDrainStep.java
@@ -10,15 +10,15 @@
 import org.jboss.logging.Logger;
 
 /**
- * Waits at a planned stop until other nodes hold all groups and cursors of this one. The hand-off itself begins when
- * the node's own row among the members says that it leaves. The last node of a site has nobody to hand off to: it gives
- * trainers some time to pull what is finished, and then stops. A trainer gets what it had not taken by submitting its
- * groups again, which is idempotent.
+ * Waits in a graceful shutdown until other nodes hold all groups and cursors of this one. The hand-off itself begins
+ * when the node's own row in the membership is marked as leaving. The last node of a site has no other node to hand off
+ * to: it gives trainers some time to pull finished groups, and then stops. A trainer recovers groups that it had not
+ * pulled by submitting them again, which is idempotent.
  */
 public final class SampleDrainStep implements DrainStep {
 
-    /** The time for which the last node of a site waits for trainers. */
-    private static final Duration LAST_NODE_PATIENCE = Duration.ofSeconds(5);
+    /** The time after which the last node of a site stops waiting for trainers. */
+    private static final Duration LAST_NODE_TIMEOUT = Duration.ofSeconds(5);
 
     /** The logger. */
     private static final Logger LOGGER = Logger.getLogger(SampleDrainStep.class);
@@ -26,11 +26,11 @@
     /** The loop of the decision core. */
     private final DecisionLoop loop;
 
-    /** The systems to wait for. */
+    /** The sample system whose hand-off is awaited. */
     private final SampleSystem system;
 
-    /** The latest question to the decision core. */
-    private volatile CompletableFuture<State> question = CompletableFuture.completedFuture(State.HOLDING);
+    /** The latest inspection of the decision core. */
+    private volatile CompletableFuture<State> inspection = CompletableFuture.completedFuture(State.HOLDING);
 
     /** The time since when this node has been the last one, or empty if it is not. */
     private Optional<MonotonicTime> lastSince = Optional.empty();
@@ -39,7 +39,7 @@
      * Creates a new step.
      *
      * @param loop The loop of the decision core.
-     * @param system The systems to wait for.
+     * @param system The sample system whose hand-off is awaited.
      */
     public SampleDrainStep(DecisionLoop loop, SampleSystem system) {
         this.loop = loop;
@@ -55,18 +55,18 @@
     /** {@inheritDoc} */
     @Override
     public void begin() {
-        question = loop.inspect(this::state);
+        inspection = loop.inspect(this::state);
     }
 
     /** {@inheritDoc} */
     @Override
     public boolean isFinished() {
-        CompletableFuture<State> latest = question;
+        CompletableFuture<State> latest = inspection;
         if (!latest.isDone()) {
             return false;
         }
         State state = latest.isCompletedExceptionally() ? State.HOLDING : latest.join();
-        if (state == State.HANDED_OFF || isOutOfPatience(state)) {
+        if (state == State.HANDED_OFF || isTimedOut(state)) {
             return true;
         }
         begin();
@@ -76,7 +76,7 @@
     /**
      * Reads the tables, on the loop's thread.
      *
-     * @return What holds the stop up.
+     * @return The state of the hand-off.
      */
     private State state() {
         if (system.handedOff()) {
@@ -86,16 +86,16 @@
     }
 
     /**
-     * Returns whether this node has been the last one for long enough.
+     * Returns whether this node has been the last one for longer than the timeout.
      *
-     * @param state What holds the stop up.
-     * @return {@code true} if the node stops with what it holds.
+     * @param state The state of the hand-off.
+     * @return {@code true} if the node stops without a hand-off.
      */
-    private boolean isOutOfPatience(State state) {
+    private boolean isTimedOut(State state) {
         MonotonicTime now = DecisionLoop.now();
         lastSince = state == State.LAST ? Optional.of(lastSince.orElse(now)) : Optional.empty();
         boolean finished = lastSince
-                .filter(since -> now.since(since).compareTo(LAST_NODE_PATIENCE) >= 0)
+                .filter(since -> now.since(since).compareTo(LAST_NODE_TIMEOUT) >= 0)
                 .isPresent();
         if (finished) {
             LOGGER.warn("event=samples-not-handed-off reason=\"this is the last node of the site\"");
@@ -103,13 +103,13 @@
         return finished;
     }
 
-    /** What holds a stop up. */
+    /** The state of a hand-off. */
     private enum State {
-        /** This node holds something that it still hands off. */
+        /** This node holds groups or cursors that it has not handed off yet. */
         HOLDING,
-        /** This node holds something, and no other node takes work. */
+        /** This node holds groups or cursors, and no other node accepts work. */
         LAST,
-        /** Other nodes hold all. */
+        /** Other nodes hold all groups and cursors. */
         HANDED_OFF
     }
 }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/trainer/SampleMetrics.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/trainer/SampleMetrics.java
@@ -15,13 +15,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.ToLongFunction;
 
-/** Publishes what a node reports of samples as metrics, read from the decision core at a steady interval. */
+/** Publishes the sample report of a node as metrics. The decision core is read at a fixed interval. */
 public final class SampleMetrics implements AutoCloseable {
 
     /** The interval at which the decision core is read. */
-    private static final Duration INTERVAL = Duration.ofSeconds(2);
+    private static final Duration READ_INTERVAL = Duration.ofSeconds(2);
 
-    /** The metrics to add to. */
+    /** The registry of the metrics. */
     private final MetricRegistry registry;
 
     /** The subscription to the interval. */
@@ -31,15 +31,15 @@
     private volatile SampleReport latest = new SampleReport(Map.of());
 
     /**
-     * Creates metrics and begins to read.
+     * Creates metrics and starts reading the decision core.
      *
      * @param loop The loop of the decision core.
-     * @param system The systems to read.
-     * @param registry The metrics to add to.
+     * @param system The sample system to read.
+     * @param registry The registry of the metrics.
      */
     public SampleMetrics(DecisionLoop loop, SampleSystem system, MetricRegistry registry) {
         this.registry = registry;
-        subscription = Observable.interval(INTERVAL.toMillis(), TimeUnit.MILLISECONDS)
+        subscription = Observable.interval(READ_INTERVAL.toMillis(), TimeUnit.MILLISECONDS)
                 .flatMapSingle(_count -> Single.fromCompletionStage(loop.inspect(system::report)))
                 .subscribe(this::update);
     }
@@ -51,7 +51,7 @@
     }
 
     /**
-     * Takes a report.
+     * Stores a report and adds the gauges of new trainers.
      *
      * @param report The report.
      */
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Adds the gauges of a trainer, if they are not there yet.
+     * Adds the gauges of a trainer unless they exist.
      *
      * @param trainer The trainer.
      */
@@ -81,23 +81,23 @@
     }
 
     /**
-     * Adds a gauge of a trainer, if it is not there yet.
+     * Adds a gauge of a trainer unless it exists.
      *
      * @param trainer The trainer.
      * @param name The name of the gauge.
      * @param value Reads the value.
      */
     private void gauge(TrainerName trainer, String name, ToLongFunction<SampleReport.Trainer> value) {
-        String full = MetricRegistry.name("samples", trainer.value(), name);
+        String metricName = MetricRegistry.name("samples", trainer.value(), name);
         registry.gauge(
-                full,
+                metricName,
                 () -> (Gauge<Long>) () -> Optional.ofNullable(latest.trainers().get(trainer))
                         .map(value::applyAsLong)
                         .orElse(0L));
     }
 
     /**
-     * Counts the discarded samples of all reasons.
+     * Sums the discarded samples over all reasons.
      *
      * @param report The report.
      * @return The number of samples.
@@ -107,7 +107,7 @@
     }
 
     /**
-     * Adds up the time that pulls waited for any cause.
+     * Sums the time that pulls waited over all causes.
      *
      * @param report The report.
      * @return The time in milliseconds.
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/trainer/SampleStatus.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/trainer/SampleStatus.java
@@ -11,16 +11,16 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 
-/** Shows samples in the status document, by trainer. */
+/** The part of the status document that shows samples by trainer. */
 public final class SampleStatus implements StatusSection {
 
-    /** The systems to show. */
+    /** The sample system to show. */
     private final SampleSystem system;
 
     /**
      * Creates a new section.
      *
-     * @param system The systems to show.
+     * @param system The sample system to show.
      */
     public SampleStatus(SampleSystem system) {
         this.system = system;
@@ -50,18 +50,18 @@
      * @param groupsReady The number of finished groups that this node keeps.
      * @param samplesQueued The number of samples that wait for their generation.
      * @param samplesGenerating The number of samples that are being generated.
-     * @param samplesScoring The number of samples that are generated and not yet scored.
-     * @param groupsHandedOver The number of groups that this node handed over and that the trainer acknowledged.
+     * @param samplesScoring The number of samples that have been generated and not yet scored.
+     * @param groupsHandedOver The number of groups that this node handed over and the trainer acknowledged.
      * @param samplesHandedOver The number of samples in those groups.
-     * @param staleness The number of those samples by the number of versions that they were behind.
+     * @param staleness The number of those samples by the number of versions by which they lagged.
      * @param discardedSamples The number of discarded samples by reason.
-     * @param discardedTokens The number of tokens that were generated for nothing.
-     * @param acceptedTokens The number of tokens that were generated and accepted.
+     * @param discardedTokens The number of generated tokens that were discarded.
+     * @param acceptedTokens The number of generated tokens that were accepted.
      * @param groupsCompleted The number of groups that this node completed.
      * @param completionMeanMillis The mean time from the acceptance of a group to its completion.
-     * @param completionMaximumMillis The longest such time.
+     * @param completionMaximumMillis The maximum of these times.
      * @param stragglers The number of samples that took several times longer than usual.
-     * @param pullWaitMillis The time that the trainer's pulls waited, by what was missing.
+     * @param pullWaitMillis The milliseconds that the trainer's pulls waited, by the cause of the wait.
      */
     record TrainerStatus(
             int groupsDriven,
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/trainer/TrainerDocuments.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/trainer/TrainerDocuments.java
@@ -26,7 +26,7 @@
      * A publication of weights.
      *
      * @param version The version.
-     * @param location The place of the weights in the weight store.
+     * @param location The location of the weights in the weight store.
      */
     record Publication(long version, String location) {}
 
@@ -44,7 +44,7 @@
      * @param group The number of the group in its step.
      * @param prompt The prompt.
      * @param size The number of samples.
-     * @param maximumTokens The largest number of tokens of a sample.
+     * @param maximumTokens The maximum number of tokens of a sample.
      * @param priority The priority class, or empty for the normal one.
      */
     record Group(long step, int group, String prompt, int size, int maximumTokens, Optional<String> priority) {
@@ -53,7 +53,7 @@
          * Converts this group.
          *
          * @param trainer The trainer that submits it.
-         * @return The group as the decision core takes it.
+         * @return The group as an object of the decision core.
          */
         GroupSpecification toSpecification(TrainerName trainer) {
             String name = priority.orElse(DEFAULT_PRIORITY).toUpperCase(Locale.ROOT);
@@ -66,10 +66,10 @@
      * A pull of finished groups.
      *
      * @param cursor The cursor, or empty if the trainer has none.
-     * @param useVersion The weight version with which the trainer will use the samples.
+     * @param useVersion The weight version for which the trainer will use the samples.
      * @param step The only step to hand over, or empty for any.
-     * @param maximumGroups The largest number of groups.
-     * @param waitMillis The time to wait for groups.
+     * @param maximumGroups The maximum number of groups.
+     * @param waitMillis The milliseconds to wait for groups.
      */
     record Pull(Optional<String> cursor, long useVersion, Optional<Long> step, int maximumGroups, long waitMillis) {}
 
@@ -84,7 +84,7 @@
         /**
          * Converts an identity.
          *
-         * @param key The identity as the decision core has it.
+         * @param key The key of the group in the decision core.
          * @return The identity.
          */
         static Identity of(GroupKey key) {
@@ -98,8 +98,8 @@
      * @param step The step.
      * @param group The number of the group in its step.
      * @param code The code of the reason.
-     * @param ran {@code no} if no node took the group, or {@code unknown}.
-     * @param retryAfterMillis The time after which it is worth to ask again, or empty if it never is.
+     * @param ran {@code no} if no node accepted the group, or {@code unknown}.
+     * @param retryAfterMillis The time after which a retry may succeed, or empty if a retry can't succeed.
      */
     @JsonInclude(JsonInclude.Include.NON_ABSENT)
     record Refusal(long step, int group, String code, String ran, Optional<Long> retryAfterMillis) {
@@ -107,7 +107,7 @@
         /**
          * Converts a refusal.
          *
-         * @param refused The refusal as the decision core has it.
+         * @param refused The refusal as an object of the decision core.
          * @return The refusal.
          */
         static Refusal of(SampleEffect.RefusedGroup refused) {
@@ -123,8 +123,8 @@
     /**
      * The answer to a submission.
      *
-     * @param accepted The groups that are safe.
-     * @param refused The groups that are not.
+     * @param accepted The groups that were stored.
+     * @param refused The groups that were refused.
      */
     record SubmissionAnswer(List<Identity> accepted, List<Refusal> refused) {}
 
@@ -149,7 +149,7 @@
         /**
          * Converts a group.
          *
-         * @param group The group as the decision core has it.
+         * @param group The group as an object of the decision core.
          * @return The group.
          */
         static FinishedGroupDocument of(FinishedGroup group) {
@@ -175,7 +175,7 @@
         /**
          * Converts a sample.
          *
-         * @param sample The sample as the decision core has it.
+         * @param sample The sample as an object of the decision core.
          * @return The sample.
          */
         static SampleDocument of(Sample sample) {
@@ -201,18 +201,18 @@
     /**
      * An error.
      *
-     * @param error What went wrong.
+     * @param error The description of the error.
      * @param requestId The identifier of the trainer's request, or empty text.
      */
     record ErrorAnswer(ErrorDocument error, String requestId) {}
 
     /**
-     * What went wrong.
+     * The description of an error.
      *
      * @param code The code.
      * @param message The explanation.
-     * @param ran Whether anything took effect: {@code no} or {@code unknown}.
-     * @param retryAfterMillis The time after which it is worth to ask again, or empty if it never is.
+     * @param ran Whether the request took effect: {@code no} or {@code unknown}.
+     * @param retryAfterMillis The time after which a retry may succeed, or empty if a retry can't succeed.
      */
     @JsonInclude(JsonInclude.Include.NON_ABSENT)
     record ErrorDocument(String code, String message, String ran, Optional<Long> retryAfterMillis) {}
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/trainer/TrainerException.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/trainer/TrainerException.java
@@ -3,13 +3,13 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** Refuses a trainer's request. */
+/** The refusal of a trainer's request. */
 final class TrainerException extends RuntimeException {
 
     /** The version of the serialized form. */
     private static final long serialVersionUID = 1;
 
-    /** The status that a request gets that can't be understood. */
+    /** The status of an invalid request. */
     private static final int BAD_REQUEST = 400;
 
     /** The HTTP status. */
@@ -18,10 +18,10 @@
     /** The code of the reason. */
     private final String code;
 
-    /** Whether anything took effect. */
+    /** Whether the request took effect: {@code no} or {@code unknown}. */
     private final String ran;
 
-    /** The time after which it is worth to ask again in milliseconds, or zero if it never is. */
+    /** The milliseconds after which a retry may succeed, or zero if a retry can't succeed. */
     private final long retryAfterMillis;
 
     /**
@@ -30,8 +30,8 @@
      * @param status The HTTP status.
      * @param code The code of the reason.
      * @param message The explanation.
-     * @param ran Whether anything took effect: {@code no} or {@code unknown}.
-     * @param retryAfter The time after which it is worth to ask again, or empty if it never is.
+     * @param ran Whether the request took effect: {@code no} or {@code unknown}.
+     * @param retryAfter The time after which a retry may succeed, or empty if a retry can't succeed.
      */
     TrainerException(int status, String code, String message, String ran, Optional<Duration> retryAfter) {
         super(message);
@@ -42,7 +42,7 @@
     }
 
     /**
-     * Creates the refusal of a request that can't be understood.
+     * Creates the refusal of an invalid request.
      *
      * @param message The explanation.
      * @return The refusal.
@@ -61,16 +61,16 @@
     }
 
     /**
-     * Returns the time after which it is worth to ask again.
+     * Returns the time after which a retry may succeed.
      *
-     * @return The time in milliseconds, or empty if it never is.
+     * @return The time in milliseconds, or empty if a retry can't succeed.
      */
     Optional<Long> retryAfterMillis() {
         return retryAfterMillis > 0 ? Optional.of(retryAfterMillis) : Optional.empty();
     }
 
     /**
-     * Returns the error as it is answered.
+     * Returns the error for the body of the answer.
      *
      * @return The error.
      */
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/trainer/TrainerRoutes.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/trainer/TrainerRoutes.java
@@ -33,30 +33,30 @@
 
 /**
  * The routes for trainers on the entry address: publications of weights, submissions of groups, and pulls. An instance
- * is created before the loop starts, as it subscribes to the loop's effects, and registers its routes with the server
- * of the entry address.
+ * must be created before the loop starts, as it subscribes to the loop's effects, and registers its routes with the
+ * server of the entry address.
  */
 public final class TrainerRoutes implements AutoCloseable {
 
     /** The path of a trainer. */
     private static final String TRAINER_PATH = "/v1/trainers/{trainer}";
 
-    /** The time in which a publication must be safe. */
+    /** The time after which a publication that is not safely stored fails. */
     private static final Duration PUBLICATION_TIMEOUT = Duration.ofSeconds(5);
 
-    /** The time in which a submission must be decided. */
+    /** The time after which a submission without an answer fails. */
     private static final Duration SUBMISSION_TIMEOUT = Duration.ofSeconds(10);
 
-    /** The time beyond its own that a pull may take. */
-    private static final Duration PULL_TIMEOUT = Duration.ofSeconds(20);
+    /** The time after which a pull fails, in addition to the time that it waits for groups. */
+    private static final Duration PULL_TIMEOUT_MARGIN = Duration.ofSeconds(20);
 
-    /** The time after which a trainer should ask again if there was no answer. */
+    /** The time after which a trainer should retry a request that failed or got no answer. */
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
-    /** The largest number of groups of a submission or a pull. */
+    /** The maximum number of groups of a submission or a pull. */
     private static final int MAXIMUM_GROUPS = 4096;
 
-    /** The longest time that a pull may wait. */
+    /** The maximum time that a pull may wait for groups. */
     private static final long MAXIMUM_WAIT_MILLIS = 60_000;
 
     /** The status of a request without the trainer's token. */
@@ -65,7 +65,7 @@
     /** The status of a request for a trainer that is not configured. */
     private static final int NOT_FOUND = 404;
 
-    /** The status of a publication that does not count. */
+    /** The status of a publication whose version is not newer, and of a pull that can't succeed. */
     private static final int CONFLICT = 409;
 
     /** The status of a request that may succeed later. */
@@ -84,14 +84,14 @@
             .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
             .build();
 
-    /** The loop that takes the events. */
+    /** The loop of the decision core. */
     private final DecisionLoop loop;
 
-    /** Returns the configuration in force. */
+    /** Supplies the active configuration. */
     private final Supplier<Optional<FleetConfiguration>> configuration;
 
-    /** The number of the latest submission or pull. */
-    private final AtomicLong tokens = new AtomicLong();
+    /** The latest token of a submission or pull. */
+    private final AtomicLong latestToken = new AtomicLong();
 
     /** The submissions that wait for their answers. */
     private final PendingAnswers<Long, SampleEffect.AnswerSubmission> submissions = new PendingAnswers<>();
@@ -108,8 +108,8 @@
     /**
      * Creates new routes.
      *
-     * @param loop The loop that takes the events and emits the answers.
-     * @param configuration Returns the configuration in force, or empty before the first one.
+     * @param loop The loop of the decision core, which receives the events and emits the answers.
+     * @param configuration Supplies the active configuration, or empty before the first one.
      */
     public TrainerRoutes(DecisionLoop loop, Supplier<Optional<FleetConfiguration>> configuration) {
         this.loop = loop;
@@ -146,7 +146,7 @@
     }
 
     /**
-     * Takes a publication of weights.
+     * Handles a publication of weights.
      *
      * @param context The request.
      */
@@ -154,11 +154,11 @@
         TrainerName trainer = authenticate(context);
         TrainerDocuments.Publication body = read(context, TrainerDocuments.Publication.class);
         if (body.version() < 0 || body.location() == null || body.location().isEmpty()) {
-            throw TrainerException.badRequest("A publication has a version from zero and a location.");
+            throw TrainerException.badRequest("A publication needs a non-negative version and a location.");
         }
         Single<Object> answer = publications
                 .await(new PublicationKey(trainer, body.version()), PUBLICATION_TIMEOUT)
-                .map(result -> published(result, body));
+                .map(result -> publicationAnswer(result, body));
         answerLater(context, answer);
         loop.accept(new WeightEvent.Published(trainer, body.version(), body.location()));
     }
@@ -170,7 +170,7 @@
      * @param body The publication.
      * @return The body of the answer.
      */
-    private static Object published(PublicationEffect result, TrainerDocuments.Publication body) {
+    private static Object publicationAnswer(PublicationEffect result, TrainerDocuments.Publication body) {
         if (result instanceof PublicationEffect.Refused refused) {
             throw new TrainerException(
                     CONFLICT,
@@ -183,14 +183,14 @@
     }
 
     /**
-     * Takes a submission of groups.
+     * Handles a submission of groups.
      *
      * @param context The request.
      */
     private void submit(Context context) {
         TrainerName trainer = authenticate(context);
         List<GroupSpecification> groups = groups(trainer, read(context, TrainerDocuments.Submission.class));
-        long token = tokens.incrementAndGet();
+        long token = latestToken.incrementAndGet();
         Single<Object> answer = submissions
                 .await(token, SUBMISSION_TIMEOUT)
                 .map(result -> new TrainerDocuments.SubmissionAnswer(
@@ -213,7 +213,7 @@
      */
     private static List<GroupSpecification> groups(TrainerName trainer, TrainerDocuments.Submission body) {
         if (body.groups() == null || body.groups().size() > MAXIMUM_GROUPS) {
-            throw TrainerException.badRequest("A submission has a list of at most " + MAXIMUM_GROUPS + " groups.");
+            throw TrainerException.badRequest("A submission needs a list of at most " + MAXIMUM_GROUPS + " groups.");
         }
         try {
             return body.groups().stream()
@@ -225,7 +225,7 @@
     }
 
     /**
-     * Takes a pull.
+     * Handles a pull.
      *
      * @param context The request.
      */
@@ -239,14 +239,14 @@
                 && body.useVersion() >= 0
                 && body.step().orElse(0L) >= 0;
         if (!valid) {
-            throw TrainerException.badRequest("A pull names from 1 to " + MAXIMUM_GROUPS + " groups, waits at most "
+            throw TrainerException.badRequest("A pull requests from 1 to " + MAXIMUM_GROUPS + " groups, waits at most "
                     + MAXIMUM_WAIT_MILLIS + " ms, and has no negative numbers.");
         }
-        long token = tokens.incrementAndGet();
-        Duration patience = Duration.ofMillis(body.waitMillis());
-        Single<Object> answer = pulls.await(token, patience.plus(PULL_TIMEOUT))
+        long token = latestToken.incrementAndGet();
+        Duration waitTime = Duration.ofMillis(body.waitMillis());
+        Single<Object> answer = pulls.await(token, waitTime.plus(PULL_TIMEOUT_MARGIN))
                 .doOnError(_exception -> loop.accept(new SampleEvent.PullAbandoned(token)))
-                .map(TrainerRoutes::pulled);
+                .map(TrainerRoutes::pullAnswer);
         answerLater(context, answer);
         loop.accept(new SampleEvent.PullRequested(
                 token,
@@ -255,7 +255,7 @@
                 body.useVersion(),
                 body.step().map(OptionalLong::of).orElseGet(OptionalLong::empty),
                 body.maximumGroups(),
-                patience));
+                waitTime));
     }
 
     /**
@@ -264,7 +264,7 @@
      * @param result The result.
      * @return The body of the answer.
      */
-    private static Object pulled(PullResult result) {
+    private static Object pullAnswer(PullResult result) {
         if (result instanceof PullResult.HandedOver batch) {
             return new TrainerDocuments.PullAnswer(
                     batch.cursor(),
@@ -309,7 +309,7 @@
      * Parses the name of a trainer.
      *
      * @param text The text.
-     * @return The name, or empty if the text is no name.
+     * @return The name, or empty if the text is not a valid name.
      */
     private static Optional<TrainerName> name(String text) {
         try {
@@ -320,7 +320,7 @@
     }
 
     /**
-     * Hashes a text such that comparing two of them tells nothing by its duration.
+     * Hashes a text, so that the duration of a comparison reveals nothing about the text.
      *
      * @param text The text.
      * @return The hash.
@@ -350,7 +350,7 @@
     }
 
     /**
-     * Answers a request once its answer is there, without holding a thread.
+     * Answers a request asynchronously once its answer is available.
      *
      * @param context The request.
      * @param answer The body of the answer.
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/trainer/package-info.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/trainer/package-info.java
@@ -1,2 +1,2 @@
-/** The HTTP interface for trainers, and what the shell shows of samples. */
+/** The HTTP interface for trainers, and the status, metrics and drain step of samples. */
 package io.yuccaswitch.node.trainer;
--- a/yuccaswitch-node/src/test/java/io/yuccaswitch/node/trainer/SampleMessagesTest.java
+++ b/yuccaswitch-node/src/test/java/io/yuccaswitch/node/trainer/SampleMessagesTest.java
@@ -39,7 +39,7 @@
                     0, "text", List.of(new Generation.Segment(5, 10), new Generation.Segment(6, 2)), 0.5, true)));
 
     @Test
-    void everyMessageArrivesAsItWasSent() {
+    void everyMessageArrivesUnchanged() {
         List<PeerMessage> received = new CopyOnWriteArrayList<>();
         NodeName name = new NodeName("vm-1");
         AtomicReference<InetSocketAddress> address = new AtomicReference<>();
--- a/yuccaswitch-node/src/test/java/io/yuccaswitch/node/trainer/TrainerRoutesTest.java
+++ b/yuccaswitch-node/src/test/java/io/yuccaswitch/node/trainer/TrainerRoutesTest.java
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void aPublicationIsAnsweredOnceItIsSafe() throws IOException {
+    void aStoredPublicationIsAnswered() throws IOException {
         Answer answer = post("versions", "{\"version\":7,\"location\":\"matcher/7\"}", "secret");
 
         assertThat(answer.status()).isEqualTo(200);
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void aPublicationThatDoesNotCountIsRefused() throws IOException {
+    void aPublicationOfAnOldVersionIsRefused() throws IOException {
         Answer answer = post("versions", "{\"version\":1,\"location\":\"matcher/1\"}", "secret");
 
         assertThat(answer.status()).isEqualTo(409);
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void aSubmissionNamesWhatIsAcceptedAndWhatIsRefused() throws IOException {
+    void aSubmissionReturnsAcceptedAndRefusedGroups() throws IOException {
         Answer answer = post(
                 "groups",
                 "{\"groups\":[{\"step\":3,\"group\":0,\"prompt\":\"p\",\"size\":8,\"maximumTokens\":512},"
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void aPullCarriesSamplesWithTheirLabels() throws IOException {
+    void aPullReturnsSamplesWithTheirVersionsAndScores() throws IOException {
         Answer answer =
                 post("pull", "{\"cursor\":\"c\",\"useVersion\":6,\"maximumGroups\":4,\"waitMillis\":10}", "secret");
 
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void aRefusedPullSaysWhenToAskAgain() throws IOException {
+    void aRefusedPullReportsWhenToRetry() throws IOException {
         Answer answer = post("pull", "{\"useVersion\":6,\"maximumGroups\":4,\"waitMillis\":10}", "secret");
 
         assertThat(answer.status()).isEqualTo(503);
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void wrongTokensTrainersAndBodiesAreRefused() throws IOException {
+    void invalidTokensTrainersAndBodiesAreRefused() throws IOException {
         assertThat(post("pull", "{}", "wrong").status()).isEqualTo(401);
         assertThat(post("pull", "{}", "secret").status()).isEqualTo(400);
         assertThat(post("groups", "{\"groups\":[{\"step\":-1}]}", "secret").status())
