--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/weight/LeaseStatus.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/weight/LeaseStatus.java
@@ -44,9 +44,9 @@
      *
      * @param name The lease's name.
      * @param fencingNumber The fencing number.
-     * @param degraded {@code true} if the platform is silent and the node acts on the succession.
-     * @param heldForMillis The milliseconds for which this node has held the lease without a break.
-     * @param validForMillis The milliseconds for which this node may act without a renewal.
+     * @param degraded {@code true} if the platform is unreachable and the node acts by succession.
+     * @param heldForMillis The milliseconds for which this node has held the lease without interruption.
+     * @param validForMillis The milliseconds for which the lease remains valid without a renewal.
      */
     record Row(String name, long fencingNumber, boolean degraded, long heldForMillis, long validForMillis) {
 
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/weight/WeightStatus.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/weight/WeightStatus.java
@@ -7,7 +7,10 @@
 import io.yuccaswitch.node.operator.StatusSection;
 import java.util.List;
 
-/** The part of the status document that shows versions and, on the holder of a pool's lease, how far they have come. */
+/**
+ * The part of the status document that shows versions and, on the holder of a pool's lease, the progress of their
+ * rollouts.
+ */
 public final class WeightStatus implements StatusSection {
 
     /** The newest versions. */
@@ -45,8 +48,8 @@
     /**
      * The content of the section.
      *
-     * @param published The newest version of each trainer that this node knows.
-     * @param rollouts How far the newest versions have come in the pools whose leases this node holds.
+     * @param published The newest version of each trainer that this node has recorded.
+     * @param rollouts The rollouts of the newest versions in the pools whose leases this node holds.
      */
     record Content(List<Version> published, List<Rollout> rollouts) {}
 
@@ -55,7 +58,7 @@
      *
      * @param trainer The trainer.
      * @param version The version.
-     * @param location The place of the weights in the weight store.
+     * @param location The location of the weights in the weight store.
      */
     record Version(String trainer, long version, String location) {
 
@@ -71,15 +74,15 @@
     }
 
     /**
-     * How far a version has come in a pool.
+     * The progress of a version in a pool.
      *
      * @param pool The pool.
      * @param model The model.
      * @param version The newest version.
-     * @param engines The number of engines that are to hold the model and can be reached.
-     * @param current The number of these that were read back to hold the newest version.
-     * @param loading The number of these that may be loading.
-     * @param failing The number of these on which the model failed last.
+     * @param engines The number of reachable engines on which the model is placed.
+     * @param current The number of these that reported the newest version when they were last read.
+     * @param loading The number of these that may be loading the version.
+     * @param failing The number of these on which the last load of the model failed.
      * @param uncertain The number of these whose version of the model is unknown.
      */
     record Rollout(
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/weight/package-info.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/weight/package-info.java
@@ -1,2 +1,2 @@
-/** What operators see of leases and of the weights that this node brings to engines. */
+/** The status of leases and of the weights that this node distributes to engines. */
 package io.yuccaswitch.node.weight;
