--- a/yuccaswitch-node/src/test/java/io/yuccaswitch/node/watch/SharedWatchBenchmark.java
+++ b/yuccaswitch-node/src/test/java/io/yuccaswitch/node/watch/SharedWatchBenchmark.java
@@ -18,18 +18,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Prints what one shared watch costs by the number of nodes of a region: calls to the platform, messages and bytes.
- * Cores are driven in memory with a hand-moved clock; sizes are those of the frames on the wire. It is not run with the
- * other tests.
+ * Measures the load of one shared watch by the number of nodes of a region: calls to the platform, messages and bytes.
+ * Decision cores run in memory with a simulated clock, and sizes are those of the encoded frames. It does not run with
+ * the other tests.
  */
 class SharedWatchBenchmark {
 
     private static final String KIND = "endpoint";
-    private static final int OBJECTS = 35;
-    private static final Duration WINDOW = Duration.ofSeconds(20);
-    private static final Duration GREATEST_AGE = Duration.ofMillis(1200);
+    private static final int OBJECT_COUNT = 35;
+    private static final Duration MEASUREMENT_INTERVAL = Duration.ofSeconds(20);
+    private static final Duration MAXIMUM_AGE = Duration.ofMillis(1200);
 
-    /** As large as an entry of the registry. */
+    /** A value with the size of a registry entry. */
     private static final String VALUE = "x".repeat(220);
 
     private final PeerMessageCodec codec =
@@ -40,28 +40,28 @@
     void measure(int count, int changesPerSecond) {
         TestSite site = new TestSite();
         site.connect((_from, _to) -> false);
-        for (int i = 0; i < OBJECTS; i++) {
+        for (int i = 0; i < OBJECT_COUNT; i++) {
             site.platform().put(KIND, "e" + i, VALUE);
         }
         List<TestNode> nodes = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             nodes.add(site.start("node-" + i, (node, tokens) -> {
                 SharedKindWatch watch = new SharedWatches(node)
-                        .watchWithin(KIND, PlatformPurpose.DISCOVERY, tokens, Duration.ofMillis(250), GREATEST_AGE);
+                        .watchWithin(KIND, PlatformPurpose.DISCOVERY, tokens, Duration.ofMillis(250), MAXIMUM_AGE);
                 return List.of((DecisionSystem) watch::run);
             }));
         }
         site.run(Duration.ofSeconds(5));
         nodes.forEach(node -> node.take(PeerEffect.Send.class));
         int before = site.platform().log().size();
-        long[] change = {0};
+        long[] steps = {0};
         site.everyStep(_site -> {
-            change[0]++;
-            if (changesPerSecond > 0 && change[0] % (100 / changesPerSecond) == 0) {
-                site.platform().put(KIND, "e" + change[0] % OBJECTS, VALUE);
+            steps[0]++;
+            if (changesPerSecond > 0 && steps[0] % (100 / changesPerSecond) == 0) {
+                site.platform().put(KIND, "e" + steps[0] % OBJECT_COUNT, VALUE);
             }
         });
-        site.run(WINDOW);
+        site.run(MEASUREMENT_INTERVAL);
         List<Long> messages = new ArrayList<>();
         List<Long> bytes = new ArrayList<>();
         for (TestNode node : nodes) {
@@ -72,13 +72,13 @@
                             send -> codec.encode(send.message()).orElseThrow().size())
                     .sum());
         }
-        double seconds = WINDOW.toMillis() / 1000.0;
+        double seconds = MEASUREMENT_INTERVAL.toMillis() / 1000.0;
         messages.sort(null);
         bytes.sort(null);
         System.out.println(String.format(
                 Locale.ROOT,
                 "nodes=%d changes/s=%d calls/s=%.2f; sent by a follower (median) %.1f messages/s %.0f B/s;"
-                        + " by a watching node (most) %.1f messages/s %.0f B/s",
+                        + " by the watcher (maximum) %.1f messages/s %.0f B/s",
                 count,
                 changesPerSecond,
                 (site.platform().log().size() - before) / seconds,
