--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/EngineOrder.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/EngineOrder.java
@@ -3,13 +3,13 @@
 import io.yuccaswitch.core.time.MonotonicTime;
 
 /**
- * An order to an engine whose success has not been read back.
+ * An order to an engine whose success has not been confirmed by a read-back.
  *
- * @param fencingNumber The fencing number that the order was given under.
+ * @param fencingNumber The fencing number under which the order was sent.
  * @param model The model that was ordered.
  * @param version The version that was ordered.
- * @param phase How far the order is.
- * @param since The time since which it is that far.
+ * @param phase The phase of the order.
+ * @param since The time at which the phase began.
  */
 record EngineOrder(long fencingNumber, String model, long version, Phase phase, MonotonicTime since) {
 
@@ -20,7 +20,7 @@
      * @return {@code true} if it is the end of this order.
      */
     boolean isEndedBy(WeightEvent.OrderEnded event) {
-        return phase == Phase.FLYING
+        return phase == Phase.IN_FLIGHT
                 && event.fencingNumber() == fencingNumber
                 && event.model().equals(model)
                 && event.version() == version;
@@ -32,7 +32,7 @@
      * @return {@code true} if the engine may be loading.
      */
     boolean isLoading() {
-        return phase != Phase.CLAIMED;
+        return phase != Phase.ACCEPTED_UNCONFIRMED;
     }
 
     /**
@@ -46,13 +46,13 @@
         return new EngineOrder(fencingNumber, model, version, changed, now);
     }
 
-    /** How far an order is. */
+    /** The phase of an order. */
     enum Phase {
-        /** The order was given and has not ended. */
-        FLYING,
-        /** The order's answer is missing, and the engine may yet carry it out. */
-        LOST,
-        /** The engine said that it carried the order out, which has not been read back. */
-        CLAIMED
+        /** The order was sent and has not ended. */
+        IN_FLIGHT,
+        /** The order's answer is missing, and the engine may still execute it. */
+        ANSWER_MISSING,
+        /** The engine reported success, which has not been confirmed by a read-back. */
+        ACCEPTED_UNCONFIRMED
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/EngineRow.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/EngineRow.java
@@ -10,17 +10,17 @@
 import java.util.Optional;
 
 /**
- * A row of the table of engines that this node brings weights to.
+ * A row of the table of engines whose weights this node rolls out.
  *
  * @param name The engine.
  * @param address The engine's address as {@code host:port}.
- * @param availabilityZone The availability zone that the engine lies in.
- * @param reading What was last read back, or empty if nothing was since this node became the holder.
- * @param unreachableSince The time since which the engine can't be reached, or empty if it can.
- * @param leaving {@code true} if the engine takes no new work.
- * @param order The order whose success has not been read back, or empty if there is none.
- * @param failures What went wrong with models on this engine since they were last read back as ordered.
- * @param nextProbeAt The time at which the engine is to be read back again.
+ * @param availabilityZone The availability zone of the engine.
+ * @param reading The last read-back, or empty if there was none since this node became the holder.
+ * @param unreachableSince The time since which the engine is unreachable, or empty if it is reachable.
+ * @param leaving {@code true} if the engine is leaving and accepts no new work.
+ * @param order The order whose success has not been confirmed by a read-back, or empty if there is none.
+ * @param failures The failures of orders by model, for each model since it was last read back as ordered.
+ * @param nextProbeAt The earliest time of the next read-back.
  */
 record EngineRow(
         EndpointName name,
@@ -33,11 +33,11 @@
         Map<String, Failure> failures,
         MonotonicTime nextProbeAt) {
 
-    /** The longest pause after a failure. */
-    private static final Duration LONGEST_BACKOFF = Duration.ofMinutes(5);
+    /** The maximum backoff after a failure. */
+    private static final Duration MAXIMUM_BACKOFF = Duration.ofMinutes(5);
 
-    /** The largest number of doublings of the pause. */
-    private static final int DOUBLINGS = 20;
+    /** The maximum number of times that the backoff is doubled. */
+    private static final int MAXIMUM_BACKOFF_DOUBLINGS = 20;
 
     /** Copies the map. */
     EngineRow {
@@ -45,7 +45,7 @@
     }
 
     /**
-     * Creates the row of an engine that nothing is known about.
+     * Creates the row of an engine that has not been read back.
      *
      * @param name The engine.
      * @param settings The engine's settings.
@@ -69,21 +69,22 @@
      * Returns the version of a model that the engine was last read back to hold.
      *
      * @param model The model.
-     * @return The version, or empty if the engine holds none as far as is known.
+     * @return The version, or empty if the engine holds none or was not read back.
      */
     Optional<Long> loaded(String model) {
         return reading.map(present -> present.versions().get(model));
     }
 
     /**
-     * Returns whether the engine's word about a model can be trusted: it was read back, no order may be changing it,
-     * and the engine did not claim a version that the read-back denies.
+     * Returns whether the engine's version of a model is certain: the engine is reachable and was read back, no order
+     * may be changing the model, and the engine did not accept a version that the read-back did not show.
      *
      * @param model The model.
-     * @return {@code true} if the engine's version of the model is known.
+     * @return {@code true} if the engine's version of the model is certain.
      */
     boolean isCertain(String model) {
-        boolean changing = order.filter(given -> given.model().equals(model)).isPresent();
+        boolean changing =
+                order.filter(current -> current.model().equals(model)).isPresent();
         boolean denied = failures.containsKey(model) && failures.get(model).denied();
         return reading.isPresent() && unreachableSince.isEmpty() && !changing && !denied;
     }
@@ -98,28 +99,29 @@
     }
 
     /**
-     * Returns whether an order has ended and its success is to be read back.
+     * Returns whether an order has ended whose success is to be confirmed by a read-back.
      *
-     * @return {@code true} if an order has ended that was not read back.
+     * @return {@code true} if an ended order is unconfirmed.
      */
-    boolean isAwaited() {
-        return order.filter(given -> given.phase() != EngineOrder.Phase.FLYING).isPresent();
+    boolean isAwaitingReadBack() {
+        return order.filter(current -> current.phase() != EngineOrder.Phase.IN_FLIGHT)
+                .isPresent();
     }
 
     /**
-     * Returns whether the engine can be given orders.
+     * Returns whether orders can be sent to the engine.
      *
-     * @return {@code true} if the engine was read back, can be reached and is not leaving.
+     * @return {@code true} if the engine was read back, is reachable and is not leaving.
      */
     boolean isUsable() {
         return reading.isPresent() && unreachableSince.isEmpty() && !leaving;
     }
 
     /**
-     * Returns this row with another address.
+     * Returns this row with other settings.
      *
      * @param settings The engine's settings.
-     * @return The changed row, which is unknown if the address changed.
+     * @return The changed row, which is reset if the address changed.
      */
     EngineRow withSettings(EndpointSettings settings) {
         return settings.address().equals(address)
@@ -139,9 +141,9 @@
     /**
      * Returns this row after the engine was read back.
      *
-     * @param read What was read back.
-     * @param isLeaving {@code true} if the engine said that it is leaving.
-     * @param probeAt The time at which the engine is to be read back again.
+     * @param read The read-back.
+     * @param isLeaving {@code true} if the engine is leaving.
+     * @param probeAt The earliest time of the next read-back.
      * @return The changed row.
      */
     EngineRow withReading(Reading read, boolean isLeaving, MonotonicTime probeAt) {
@@ -158,7 +160,7 @@
     }
 
     /**
-     * Returns this row after the engine could not be reached.
+     * Returns this row after the engine became unreachable.
      *
      * @param now The current time.
      * @return The changed row.
@@ -177,7 +179,7 @@
     }
 
     /**
-     * Returns this row after it was learned that the engine is leaving.
+     * Returns this row after the engine announced that it is leaving.
      *
      * @return The changed row.
      */
@@ -200,7 +202,7 @@
     /**
      * Returns this row with another time of the next read-back.
      *
-     * @param changed The time at which the engine is to be read back again.
+     * @param changed The earliest time of the next read-back.
      * @return The changed row.
      */
     EngineRow withNextProbeAt(MonotonicTime changed) {
@@ -212,17 +214,17 @@
      * Returns this row after an order failed, without the order.
      *
      * @param failed The order.
-     * @param denied {@code true} if the engine claimed the version and the read-back denies it.
-     * @param firstBackoff The pause after the first failure, which doubles with each further one.
+     * @param denied {@code true} if the engine accepted the version but the read-back did not show it.
+     * @param initialBackoff The backoff after the first failure, which doubles with each further one.
      * @param now The current time.
      * @return The changed row.
      */
-    EngineRow withFailure(EngineOrder failed, boolean denied, Duration firstBackoff, MonotonicTime now) {
+    EngineRow withFailure(EngineOrder failed, boolean denied, Duration initialBackoff, MonotonicTime now) {
         int count = failures.containsKey(failed.model())
                 ? failures.get(failed.model()).count()
                 : 0;
-        Duration backoff = firstBackoff.multipliedBy(1L << Math.min(count, DOUBLINGS));
-        MonotonicTime retryAt = now.plus(backoff.compareTo(LONGEST_BACKOFF) < 0 ? backoff : LONGEST_BACKOFF);
+        Duration backoff = initialBackoff.multipliedBy(1L << Math.min(count, MAXIMUM_BACKOFF_DOUBLINGS));
+        MonotonicTime retryAt = now.plus(backoff.compareTo(MAXIMUM_BACKOFF) < 0 ? backoff : MAXIMUM_BACKOFF);
         Map<String, Failure> extended = new HashMap<>(failures);
         extended.put(failed.model(), new Failure(failed.version(), count + 1, denied, retryAt));
         return new EngineRow(
@@ -254,23 +256,23 @@
     }
 
     /**
-     * Returns this row without the failures of models that the engine was read back to hold as ordered.
+     * Returns this row without the failures of models that the read-back shows as ordered.
      *
      * @return The changed row.
      */
-    EngineRow withoutHealedFailures() {
-        EngineRow healed = this;
+    EngineRow withoutResolvedFailures() {
+        EngineRow remaining = this;
         for (Map.Entry<String, Failure> failure : failures.entrySet()) {
             boolean holds = loaded(failure.getKey())
                     .filter(version -> version >= failure.getValue().version())
                     .isPresent();
-            healed = holds ? healed.withoutFailure(failure.getKey()) : healed;
+            remaining = holds ? remaining.withoutFailure(failure.getKey()) : remaining;
         }
-        return healed;
+        return remaining;
     }
 
     /**
-     * What was read back from an engine.
+     * The versions that were read back from an engine.
      *
      * @param incarnation The engine's incarnation.
      * @param versions The versions that the engine holds, by model.
@@ -289,12 +291,12 @@
     }
 
     /**
-     * What went wrong with a model on an engine.
+     * The failures of orders of a model on an engine.
      *
      * @param version The version that was ordered last.
-     * @param count The number of failures in a row.
-     * @param denied {@code true} if the engine claimed the version and the read-back denies it.
-     * @param retryAt The time before which the same version is not ordered again.
+     * @param count The number of consecutive failures.
+     * @param denied {@code true} if the engine accepted the version but the read-back did not show it.
+     * @param retryAt The earliest time at which the same version is ordered again.
      */
     record Failure(long version, int count, boolean denied, MonotonicTime retryAt) {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/EngineTrackingSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/EngineTrackingSystem.java
@@ -23,34 +23,34 @@
 import java.util.Set;
 
 /**
- * Keeps the tables of the pools whose leases this node holds and of their engines, and reads the engines back. A node
- * that becomes a holder trusts nothing that it knew of the engines before.
+ * Maintains the tables of the pools whose leases this node holds and of their engines, and reads the engines' versions
+ * back. A node that becomes a holder discards all earlier state of the engines.
  */
 public final class EngineTrackingSystem implements DecisionSystem {
 
-    /** The shortest time between two looks at a small pool. */
-    private static final Duration SHORTEST_PASS = Duration.ofMillis(50);
+    /** The minimum time between two passes over a small pool. */
+    private static final Duration MINIMUM_PASS_INTERVAL = Duration.ofMillis(50);
 
-    /** The time that each engine adds to the shortest time between two looks, which bounds the work for large pools. */
-    private static final Duration PASS_PER_ENGINE = Duration.ofNanos(100_000);
+    /** The time that each engine adds to the minimum time between two passes, which bounds the work for large pools. */
+    private static final Duration PASS_INTERVAL_PER_ENGINE = Duration.ofNanos(100_000);
 
-    /** The longest time between two looks at a pool. */
-    private static final Duration LONGEST_PASS = Duration.ofSeconds(1);
+    /** The maximum time between two passes over a pool. */
+    private static final Duration MAXIMUM_PASS_INTERVAL = Duration.ofSeconds(1);
 
-    /** The largest number of engines of a pool that are read back in a second without a special reason. */
+    /** The maximum number of routine read-backs per second in a pool. */
     private static final int ROUTINE_PROBES_PER_SECOND = 50;
 
-    /** The largest number of engines of a pool that are read back for the first time in a second. */
-    private static final int FIRST_PROBES_PER_SECOND = 500;
+    /** The maximum number of engines per second in a pool that are read back for the first time. */
+    private static final int INITIAL_PROBES_PER_SECOND = 500;
 
-    /** The number of read-backs of an engine in the read-back interval while it has an order. */
-    private static final int AWAITING_PROBES = 4;
+    /** The number of read-backs per read-back interval of an engine whose ended order has not been confirmed. */
+    private static final int UNCONFIRMED_ORDER_PROBES = 4;
 
     /** The number of nanoseconds in a second. */
     private static final double NANOSECONDS_PER_SECOND = 1e9;
 
     /** The kind of the decisions that this system makes. */
-    private static final String DECISION = "weights";
+    private static final String DECISION_KIND = "weights";
 
     /** The shared tables. */
     private final WeightTables tables;
@@ -58,20 +58,20 @@
     /** The leases. */
     private final LeaseView leases;
 
-    /** What the configuration says about each pool. */
+    /** The weight plan of each pool from the configuration. */
     private Map<PoolName, PoolRow.Plan> plans = Map.of();
 
-    /** The times of the last looks at pools. */
-    private final Map<PoolName, MonotonicTime> passes = new HashMap<>();
+    /** The times of the last passes over pools. */
+    private final Map<PoolName, MonotonicTime> lastPasses = new HashMap<>();
 
-    /** The pools that something happened to since the last look at them. */
+    /** The pools that changed since the last pass over them. */
     private final Set<PoolName> changed = new HashSet<>();
 
-    /** The places in the lists of engines at which the routine read-back of pools goes on. */
-    private final Map<PoolName, Integer> positions = new HashMap<>();
+    /** The indexes in the pools' lists of engines at which the next read-back starts. */
+    private final Map<PoolName, Integer> nextProbeIndexes = new HashMap<>();
 
-    /** The routine read-backs of pools that are allowed at once. */
-    private final Map<PoolName, Double> allowances = new HashMap<>();
+    /** The number of routine read-backs that each pool has accumulated and may do at once. */
+    private final Map<PoolName, Double> probeAllowances = new HashMap<>();
 
     /**
      * Creates a new system.
@@ -90,12 +90,12 @@
         for (ConfigurationEvent.InForce event : tick.events(ConfigurationEvent.InForce.class)) {
             configure(tick, event.configuration());
         }
-        plans.forEach((pool, plan) -> hold(tick, pool, plan));
+        plans.forEach((pool, plan) -> updateLease(tick, pool, plan));
         if (tables.pools().size() == 0) {
             tables.due().clear();
             return;
         }
-        tick.events(EndpointEvent.class).forEach(event -> learn(tick, event));
+        tick.events(EndpointEvent.class).forEach(event -> handleEvent(tick, event));
         if (!tick.events(WeightEvent.class).isEmpty()) {
             plans.keySet().forEach(changed::add);
         }
@@ -104,7 +104,7 @@
     }
 
     /**
-     * Takes a configuration into force.
+     * Applies a configuration.
      *
      * @param tick The tick.
      * @param inForce The configuration.
@@ -114,25 +114,25 @@
         for (PoolRow pool : tables.pools().rows()) {
             PoolRow.Plan plan = plans.get(pool.name());
             if (plan == null) {
-                release(pool.name());
+                removePool(pool.name());
                 continue;
             }
             Set<EndpointName> removed = new HashSet<>(pool.plan().engines().keySet());
             removed.removeAll(plan.engines().keySet());
             removed.forEach(tables.engines()::remove);
             tables.pools().put(pool.name(), pool.withPlan(plan));
-            fill(tick, pool.name(), plan);
+            addEngines(tick, pool.name(), plan);
         }
     }
 
     /**
-     * Adds rows for the engines of a pool that have none, and updates the others.
+     * Adds rows for the new engines of a pool and updates the existing ones.
      *
      * @param tick The tick.
      * @param pool The pool.
-     * @param plan What the configuration says about the pool.
+     * @param plan The pool's weight plan.
      */
-    private void fill(Tick tick, PoolName pool, PoolRow.Plan plan) {
+    private void addEngines(Tick tick, PoolName pool, PoolRow.Plan plan) {
         changed.add(pool);
         plan.engines().forEach((name, settings) -> {
             Optional<EngineRow> known = tables.engines().find(name);
@@ -143,51 +143,51 @@
     }
 
     /**
-     * Looks whether this node holds the lease of a pool.
+     * Updates the tables depending on whether this node holds the lease of a pool.
      *
      * @param tick The tick.
      * @param pool The pool.
-     * @param plan What the configuration says about the pool.
+     * @param plan The pool's weight plan.
      */
-    private void hold(Tick tick, PoolName pool, PoolRow.Plan plan) {
+    private void updateLease(Tick tick, PoolName pool, PoolRow.Plan plan) {
         Optional<HeldLease> held = leases.held(LeaseName.ofWeights(pool), tick.now());
         Optional<PoolRow> row = tables.pools().find(pool);
         if (held.isEmpty()) {
-            row.ifPresent(_row -> release(pool));
+            row.ifPresent(_row -> removePool(pool));
             return;
         }
-        boolean unbroken = row.filter(
+        boolean heldContinuously = row.filter(
                         known -> known.lease().since().equals(held.get().since()))
                 .isPresent();
-        if (unbroken) {
+        if (heldContinuously) {
             tables.pools().put(pool, row.get().withLease(held.get()));
             return;
         }
-        release(pool);
+        removePool(pool);
         tables.pools().put(pool, new PoolRow(pool, plan, held.get(), Map.of()));
-        fill(tick, pool, plan);
+        addEngines(tick, pool, plan);
     }
 
     /**
-     * Forgets a pool and its engines.
+     * Removes a pool and its engines.
      *
      * @param pool The pool.
      */
-    private void release(PoolName pool) {
+    private void removePool(PoolName pool) {
         tables.pools().remove(pool);
         tables.engines().removeIf(engine -> engine.name().pool().equals(pool));
-        passes.remove(pool);
-        positions.remove(pool);
-        allowances.remove(pool);
+        lastPasses.remove(pool);
+        nextProbeIndexes.remove(pool);
+        probeAllowances.remove(pool);
     }
 
     /**
-     * Takes in what was learned about an engine.
+     * Handles an event of an engine.
      *
      * @param tick The tick.
-     * @param event What was learned.
+     * @param event The event.
      */
-    private void learn(Tick tick, EndpointEvent event) {
+    private void handleEvent(Tick tick, EndpointEvent event) {
         Optional<EngineRow> row = tables.engines().find(event.endpoint());
         if (row.isEmpty()) {
             return;
@@ -213,7 +213,7 @@
     }
 
     /**
-     * Returns whether a report calls for a look at the pool.
+     * Returns whether a report requires a pass over the pool.
      *
      * @param before The engine before the report.
      * @param after The engine after the report.
@@ -227,7 +227,7 @@
     }
 
     /**
-     * Takes in an engine's own report.
+     * Applies an engine's report.
      *
      * @param tick The tick.
      * @param row The engine.
@@ -236,31 +236,33 @@
      */
     private EngineRow read(Tick tick, EngineRow row, EndpointEvent.Reported event) {
         EngineRow.Reading reading = new EngineRow.Reading(event.incarnation(), event.loadedVersions());
-        boolean sameLife = row.reading()
+        boolean sameIncarnation = row.reading()
                 .filter(before -> before.incarnation().equals(event.incarnation()))
                 .isPresent();
-        if (sameLife) {
+        if (sameIncarnation) {
             explainDowngrades(tick, row, reading);
         }
-        boolean leaving = event.leaving() || (row.leaving() && sameLife);
+        boolean leaving = event.leaving() || (row.leaving() && sameIncarnation);
         Duration interval = settings(row).readBackInterval();
-        Duration pause = row.isAwaited() ? interval.dividedBy(AWAITING_PROBES) : interval;
+        Duration delay = row.isAwaitingReadBack() ? interval.dividedBy(UNCONFIRMED_ORDER_PROBES) : interval;
         EngineRow read =
-                row.withReading(reading, leaving, tick.now().plus(pause)).withoutHealedFailures();
-        boolean restarted = row.reading().isPresent() && !sameLife;
-        return row.order().map(order -> settle(tick, read, order, restarted)).orElse(read);
+                row.withReading(reading, leaving, tick.now().plus(delay)).withoutResolvedFailures();
+        boolean restarted = row.reading().isPresent() && !sameIncarnation;
+        return row.order()
+                .map(order -> updateOrder(tick, read, order, restarted))
+                .orElse(read);
     }
 
     /**
-     * Compares an order with what was read back from its engine.
+     * Compares an order with the versions that were read back from its engine.
      *
      * @param tick The tick.
-     * @param row The engine, as it was read back.
+     * @param row The engine after the read-back.
      * @param order The order.
-     * @param restarted {@code true} if the engine started again since it was read back before.
+     * @param restarted {@code true} if the engine restarted since the previous read-back.
      * @return The changed engine.
      */
-    private EngineRow settle(Tick tick, EngineRow row, EngineOrder order, boolean restarted) {
+    private EngineRow updateOrder(Tick tick, EngineRow row, EngineOrder order, boolean restarted) {
         boolean holds = row.loaded(order.model())
                 .filter(version -> version >= order.version())
                 .isPresent();
@@ -271,52 +273,52 @@
         if (!restarted) {
             return row;
         }
-        explain(tick, row, Decision.NO_CHOICE, "the engine started again while it had an order");
+        explain(tick, row, Decision.NO_CHOICE, "the engine restarted before the order was confirmed");
         return row.withFailure(order, false, settings(row).retryBackoff(), tick.now());
     }
 
     /**
-     * Explains models whose versions became older without a restart of the engine, as an order of an earlier holder may
-     * bring about at an engine that ignores fencing numbers.
+     * Records models whose versions became older without a restart of the engine. An order of a previous holder can
+     * cause this at an engine that ignores fencing numbers.
      *
      * @param tick The tick.
-     * @param row The engine, as it was read back before.
-     * @param reading What was read back.
+     * @param row The engine before the read-back.
+     * @param reading The versions that were read back.
      */
     private static void explainDowngrades(Tick tick, EngineRow row, EngineRow.Reading reading) {
         row.reading().orElseThrow().versions().forEach((model, before) -> {
             Long now = reading.versions().get(model);
             if (now != null && now < before) {
-                explain(tick, row, model + '@' + now, "went back from version " + before + " without a restart");
+                explain(tick, row, model + '@' + now, "downgraded from version " + before + " without a restart");
             }
         });
     }
 
     /**
-     * Explains what was learned about an engine.
+     * Records a decision about an engine.
      *
      * @param tick The tick.
      * @param row The engine.
-     * @param choice What the engine holds.
-     * @param reason How this is known.
+     * @param choice The model and version that the engine holds, or {@link Decision#NO_CHOICE}.
+     * @param reason The reason.
      */
     private static void explain(Tick tick, EngineRow row, String choice, String reason) {
-        tick.decide(Decision.of(DECISION, row.name().toString(), choice, reason));
+        tick.decide(Decision.of(DECISION_KIND, row.name().toString(), choice, reason));
     }
 
     /**
-     * Selects the pools that are to be looked at in this tick.
+     * Selects the pools that are due for processing in this tick.
      *
      * @param now The current time.
      */
     private void selectDue(MonotonicTime now) {
         tables.due().clear();
         for (PoolRow pool : tables.pools().view()) {
-            MonotonicTime last = passes.get(pool.name());
-            Duration shortest = SHORTEST_PASS.plus(
-                    PASS_PER_ENGINE.multipliedBy(pool.plan().engines().size()));
-            Duration pause = changed.contains(pool.name()) ? shortest : LONGEST_PASS;
-            if (last == null || now.since(last).compareTo(pause) >= 0) {
+            MonotonicTime last = lastPasses.get(pool.name());
+            Duration minimum = MINIMUM_PASS_INTERVAL.plus(
+                    PASS_INTERVAL_PER_ENGINE.multipliedBy(pool.plan().engines().size()));
+            Duration delay = changed.contains(pool.name()) ? minimum : MAXIMUM_PASS_INTERVAL;
+            if (last == null || now.since(last).compareTo(delay) >= 0) {
                 tables.due().add(pool.name());
                 changed.remove(pool.name());
             }
@@ -324,20 +326,20 @@
     }
 
     /**
-     * Reads engines of a pool back: at once those that have an order, and the others in turn, at most so many in a
-     * second.
+     * Reads the due engines of a pool back: without a rate limit those whose ended orders have not been confirmed, and
+     * the others in turn with a limited rate.
      *
      * @param tick The tick.
      * @param pool The pool.
      */
     private void probe(Tick tick, PoolRow pool) {
-        MonotonicTime last = passes.getOrDefault(pool.name(), tick.now().plus(LONGEST_PASS.negated()));
-        passes.put(pool.name(), tick.now());
+        MonotonicTime last = lastPasses.getOrDefault(pool.name(), tick.now().plus(MAXIMUM_PASS_INTERVAL.negated()));
+        lastPasses.put(pool.name(), tick.now());
         double seconds = Math.min(1, tick.now().since(last).toNanos() / NANOSECONDS_PER_SECOND);
-        double routine = allowances.getOrDefault(pool.name(), 0.0) + seconds * ROUTINE_PROBES_PER_SECOND;
-        double first = seconds * FIRST_PROBES_PER_SECOND;
+        double routine = probeAllowances.getOrDefault(pool.name(), 0.0) + seconds * ROUTINE_PROBES_PER_SECOND;
+        double first = seconds * INITIAL_PROBES_PER_SECOND;
         List<EngineRow> engines = tables.enginesOf(pool);
-        int start = positions.getOrDefault(pool.name(), 0);
+        int start = nextProbeIndexes.getOrDefault(pool.name(), 0);
         for (int offset = 0; offset < engines.size(); offset++) {
             int index = (start + offset) % engines.size();
             EngineRow engine = engines.get(index);
@@ -346,22 +348,22 @@
             }
             boolean unread =
                     engine.reading().isEmpty() && engine.unreachableSince().isEmpty();
-            if (engine.isAwaited()) {
+            if (engine.isAwaitingReadBack()) {
                 read(tick, pool, engine);
             } else if (unread && first >= 1) {
                 first--;
                 read(tick, pool, engine);
             } else if (routine >= 1) {
                 routine--;
-                positions.put(pool.name(), index + 1);
+                nextProbeIndexes.put(pool.name(), index + 1);
                 read(tick, pool, engine);
             }
         }
-        allowances.put(pool.name(), Math.min(routine, ROUTINE_PROBES_PER_SECOND));
+        probeAllowances.put(pool.name(), Math.min(routine, ROUTINE_PROBES_PER_SECOND));
     }
 
     /**
-     * Reads an engine back.
+     * Reads the versions of an engine back.
      *
      * @param tick The tick.
      * @param pool The engine's pool.
@@ -374,7 +376,7 @@
     }
 
     /**
-     * Returns the settings of weights of an engine's pool.
+     * Returns the weight settings of an engine's pool.
      *
      * @param row The engine.
      * @return The settings.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/ModelGroup.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/ModelGroup.java
@@ -9,14 +9,14 @@
 
 /**
  * Models that are held by the same engines: a base model and the adapters that are loaded on top of it. An adapter's
- * name is the name of its base, a plus sign and a name of its own, such as {@code matcher+invoices}.
+ * name consists of the name of its base, a plus sign and a name of its own, such as {@code matcher+invoices}.
  *
- * @param base The name of the base model, which no trainer needs to train.
- * @param models The models that trainers train, the base before its adapters.
+ * @param base The name of the base model, which need not have a trainer.
+ * @param models The models that have trainers, the base before its adapters.
  */
 record ModelGroup(String base, List<Model> models) {
 
-    /** What separates the name of a base from the name of an adapter. */
+    /** The separator between the name of a base and the name of an adapter. */
     private static final char ADAPTER_SEPARATOR = '+';
 
     /** Copies and orders the models. */
@@ -45,7 +45,7 @@
     }
 
     /**
-     * Returns the share of the engines that the group gets against others.
+     * Returns the weight by which the group's share of the engines is computed.
      *
      * @return The sum of the weights of its trainers.
      */
@@ -57,8 +57,8 @@
      * A model or adapter that a trainer trains.
      *
      * @param trainer The trainer.
-     * @param name The model's name, as the engines name it.
-     * @param weight The share of the engines that the trainer gets against others.
+     * @param name The model's name at the engines.
+     * @param weight The weight by which the trainer's share of the engines is computed.
      */
     record Model(TrainerName trainer, String name, int weight) {
 
@@ -74,7 +74,7 @@
         /**
          * Returns the name of the base model.
          *
-         * @return The name of the base model, which is the model's own name if it is no adapter.
+         * @return The name of the base model, which is the model's own name if it is not an adapter.
          */
         String base() {
             return isAdapter() ? name.substring(0, name.indexOf(ADAPTER_SEPARATOR)) : name;
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/ModelRollout.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/ModelRollout.java
@@ -6,15 +6,15 @@
 import java.util.Optional;
 
 /**
- * How far the newest version of a model has come in a pool, as the holder of the pool's lease knows it.
+ * The progress of the rollout of a model's newest version in a pool, as observed by the holder of the pool's lease.
  *
  * @param pool The pool.
  * @param model The model.
  * @param version The newest version.
- * @param engines The number of engines that are to hold the model and can be reached.
+ * @param engines The number of engines that are to hold the model, are reachable and are not leaving.
  * @param current The number of these that were read back to hold the newest version.
  * @param loading The number of these that may be loading.
- * @param failing The number of these on which the model failed last.
+ * @param failing The number of these on which the last order of the model failed.
  * @param uncertain The number of these whose version of the model is unknown.
  */
 public record ModelRollout(
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/OrderResult.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/OrderResult.java
@@ -1,15 +1,15 @@
 package io.yuccaswitch.core.weight;
 
-/** How an order to an engine ended, as far as the node that gave it knows. */
+/** The result of an order to an engine at the node that sent it. */
 public enum OrderResult {
-    /** The engine said that it carried the order out. */
+    /** The engine reported success. */
     ACCEPTED,
-    /** The engine refused the order because of its fencing number. */
+    /** The engine rejected the order because of its fencing number. */
     FENCED,
-    /** The engine said that it could not carry the order out. */
+    /** The engine reported a failure. */
     FAILED,
-    /** The order was not sent, because the lease ended before. */
+    /** The order was not sent, because the lease had ended. */
     NOT_SENT,
-    /** The engine's answer is missing, and it may yet carry the order out. */
+    /** The engine's answer is missing, and it may still execute the order. */
     UNKNOWN
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/PlacementPolicy.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/PlacementPolicy.java
@@ -15,19 +15,23 @@
 import java.util.TreeMap;
 
 /**
- * Places groups of models on engines. Each group gets engines by its weight, at least one, spread over availability
- * zones; an engine that has a group keeps it unless a move brings the shares clearly closer to the weights.
+ * Places groups of models on engines. Each group gets engines in proportion to its weight, at least one, distributed
+ * over availability zones. An engine keeps its group unless a move brings the shares closer to the weights by more than
+ * the hysteresis.
  */
 final class PlacementPolicy {
 
     /**
-     * The number of engines by which two groups together must be off their shares before an engine moves from one to
-     * the other. A move brings the shares closer if they are off by more than one engine; the rest is hysteresis.
+     * The number of engines by which two groups together must deviate from their shares before an engine moves from one
+     * to the other. A move reduces the deviation if it exceeds one engine; the remaining 0.25 is hysteresis.
      */
     private static final double MOVE_THRESHOLD = 1.25;
 
-    /** The largest number of moves at once, which bounds both the work of a tick and the loads that a change brings. */
-    private static final int MOVES_AT_ONCE = 16;
+    /**
+     * The maximum number of moves in one computation, which bounds both the work of a tick and the loads that a change
+     * causes.
+     */
+    private static final int MAXIMUM_MOVES = 16;
 
     /** The groups by their bases. */
     private final Map<String, ModelGroup> groups = new TreeMap<>();
@@ -38,14 +42,14 @@
     /** The newest versions. */
     private final VersionView versions;
 
-    /** The bases that the engines are to hold. */
+    /** The bases of the groups that each engine is to hold. */
     private final Map<EndpointName, List<String>> placed = new TreeMap<>();
 
     /** The numbers of engines of each group. */
     private final Multiset<String> counts = HashMultiset.create();
 
     /** The numbers of engines of each group in each availability zone. */
-    private final Multiset<Spot> zoneCounts = HashMultiset.create();
+    private final Multiset<GroupInZone> zoneCounts = HashMultiset.create();
 
     /** The changes of the placement. */
     private final List<Move> moves = new ArrayList<>();
@@ -54,7 +58,7 @@
      * Creates a new policy.
      *
      * @param groups The groups of models.
-     * @param engines The engines that count.
+     * @param engines The engines that are available for placement.
      * @param versions The newest versions.
      */
     PlacementPolicy(List<ModelGroup> groups, List<EngineRow> engines, VersionView versions) {
@@ -66,7 +70,7 @@
     /**
      * Places the groups.
      *
-     * @param before The placement before, which may be empty.
+     * @param before The previous placement, which may be empty.
      * @return The placement.
      */
     Placement place(Map<EndpointName, List<String>> before) {
@@ -74,21 +78,21 @@
             return new Placement(Map.of(), List.of(), true);
         }
         engines.values().forEach(engine -> keep(engine, before.getOrDefault(engine.name(), List.of())));
-        assignRest();
+        assignUnplaced();
         boolean settled = balance();
-        groups.keySet().forEach(this::ensure);
+        groups.keySet().forEach(this::ensureEngine);
         return new Placement(placed, moves, settled);
     }
 
     /**
-     * Lets an engine keep what it has.
+     * Keeps the group of an engine: the one placed on it before, or else one that it holds.
      *
      * @param engine The engine.
      * @param before The bases of the groups that were placed on the engine before.
      */
     private void keep(EngineRow engine, List<String> before) {
         Optional<String> first = before.stream().filter(groups::containsKey).findFirst();
-        Optional<String> kept = first.or(() -> held(engine));
+        Optional<String> kept = first.or(() -> findHeld(engine));
         kept.ifPresent(base -> put(engine.name(), List.of(base)));
         if (first.isEmpty() && kept.isPresent()) {
             explain(engine.name(), "the engine holds it already");
@@ -96,12 +100,12 @@
     }
 
     /**
-     * Finds the group that an engine holds, the least stale one if there are several.
+     * Finds the least stale group that an engine holds.
      *
      * @param engine The engine.
      * @return The base of the group, or empty if the engine holds none.
      */
-    private Optional<String> held(EngineRow engine) {
+    private Optional<String> findHeld(EngineRow engine) {
         return groups.values().stream()
                 .filter(group -> holds(engine, group))
                 .min(Comparator.comparingLong((ModelGroup group) -> staleness(engine, group))
@@ -122,11 +126,11 @@
     }
 
     /**
-     * Returns by how many versions an engine is behind on a group.
+     * Returns by how many versions an engine lags on a group.
      *
      * @param engine The engine.
      * @param group The group.
-     * @return The number of versions that the least stale model of the group is behind.
+     * @return The number of versions by which the least stale model of the group lags.
      */
     private long staleness(EngineRow engine, ModelGroup group) {
         return group.models().stream()
@@ -139,23 +143,23 @@
                 .orElse(Long.MAX_VALUE);
     }
 
-    /** Places groups on the engines that have none. */
-    private void assignRest() {
-        Map<AvailabilityZone, Deque<EndpointName>> rest = new TreeMap<>();
+    /** Places groups on the engines that have none yet. */
+    private void assignUnplaced() {
+        Map<AvailabilityZone, Deque<EndpointName>> unplaced = new TreeMap<>();
         for (EngineRow engine : engines.values()) {
             if (!placed.containsKey(engine.name())) {
-                rest.computeIfAbsent(engine.availabilityZone(), _zone -> new ArrayDeque<>())
+                unplaced.computeIfAbsent(engine.availabilityZone(), _zone -> new ArrayDeque<>())
                         .add(engine.name());
             }
         }
-        while (!rest.isEmpty()) {
-            String base = neediest();
-            AvailabilityZone zone = rest.keySet().stream()
-                    .min(Comparator.comparingInt(candidate -> zoneCounts.count(new Spot(base, candidate))))
+        while (!unplaced.isEmpty()) {
+            String base = mostBelowShare();
+            AvailabilityZone zone = unplaced.keySet().stream()
+                    .min(Comparator.comparingInt(candidate -> zoneCounts.count(new GroupInZone(base, candidate))))
                     .orElseThrow();
-            EndpointName engine = rest.get(zone).remove();
-            if (rest.get(zone).isEmpty()) {
-                rest.remove(zone);
+            EndpointName engine = unplaced.get(zone).remove();
+            if (unplaced.get(zone).isEmpty()) {
+                unplaced.remove(zone);
             }
             put(engine, List.of(base));
             explain(engine, "the engine had no model, and this one is furthest below its share");
@@ -168,33 +172,33 @@
      * @return {@code true} if no more moves are needed.
      */
     private boolean balance() {
-        for (int round = 0; round < MOVES_AT_ONCE; round++) {
-            String needy = neediest();
-            String rich = groups.keySet().stream()
+        for (int round = 0; round < MAXIMUM_MOVES; round++) {
+            String receiver = mostBelowShare();
+            String donor = groups.keySet().stream()
                     .max(Comparator.comparingDouble(this::excess))
                     .orElseThrow();
-            if (excess(rich) - excess(needy) <= MOVE_THRESHOLD) {
+            if (excess(donor) - excess(receiver) <= MOVE_THRESHOLD) {
                 return true;
             }
-            move(rich, needy, "the shares are off the weights by more than the hysteresis");
+            move(donor, receiver, "the shares deviate from the weights by more than the hysteresis");
         }
         return false;
     }
 
     /**
-     * Ensures that a group has an engine, if need be next to another group.
+     * Ensures that a group has an engine, which it shares with another group if there are fewer engines than groups.
      *
      * @param base The base of the group.
      */
-    private void ensure(String base) {
+    private void ensureEngine(String base) {
         if (count(base) > 0) {
             return;
         }
-        Optional<String> rich = groups.keySet().stream()
+        Optional<String> donor = groups.keySet().stream()
                 .filter(other -> count(other) > 1)
                 .max(Comparator.comparingDouble(this::excess));
-        if (rich.isPresent()) {
-            move(rich.get(), base, "each model needs an engine");
+        if (donor.isPresent()) {
+            move(donor.get(), base, "each model needs an engine");
             return;
         }
         EndpointName host = placed.keySet().stream()
@@ -231,14 +235,14 @@
      *
      * @return The group's base.
      */
-    private String neediest() {
+    private String mostBelowShare() {
         return groups.keySet().stream()
                 .min(Comparator.comparingDouble(this::excess))
                 .orElseThrow();
     }
 
     /**
-     * Returns by how many engines a group is above its share.
+     * Returns by how many engines a group exceeds its share.
      *
      * @param base The group's base.
      * @return The number of engines, negative if the group is below its share.
@@ -266,7 +270,7 @@
      * @return The number of engines.
      */
     private int zoneCount(String base, EndpointName engine) {
-        return zoneCounts.count(new Spot(base, engines.get(engine).availabilityZone()));
+        return zoneCounts.count(new GroupInZone(base, engines.get(engine).availabilityZone()));
     }
 
     /**
@@ -285,16 +289,16 @@
     }
 
     /**
-     * Counts a group on an engine.
+     * Updates the counts of a group's engines.
      *
      * @param base The base of the group.
      * @param zone The availability zone of the engine.
      * @param change One, or minus one if the engine no longer holds the group.
      */
     private void count(String base, AvailabilityZone zone, int change) {
-        Spot spot = new Spot(base, zone);
+        GroupInZone groupInZone = new GroupInZone(base, zone);
         counts.setCount(base, counts.count(base) + change);
-        zoneCounts.setCount(spot, zoneCounts.count(spot) + change);
+        zoneCounts.setCount(groupInZone, zoneCounts.count(groupInZone) + change);
     }
 
     /**
@@ -314,7 +318,7 @@
      * A placement.
      *
      * @param groups The bases of the groups that each engine is to hold.
-     * @param moves The changes against the placement before, with their reasons.
+     * @param moves The changes from the previous placement, with their reasons.
      * @param settled {@code true} if no more moves are needed.
      */
     record Placement(Map<EndpointName, List<String>> groups, List<Move> moves, boolean settled) {}
@@ -325,7 +329,7 @@
      * @param base The base of the group.
      * @param zone The availability zone.
      */
-    private record Spot(String base, AvailabilityZone zone) {}
+    private record GroupInZone(String base, AvailabilityZone zone) {}
 
     /**
      * A change of the placement.
@@ -333,7 +337,7 @@
      * @param engine The engine.
      * @param groups The bases of the groups that the engine is to hold.
      * @param reason The reason.
-     * @param candidates The groups with the numbers of engines by which they are above their shares afterwards.
+     * @param candidates The groups with the numbers of engines by which they exceed their shares after the change.
      */
     record Move(EndpointName engine, List<String> groups, String reason, List<Decision.Candidate> candidates) {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/PlacementSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/PlacementSystem.java
@@ -13,16 +13,16 @@
 import java.util.Optional;
 
 /**
- * Decides which engines of a pool hold which models, for the pools whose leases this node holds. A new holder begins
- * with what the engines hold, as it read them back, so that a change of holder moves nothing.
+ * Decides which engines of a pool hold which models, for the pools whose leases this node holds. A new holder starts
+ * from the models that it read back from the engines, so that a change of holder moves no model.
  */
 public final class PlacementSystem implements DecisionSystem {
 
-    /** The time for which an engine must be gone before its models are placed elsewhere. */
-    private static final Duration ABSENCE = Duration.ofSeconds(30);
+    /** The time for which an engine must be unreachable before its models are placed elsewhere. */
+    private static final Duration REPLACEMENT_DELAY = Duration.ofSeconds(30);
 
     /** The kind of the decisions that this system makes. */
-    private static final String DECISION = "place";
+    private static final String DECISION_KIND = "place";
 
     /** The shared tables. */
     private final WeightTables tables;
@@ -30,8 +30,8 @@
     /** The newest versions. */
     private final VersionView versions;
 
-    /** What the placements of pools were last computed from. */
-    private final Map<PoolName, Basis> bases = new HashMap<>();
+    /** The inputs of the last settled placement of each pool. */
+    private final Map<PoolName, Inputs> lastInputs = new HashMap<>();
 
     /**
      * Creates a new system.
@@ -47,7 +47,7 @@
     /** {@inheritDoc} */
     @Override
     public void run(Tick tick) {
-        bases.keySet().removeIf(name -> !tables.pools().contains(name));
+        lastInputs.keySet().removeIf(name -> !tables.pools().contains(name));
         tables.duePools().forEach(pool -> place(tick, pool));
     }
 
@@ -59,20 +59,21 @@
      */
     private void place(Tick tick, PoolRow pool) {
         List<EngineRow> engines = tables.enginesOf(pool);
-        if (pool.placement().isEmpty() && !isKnown(tick.now(), pool, engines)) {
+        if (pool.placement().isEmpty() && !isReadyForPlacement(tick.now(), pool, engines)) {
             return;
         }
-        List<EngineRow> present =
-                engines.stream().filter(engine -> isPresent(tick.now(), engine)).toList();
-        List<EndpointName> names = present.stream().map(EngineRow::name).toList();
-        Basis basis = new Basis(names, pool.plan().groups(), pool.lease().since());
-        if (basis.equals(bases.get(pool.name()))) {
+        List<EngineRow> available = engines.stream()
+                .filter(engine -> isAvailable(tick.now(), engine))
+                .toList();
+        List<EndpointName> names = available.stream().map(EngineRow::name).toList();
+        Inputs inputs = new Inputs(names, pool.plan().groups(), pool.lease().since());
+        if (inputs.equals(lastInputs.get(pool.name()))) {
             return;
         }
-        PlacementPolicy policy = new PlacementPolicy(pool.plan().groups(), present, versions);
+        PlacementPolicy policy = new PlacementPolicy(pool.plan().groups(), available, versions);
         PlacementPolicy.Placement placement = policy.place(pool.placement());
         if (placement.settled()) {
-            bases.put(pool.name(), basis);
+            lastInputs.put(pool.name(), inputs);
         }
         placement.moves().forEach(move -> explain(tick, move));
         Map<EndpointName, List<String>> extended = new HashMap<>(pool.placement());
@@ -82,15 +83,15 @@
     }
 
     /**
-     * Returns whether enough is known of the engines to begin with what they hold.
+     * Returns whether the state of the engines suffices for a first placement.
      *
      * @param now The current time.
      * @param pool The pool.
      * @param engines The engines of the pool.
-     * @return {@code true} if each engine answered or could not be reached, or the longest flight of an order has
-     *     passed.
+     * @return {@code true} if each engine answered or is unreachable, or if the order timeout has passed and at least
+     *     one engine is usable.
      */
-    private static boolean isKnown(MonotonicTime now, PoolRow pool, List<EngineRow> engines) {
+    private static boolean isReadyForPlacement(MonotonicTime now, PoolRow pool, List<EngineRow> engines) {
         boolean all = engines.stream()
                 .allMatch(engine -> engine.reading().isPresent()
                         || engine.unreachableSince().isPresent());
@@ -100,21 +101,21 @@
     }
 
     /**
-     * Returns whether an engine counts for placement.
+     * Returns whether an engine is available for placement.
      *
      * @param now The current time.
      * @param engine The engine.
-     * @return {@code true} if the engine answered and is neither leaving nor gone for long.
+     * @return {@code true} if the engine answered, is not leaving and has not been unreachable for long.
      */
-    private static boolean isPresent(MonotonicTime now, EngineRow engine) {
+    private static boolean isAvailable(MonotonicTime now, EngineRow engine) {
         boolean gone = engine.unreachableSince()
-                .filter(since -> now.since(since).compareTo(ABSENCE) >= 0)
+                .filter(since -> now.since(since).compareTo(REPLACEMENT_DELAY) >= 0)
                 .isPresent();
         return engine.reading().isPresent() && !engine.leaving() && !gone;
     }
 
     /**
-     * Explains a change of the placement.
+     * Records a change of the placement.
      *
      * @param tick The tick.
      * @param move The change.
@@ -122,7 +123,7 @@
     private static void explain(Tick tick, PlacementPolicy.Move move) {
         Optional<String> chosen = move.groups().stream().reduce((left, right) -> left + ',' + right);
         tick.decide(new Decision(
-                DECISION,
+                DECISION_KIND,
                 move.engine().toString(),
                 chosen.orElse(Decision.NO_CHOICE),
                 move.reason(),
@@ -130,11 +131,11 @@
     }
 
     /**
-     * What a placement is computed from. The placement is computed anew only when this changes.
+     * The inputs of a placement, which is computed again only when they change.
      *
-     * @param engines The engines that count.
+     * @param engines The engines that are available for placement.
      * @param groups The groups of models.
      * @param heldSince The time since which this node is the holder.
      */
-    private record Basis(List<EndpointName> engines, List<ModelGroup> groups, MonotonicTime heldSince) {}
+    private record Inputs(List<EndpointName> engines, List<ModelGroup> groups, MonotonicTime heldSince) {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/PoolRow.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/PoolRow.java
@@ -11,20 +11,19 @@
 import java.util.SortedMap;
 
 /**
- * A row of the table of pools that this node brings weights to, because it holds their leases.
+ * A row of the table of pools whose weights this node rolls out, because it holds their leases.
  *
  * @param name The pool.
- * @param plan What the configuration says.
+ * @param plan The weight plan from the configuration.
  * @param lease The lease under which this node acts.
- * @param placement The groups of models that each engine is to hold, by their bases; empty before the engines are
- *     known.
+ * @param placement The groups of models that each engine is to hold, by their bases; empty until the first placement.
  */
 record PoolRow(PoolName name, Plan plan, HeldLease lease, Map<EndpointName, List<String>> placement) {
 
     /**
      * Returns this row under a changed configuration.
      *
-     * @param changed What the configuration says.
+     * @param changed The weight plan from the configuration.
      * @return The changed row.
      */
     PoolRow withPlan(Plan changed) {
@@ -52,13 +51,13 @@
     }
 
     /**
-     * What the configuration says about the weights of a pool.
+     * The weight plan of a pool, which is derived from the configuration.
      *
-     * @param settings The settings of weights.
-     * @param fencing Whether the engines refuse orders that bear an old fencing number.
+     * @param settings The weight settings.
+     * @param fencing Whether the engines reject orders with an old fencing number.
      * @param groups The groups of models that the engines hold.
      * @param engines The engines of the pool.
-     * @param concurrentLoads The largest number of engines of the pool that load at the same time.
+     * @param concurrentLoads The maximum number of engines of the pool that load concurrently.
      */
     record Plan(
             WeightSettings settings,
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/StaleModel.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/StaleModel.java
@@ -7,24 +7,24 @@
 import java.util.Optional;
 
 /**
- * A model that is older on an engine than the newest version.
+ * A model whose version on an engine is older than the newest one.
  *
  * @param engine The engine.
  * @param group The base of the group that the model belongs to.
  * @param model The model.
  * @param newest The newest version.
- * @param failures The number of failures in a row of this model on the engine.
+ * @param failures The number of consecutive failures of this model on the engine.
  */
 record StaleModel(EngineRow engine, String group, String model, PublishedVersion newest, int failures) {
 
-    /** Engines without failures go first, then those that are most behind. */
+    /** Orders models without failures first, then those that lag by the most versions. */
     private static final Comparator<StaleModel> URGENCY = Comparator.comparing(
                     (StaleModel stale) -> stale.failures() > 0)
             .thenComparing(Comparator.comparingLong(StaleModel::versionsBehind).reversed())
             .thenComparing(stale -> stale.engine().name());
 
     /**
-     * Finds what may be ordered now: at most one model of each engine.
+     * Finds the models that may be ordered now, at most one for each engine.
      *
      * @param pool The pool.
      * @param engines The engines of the pool.
@@ -44,7 +44,8 @@
     }
 
     /**
-     * Finds the model of an engine that is to be ordered next. An adapter follows its base.
+     * Finds the model of an engine that is to be ordered next. A base comes before its adapters, which wait while the
+     * base is stale and the engine holds no version of it.
      *
      * @param pool The pool.
      * @param engine The engine.
@@ -75,7 +76,7 @@
     }
 
     /**
-     * Returns whether an engine needs a version of a model.
+     * Returns whether an engine lacks the newest version of a model.
      *
      * @param engine The engine.
      * @param model The model.
@@ -106,8 +107,8 @@
      * Returns whether the model may be ordered now.
      *
      * @param now The current time.
-     * @return {@code true} if it did not fail, if the pause after its failure has passed, or if a newer version than
-     *     the one that failed is there.
+     * @return {@code true} if it did not fail, if the backoff after its failure has passed, or if there is a newer
+     *     version than the one that failed.
      */
     private boolean isDue(MonotonicTime now) {
         EngineRow.Failure failure = engine.failures().get(model);
@@ -115,9 +116,9 @@
     }
 
     /**
-     * Returns by how many versions the engine is behind.
+     * Returns by how many versions the engine lags.
      *
-     * @return The number of versions, the largest number there is if the engine holds none.
+     * @return The number of versions, or {@link Long#MAX_VALUE} if the engine holds none.
      */
     private long versionsBehind() {
         return engine.loaded(model).map(version -> newest.version() - version).orElse(Long.MAX_VALUE);
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/VersionStore.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/VersionStore.java
@@ -21,9 +21,10 @@
 import java.util.OptionalLong;
 
 /**
- * Keeps the newest version of each trainer on the platform. The node that a version was published at writes it, and
- * goes on to try while the platform is down. A node that becomes the holder of a lease lists what the platform has, and
- * adds what it lacks, so that the platform's calls grow with publications and changes of holder, not with nodes.
+ * Stores the newest version of each trainer on the platform. The node at which a version is published writes it, and
+ * retries while the platform is unavailable. A node that becomes the holder of a lease lists the stored versions and
+ * writes the missing ones, so that the number of platform calls grows with publications and changes of holder, not with
+ * nodes.
  */
 public final class VersionStore {
 
@@ -34,39 +35,39 @@
     private static final String FORMAT = "1";
 
     /** The number of fields of the text. */
-    private static final int FIELDS = 3;
+    private static final int FIELD_COUNT = 3;
 
-    /** The first pause after the platform gave no answer. */
-    private static final Duration FIRST_PAUSE = Duration.ofSeconds(1);
+    /** The upper bound of the backoff after the first platform call that failed. */
+    private static final Duration INITIAL_BACKOFF = Duration.ofSeconds(1);
 
-    /** The largest number of doublings of the pause. */
-    private static final int DOUBLINGS = 5;
+    /** The maximum number of times that the backoff is doubled. */
+    private static final int MAXIMUM_BACKOFF_DOUBLINGS = 5;
 
-    /** Hands out the tokens of calls. */
+    /** Allocates the tokens of calls. */
     private final PlatformTokens tokens;
 
-    /** What is to be kept, by trainer. */
-    private final EntityTable<TrainerName, Kept> rows = new EntityTable<>();
+    /** The state of each trainer's stored version. */
+    private final EntityTable<TrainerName, TrainerRow> rows = new EntityTable<>();
 
-    /** The listing that is due, or empty if none is. */
+    /** The listing that is due or in flight, or empty if there is none. */
     private Optional<Listing> listing = Optional.empty();
 
     /**
      * Creates a new store.
      *
-     * @param tokens Hands out the tokens of calls.
+     * @param tokens Allocates the tokens of calls.
      */
     public VersionStore(PlatformTokens tokens) {
         this.tokens = tokens;
     }
 
     /**
-     * Has a version kept, unless a newer one is kept already.
+     * Requests that a version be stored, unless a newer one was requested before.
      *
      * @param version The version.
      */
-    void keep(PublishedVersion version) {
-        Kept row = rows.find(version.trainer()).orElse(Kept.EMPTY);
+    void save(PublishedVersion version) {
+        TrainerRow row = rows.find(version.trainer()).orElse(TrainerRow.EMPTY);
         if (row.wanted().filter(wanted -> !version.isNewerThan(wanted)).isEmpty()) {
             rows.put(version.trainer(), row.withWanted(Optional.of(version)));
         }
@@ -76,26 +77,26 @@
      * Runs for one tick.
      *
      * @param tick The tick.
-     * @param versions The newest versions that this node knows.
-     * @return The versions that the platform is known to keep, as learned in this tick.
+     * @param versions The newest versions at this node.
+     * @return The versions that the platform was found to store in this tick.
      */
     List<PublishedVersion> run(Tick tick, VersionTable versions) {
         boolean acquired = tick.events(LeaseEvent.Acquired.class).stream().anyMatch(event -> !event.degraded());
         if (acquired) {
             listing = Optional.of(new Listing(OptionalLong.empty(), tick.now(), 0));
         }
-        List<PublishedVersion> learned = new ArrayList<>();
+        List<PublishedVersion> found = new ArrayList<>();
         for (PlatformEvent event : tick.events(PlatformEvent.class)) {
-            listed(tick, event, versions, learned);
-            written(tick, event, learned);
+            handleListing(tick, event, versions, found);
+            handleWriteAnswer(tick, event, found);
         }
         list(tick);
         write(tick);
-        return learned;
+        return found;
     }
 
     /**
-     * Lists what the platform keeps, when that is due.
+     * Lists the stored versions if a listing is due.
      *
      * @param tick The tick.
      */
@@ -112,79 +113,80 @@
     }
 
     /**
-     * Takes in the answer to a listing.
+     * Handles the answer to a listing.
      *
      * @param tick The tick.
      * @param event The answer to some call.
-     * @param versions The newest versions that this node knows.
-     * @param learned The versions that were learned, to be added to.
+     * @param versions The newest versions at this node.
+     * @param found The list to which the stored versions are added.
      */
-    private void listed(Tick tick, PlatformEvent event, VersionTable versions, List<PublishedVersion> learned) {
+    private void handleListing(Tick tick, PlatformEvent event, VersionTable versions, List<PublishedVersion> found) {
         if (listing.filter(due -> due.token().equals(OptionalLong.of(event.token())))
                 .isEmpty()) {
             return;
         }
         if (event instanceof PlatformEvent.ObjectsListed answer) {
             listing = Optional.empty();
-            answer.objects().forEach(object -> note(object, learned));
-            versions.view().forEach(this::keep);
+            answer.objects().forEach(object -> recordStored(object, found));
+            versions.view().forEach(this::save);
             return;
         }
         int failures = listing.get().failures();
-        listing = Optional.of(new Listing(OptionalLong.empty(), tick.now().plus(pause(tick, failures)), failures + 1));
+        listing =
+                Optional.of(new Listing(OptionalLong.empty(), tick.now().plus(backoff(tick, failures)), failures + 1));
     }
 
     /**
-     * Notes what the platform keeps of a trainer.
+     * Records the stored version of a trainer.
      *
      * @param object The object.
-     * @param learned The versions that were learned, to be added to.
+     * @param found The list to which the stored version is added.
      */
-    private void note(StoredObject object, List<PublishedVersion> learned) {
+    private void recordStored(StoredObject object, List<PublishedVersion> found) {
         Optional<PublishedVersion> stored = object.deleted() ? Optional.empty() : decode(object);
         OptionalLong version = object.deleted() ? OptionalLong.empty() : OptionalLong.of(object.version());
         trainer(object).ifPresent(trainer -> {
-            Kept row = rows.find(trainer).orElse(Kept.EMPTY);
+            TrainerRow row = rows.find(trainer).orElse(TrainerRow.EMPTY);
             rows.put(trainer, row.withStored(version, stored));
-            stored.ifPresent(learned::add);
+            stored.ifPresent(found::add);
         });
     }
 
     /**
-     * Takes in the answer to a write.
+     * Handles the answer to a write.
      *
      * @param tick The tick.
      * @param event The answer to some call.
-     * @param learned The versions that were learned, to be added to.
+     * @param found The list to which the stored versions are added.
      */
-    private void written(Tick tick, PlatformEvent event, List<PublishedVersion> learned) {
-        for (Kept row : rows.rows()) {
+    private void handleWriteAnswer(Tick tick, PlatformEvent event, List<PublishedVersion> found) {
+        for (TrainerRow row : rows.rows()) {
             if (row.call().filter(call -> call.token() == event.token()).isEmpty()) {
                 continue;
             }
             PublishedVersion sent = row.call().get().version();
-            Kept done = row.withCall(Optional.empty(), tick.now(), 0);
+            TrainerRow done = row.withCall(Optional.empty(), tick.now(), 0);
             if (event instanceof PlatformEvent.Accepted accepted) {
                 rows.put(sent.trainer(), done.withStored(OptionalLong.of(accepted.version()), Optional.of(sent)));
-                learned.add(sent);
+                found.add(sent);
             } else if (event instanceof PlatformEvent.Conflict conflict) {
                 rows.put(sent.trainer(), done.withStored(OptionalLong.empty(), Optional.empty()));
-                conflict.current().ifPresent(current -> note(current, learned));
+                conflict.current().ifPresent(current -> recordStored(current, found));
             } else {
-                MonotonicTime retryAt = tick.now().plus(pause(tick, row.failures()));
+                MonotonicTime retryAt = tick.now().plus(backoff(tick, row.failures()));
                 rows.put(sent.trainer(), row.withCall(Optional.empty(), retryAt, row.failures() + 1));
             }
         }
     }
 
     /**
-     * Writes what the platform does not keep yet. A write that took effect although its answer was lost meets a
-     * conflict when it is tried again, which shows it.
+     * Writes the versions that the platform does not store yet. If a write took effect but its answer was lost, the
+     * retry is answered with a conflict that carries the stored version.
      *
      * @param tick The tick.
      */
     private void write(Tick tick) {
-        for (Kept row : rows.rows()) {
+        for (TrainerRow row : rows.rows()) {
             if (!row.isDue(tick.now())) {
                 continue;
             }
@@ -200,15 +202,15 @@
     }
 
     /**
-     * Draws a pause, which doubles with each failure and is spread over its whole length.
+     * Computes a random backoff between half of its upper bound and the upper bound, which doubles with each failure.
      *
      * @param tick The tick.
-     * @param failures The number of failures before.
-     * @return The pause.
+     * @param failures The number of preceding failures.
+     * @return The backoff.
      */
-    private static Duration pause(Tick tick, int failures) {
-        long longest = FIRST_PAUSE.toNanos() << Math.min(failures, DOUBLINGS);
-        return Duration.ofNanos(longest / 2 + tick.random().nextLong(longest / 2));
+    private static Duration backoff(Tick tick, int failures) {
+        long upperBoundNanos = INITIAL_BACKOFF.toNanos() << Math.min(failures, MAXIMUM_BACKOFF_DOUBLINGS);
+        return Duration.ofNanos(upperBoundNanos / 2 + tick.random().nextLong(upperBoundNanos / 2));
     }
 
     /**
@@ -225,12 +227,12 @@
      * Decodes a version.
      *
      * @param object The object.
-     * @return The version, or empty if the object's value is none.
+     * @return The version, or empty if the object's value is not a valid version.
      */
     private static Optional<PublishedVersion> decode(StoredObject object) {
         List<String> fields =
-                Splitter.on(' ').limit(FIELDS).splitToList(object.value().toUtf8());
-        if (fields.size() != FIELDS || !fields.get(0).equals(FORMAT)) {
+                Splitter.on(' ').limit(FIELD_COUNT).splitToList(object.value().toUtf8());
+        if (fields.size() != FIELD_COUNT || !fields.get(0).equals(FORMAT)) {
             return Optional.empty();
         }
         return trainer(object).flatMap(trainer -> Optional.ofNullable(Longs.tryParse(fields.get(1)))
@@ -238,7 +240,7 @@
     }
 
     /**
-     * Returns the trainer that an object is about.
+     * Returns the trainer to which an object belongs.
      *
      * @param object The object.
      * @return The trainer, or empty if the object's name is not the name of a trainer.
@@ -255,8 +257,8 @@
      * A listing that is due.
      *
      * @param token The token of the call, or empty if none is in flight.
-     * @param at The time before which no call is made.
-     * @param failures The number of failures before.
+     * @param at The earliest time of the next call.
+     * @param failures The number of preceding failures.
      */
     private record Listing(OptionalLong token, MonotonicTime at, int failures) {}
 
@@ -269,16 +271,16 @@
     private record Call(long token, PublishedVersion version) {}
 
     /**
-     * What is to be kept of a trainer.
+     * The state of a trainer's stored version.
      *
-     * @param wanted The version to keep, or empty if this node has none to keep.
-     * @param objectVersion The version of the platform's object, or empty if none is known.
-     * @param stored What the platform keeps, or empty if nothing is known of it.
+     * @param wanted The version to store, or empty if there is none.
+     * @param objectVersion The version of the platform's object, or empty if it does not exist or is unknown.
+     * @param stored The version that the platform stores, or empty if it stores none or this is unknown.
      * @param call The write in flight, or empty if there is none.
-     * @param retryAt The time before which nothing is written.
+     * @param retryAt The earliest time of the next write.
      * @param failures The number of failures since the last answer.
      */
-    private record Kept(
+    private record TrainerRow(
             Optional<PublishedVersion> wanted,
             OptionalLong objectVersion,
             Optional<PublishedVersion> stored,
@@ -286,8 +288,8 @@
             MonotonicTime retryAt,
             int failures) {
 
-        /** A trainer that nothing is known of. */
-        static final Kept EMPTY = new Kept(
+        /** The initial state of a trainer. */
+        static final TrainerRow EMPTY = new TrainerRow(
                 Optional.empty(),
                 OptionalLong.empty(),
                 Optional.empty(),
@@ -299,11 +301,13 @@
          * Returns whether a write is due.
          *
          * @param now The current time.
-         * @return {@code true} if the wanted version is newer than what is stored, and no call is in flight.
+         * @return {@code true} if the wanted version is newer than the stored one, no call is in flight and the backoff
+         *     has passed.
          */
         boolean isDue(MonotonicTime now) {
-            boolean missing = wanted.filter(version ->
-                            stored.filter(kept -> !version.isNewerThan(kept)).isEmpty())
+            boolean missing = wanted.filter(
+                            version -> stored.filter(storedVersion -> !version.isNewerThan(storedVersion))
+                                    .isEmpty())
                     .isPresent();
             return missing && call.isEmpty() && !now.isBefore(retryAt);
         }
@@ -311,34 +315,34 @@
         /**
          * Returns this row with another wanted version.
          *
-         * @param version The version to keep.
+         * @param version The version to store.
          * @return The changed row.
          */
-        Kept withWanted(Optional<PublishedVersion> version) {
-            return new Kept(version, objectVersion, stored, call, retryAt, failures);
+        TrainerRow withWanted(Optional<PublishedVersion> version) {
+            return new TrainerRow(version, objectVersion, stored, call, retryAt, failures);
         }
 
         /**
-         * Returns this row with what the platform keeps.
+         * Returns this row with another stored version.
          *
          * @param version The version of the platform's object.
-         * @param kept What the platform keeps.
+         * @param storedVersion The version that the platform stores.
          * @return The changed row.
          */
-        Kept withStored(OptionalLong version, Optional<PublishedVersion> kept) {
-            return new Kept(wanted, version, kept, call, retryAt, failures);
+        TrainerRow withStored(OptionalLong version, Optional<PublishedVersion> storedVersion) {
+            return new TrainerRow(wanted, version, storedVersion, call, retryAt, failures);
         }
 
         /**
          * Returns this row with another write in flight.
          *
          * @param made The write in flight.
-         * @param pauseUntil The time before which nothing is written.
+         * @param earliestRetry The earliest time of the next write.
          * @param failed The number of failures since the last answer.
          * @return The changed row.
          */
-        Kept withCall(Optional<Call> made, MonotonicTime pauseUntil, int failed) {
-            return new Kept(wanted, objectVersion, stored, made, pauseUntil, failed);
+        TrainerRow withCall(Optional<Call> made, MonotonicTime earliestRetry, int failed) {
+            return new TrainerRow(wanted, objectVersion, stored, made, earliestRetry, failed);
         }
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/VersionSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/VersionSystem.java
@@ -18,50 +18,50 @@
 import java.util.Optional;
 
 /**
- * Joins news of published versions and spreads them: at once to a few other nodes, and by a steady exchange of the
- * newest versions with one node after another, which closes the gaps that lost messages leave. It runs before all
- * systems that look at published versions, and raises {@link WeightEvent.Published} for news from elsewhere.
+ * Merges and disseminates published versions: immediately to a few random nodes, and by a periodic exchange of the
+ * newest versions with a random node, which compensates for lost messages. This system runs before all systems that use
+ * published versions, and raises {@link WeightEvent.Published} for versions from other nodes and the platform.
  */
 public final class VersionSystem implements DecisionSystem {
 
-    /** The number of nodes that news is passed on to. */
-    private static final int FANOUT = 3;
+    /** The number of nodes to which a version is announced. */
+    private static final int ANNOUNCEMENT_FANOUT = 3;
 
     /** The interval at which versions are exchanged with another node. */
     private static final Duration EXCHANGE_INTERVAL = Duration.ofSeconds(2);
 
-    /** The interval at which a publication is sent again that nobody else is known to have. */
+    /** The interval at which a publication is announced again until another node or the platform has it. */
     private static final Duration RESEND_INTERVAL = Duration.ofMillis(500);
 
     /** The kind of the decisions that this system makes. */
-    private static final String DECISION = "version";
+    private static final String DECISION_KIND = "version";
 
     /** The newest versions. */
     private final VersionTable versions;
 
-    /** Keeps the newest versions on the platform. */
+    /** Stores the newest versions on the platform. */
     private final VersionStore store;
 
     /** The members of the site. */
     private final MembershipView members;
 
-    /** Publications at this node that are not known to be safe. */
+    /** The publications at this node that are not confirmed as safe. */
     private final EntityTable<PublishedVersion, Publication> pending = new EntityTable<>();
 
-    /** The highest version of each trainer that another node or the platform is known to have. */
+    /** The highest version of each trainer that another node or the platform is confirmed to have. */
     private final EntityTable<TrainerName, Long> safe = new EntityTable<>();
 
     /** The time of the next exchange. */
     private MonotonicTime nextExchangeAt = MonotonicTime.ZERO;
 
-    /** Whether any tick ran before. */
+    /** Whether this system has run in any tick. */
     private boolean started;
 
     /**
      * Creates a new system.
      *
-     * @param versions The table of the newest versions, which this system alone changes.
-     * @param store Keeps the newest versions on the platform.
+     * @param versions The table of the newest versions, which only this system changes.
+     * @param store Stores the newest versions on the platform.
      * @param members The members of the site.
      */
     public VersionSystem(VersionTable versions, VersionStore store, MembershipView members) {
@@ -74,17 +74,17 @@
     @Override
     public void run(Tick tick) {
         tick.events(WeightEvent.Published.class).forEach(event -> publish(tick, event));
-        tick.events(PeerEvent.Received.class).forEach(event -> hear(tick, event));
+        tick.events(PeerEvent.Received.class).forEach(event -> receive(tick, event));
         for (PublishedVersion stored : store.run(tick, versions)) {
             markSafe(stored.trainer(), stored.version());
-            learn(tick, stored, Optional.empty());
+            applyUpdate(tick, stored, Optional.empty());
         }
-        settle(tick);
+        confirm(tick);
         exchange(tick);
     }
 
     /**
-     * Takes in a publication at this node.
+     * Handles a publication at this node.
      *
      * @param tick The tick.
      * @param event The publication.
@@ -93,45 +93,45 @@
         PublishedVersion published = new PublishedVersion(event.trainer(), event.version(), event.location());
         Optional<PublishedVersion> known = versions.newest(event.trainer());
         if (known.isPresent() && !known.get().equals(published) && !published.isNewerThan(known.get())) {
-            refuse(tick, event, known.get());
+            reject(tick, event, known.get());
             return;
         }
         if (versions.join(published)) {
             tick.decide(Decision.of(
-                    DECISION, event.trainer().value(), Long.toString(event.version()), "published at this node"));
-            spread(tick, published, Optional.empty());
+                    DECISION_KIND, event.trainer().value(), Long.toString(event.version()), "published at this node"));
+            announce(tick, published, Optional.empty());
         }
-        store.keep(published);
+        store.save(published);
         pending.put(published, new Publication(published, tick.now().plus(RESEND_INTERVAL)));
     }
 
     /**
-     * Refuses a publication at this node.
+     * Rejects a publication at this node.
      *
      * @param tick The tick.
      * @param event The publication.
      * @param newest The newest version.
      */
-    private static void refuse(Tick tick, WeightEvent.Published event, PublishedVersion newest) {
+    private static void reject(Tick tick, WeightEvent.Published event, PublishedVersion newest) {
         tick.raise(new WeightEvent.PublicationRefused(event.trainer(), event.version(), newest.version()));
         tick.decide(Decision.of(
-                DECISION,
+                DECISION_KIND,
                 event.trainer().value(),
                 Decision.NO_CHOICE,
                 "version " + event.version() + " does not follow version " + newest.version()));
     }
 
     /**
-     * Takes in a message of another node.
+     * Handles a message from another node.
      *
      * @param tick The tick.
-     * @param event The arrival of the message.
+     * @param event The received message.
      */
-    private void hear(Tick tick, PeerEvent.Received event) {
+    private void receive(Tick tick, PeerEvent.Received event) {
         NodeName sender = event.sender().name();
         if (event.message() instanceof WeightMessage.Published published) {
             markSafe(published.trainer(), published.version());
-            learn(tick, decode(published), Optional.of(sender));
+            applyUpdate(tick, decode(published), Optional.of(sender));
             long newest = versions.newest(published.trainer()).orElseThrow().version();
             tick.emit(new PeerEffect.Send(sender, new WeightMessage.Known(published.trainer(), newest)));
         }
@@ -139,23 +139,23 @@
             markSafe(known.trainer(), known.version());
         }
         if (event.message() instanceof WeightMessage.Exchange exchange) {
-            compare(tick, sender, exchange);
+            handleExchange(tick, sender, exchange);
         }
     }
 
     /**
-     * Takes in the newest versions of another node, and answers with those that are newer here.
+     * Merges the newest versions of another node, and answers with the versions that are newer at this node.
      *
      * @param tick The tick.
      * @param sender The other node.
      * @param exchange The newest versions of the other node.
      */
-    private void compare(Tick tick, NodeName sender, WeightMessage.Exchange exchange) {
+    private void handleExchange(Tick tick, NodeName sender, WeightMessage.Exchange exchange) {
         VersionTable theirs = new VersionTable();
         for (WeightMessage.Published published : exchange.versions()) {
             theirs.join(decode(published));
             markSafe(published.trainer(), published.version());
-            learn(tick, decode(published), Optional.of(sender));
+            applyUpdate(tick, decode(published), Optional.of(sender));
         }
         List<WeightMessage.Published> newer = new ArrayList<>();
         for (PublishedVersion ours : versions.view()) {
@@ -171,25 +171,25 @@
     }
 
     /**
-     * Takes in news from elsewhere.
+     * Merges a version from another node or the platform.
      *
      * @param tick The tick.
-     * @param news The version.
-     * @param source The node that the news came from, or empty if it came from the platform.
+     * @param update The version.
+     * @param source The node that sent the version, or empty if it came from the platform.
      */
-    private void learn(Tick tick, PublishedVersion news, Optional<NodeName> source) {
-        if (!versions.join(news)) {
+    private void applyUpdate(Tick tick, PublishedVersion update, Optional<NodeName> source) {
+        if (!versions.join(update)) {
             return;
         }
-        tick.raise(new WeightEvent.Published(news.trainer(), news.version(), news.location()));
+        tick.raise(new WeightEvent.Published(update.trainer(), update.version(), update.location()));
         String origin = source.map(NodeName::toString).orElse("the platform");
-        tick.decide(
-                Decision.of(DECISION, news.trainer().value(), Long.toString(news.version()), "learned from " + origin));
-        spread(tick, news, source);
+        tick.decide(Decision.of(
+                DECISION_KIND, update.trainer().value(), Long.toString(update.version()), "received from " + origin));
+        announce(tick, update, source);
     }
 
     /**
-     * Notes that a version will not be lost with this node.
+     * Records that another node or the platform has a version, so that it survives the loss of this node.
      *
      * @param trainer The trainer.
      * @param version The version.
@@ -201,33 +201,33 @@
     }
 
     /**
-     * Tells which publications at this node are safe, and sends the others again when it is time.
+     * Confirms the publications that are safe, and announces the others again when this is due.
      *
      * @param tick The tick.
      */
-    private void settle(Tick tick) {
+    private void confirm(Tick tick) {
         if (pending.size() == 0) {
             return;
         }
         for (Publication publication : pending.rows()) {
-            settle(tick, publication);
+            confirm(tick, publication);
         }
     }
 
     /**
-     * Tells that a publication at this node is safe, or sends it again when it is time.
+     * Confirms a publication if it is safe, or announces it again when this is due.
      *
      * @param tick The tick.
      * @param publication The publication.
      */
-    private void settle(Tick tick, Publication publication) {
+    private void confirm(Tick tick, Publication publication) {
         TrainerName trainer = publication.version().trainer();
         long version = publication.version().version();
         if (safe.find(trainer).filter(known -> known >= version).isPresent()) {
             pending.remove(publication.version());
             tick.raise(new WeightEvent.PublicationSafe(trainer, version));
         } else if (!tick.now().isBefore(publication.resendAt())) {
-            spread(tick, publication.version(), Optional.empty());
+            announce(tick, publication.version(), Optional.empty());
             pending.put(
                     publication.version(),
                     new Publication(publication.version(), tick.now().plus(RESEND_INTERVAL)));
@@ -235,7 +235,7 @@
     }
 
     /**
-     * Exchanges versions with another node when it is time.
+     * Exchanges versions with a random node when this is due.
      *
      * @param tick The tick.
      */
@@ -251,22 +251,22 @@
     }
 
     /**
-     * Passes news on to a few other nodes.
+     * Announces a version to a few random nodes.
      *
      * @param tick The tick.
-     * @param news The version.
-     * @param source The node that the news came from, or empty if it came from no node.
+     * @param update The version.
+     * @param source The node that sent the version, or empty if no node did.
      */
-    private void spread(Tick tick, PublishedVersion news, Optional<NodeName> source) {
-        send(tick, encode(news), FANOUT, source);
+    private void announce(Tick tick, PublishedVersion update, Optional<NodeName> source) {
+        send(tick, encode(update), ANNOUNCEMENT_FANOUT, source);
     }
 
     /**
-     * Sends a message to other nodes that are drawn at random.
+     * Sends a message to random nodes.
      *
      * @param tick The tick.
      * @param message The message.
-     * @param count The number of nodes to send to, if there are as many.
+     * @param count The number of nodes to send to, if that many exist.
      * @param excluded A node not to send to.
      */
     private void send(Tick tick, PeerMessage message, int count, Optional<NodeName> excluded) {
@@ -279,13 +279,13 @@
             }
         }
         for (int sent = 0; sent < count && !others.isEmpty(); sent++) {
-            int drawn = tick.random().nextInt(others.size());
-            tick.emit(new PeerEffect.Send(others.remove(drawn), message));
+            int index = tick.random().nextInt(others.size());
+            tick.emit(new PeerEffect.Send(others.remove(index), message));
         }
     }
 
     /**
-     * Turns a version into a message.
+     * Encodes a version as a message.
      *
      * @param version The version.
      * @return The message.
@@ -295,7 +295,7 @@
     }
 
     /**
-     * Turns a message into a version.
+     * Decodes a version from a message.
      *
      * @param message The message.
      * @return The version.
@@ -305,10 +305,10 @@
     }
 
     /**
-     * A publication at this node that is not known to be safe.
+     * A publication at this node that is not confirmed as safe.
      *
      * @param version The version.
-     * @param resendAt The time at which it is sent again.
+     * @param resendAt The time at which it is announced again.
      */
     private record Publication(PublishedVersion version, MonotonicTime resendAt) {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/VersionTable.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/VersionTable.java
@@ -5,24 +5,24 @@
 import java.util.Collection;
 import java.util.Optional;
 
-/** The newest version of each trainer, joined from any news such that it never becomes older. */
+/** The newest version of each trainer, merged from updates in any order such that it never becomes older. */
 public final class VersionTable implements VersionView {
 
     /** The newest version of each trainer. */
     private final EntityTable<TrainerName, PublishedVersion> rows = new EntityTable<>();
 
     /**
-     * Takes in news of a version.
+     * Merges a version into this table.
      *
-     * @param news The version.
-     * @return {@code true} if the version takes precedence over what was known.
+     * @param update The version.
+     * @return {@code true} if the version replaces the previous one.
      */
-    public boolean join(PublishedVersion news) {
-        Optional<PublishedVersion> known = rows.find(news.trainer());
-        if (known.isPresent() && !news.isNewerThan(known.get())) {
+    public boolean join(PublishedVersion update) {
+        Optional<PublishedVersion> current = rows.find(update.trainer());
+        if (current.isPresent() && !update.isNewerThan(current.get())) {
             return false;
         }
-        rows.put(news.trainer(), news);
+        rows.put(update.trainer(), update);
         return true;
     }
 
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/VersionView.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/VersionView.java
@@ -3,14 +3,14 @@
 import io.yuccaswitch.core.identity.TrainerName;
 import java.util.Optional;
 
-/** What other systems may ask about published versions. */
+/** A read-only view of published versions for other systems. */
 public interface VersionView {
 
     /**
-     * Returns the newest version of a trainer that this node knows.
+     * Returns the newest version of a trainer at this node.
      *
      * @param trainer The trainer.
-     * @return The newest version, or empty if none is known.
+     * @return The newest version, or empty if this node has none.
      */
     Optional<PublishedVersion> newest(TrainerName trainer);
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/WaveBudget.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/WaveBudget.java
@@ -5,29 +5,29 @@
 import java.util.Map;
 
 /**
- * How many more engines of a pool may load at the same time. Both the pool as a whole and each group of models keep a
- * share of their engines serving; where that would allow no load at all, one at a time is allowed, since weights that
- * never become fresh are worse than one engine less.
+ * The number of further engines of a pool that may load concurrently. Both the pool as a whole and each group of models
+ * keep a share of their engines serving. Where this would allow no load at all, one load at a time is allowed, since
+ * permanently stale weights are worse than the temporary loss of one engine.
  */
 final class WaveBudget {
 
-    /** The key that the pool as a whole is counted under, which is no name of a model. */
+    /** The key under which the pool as a whole is counted, which is not a valid name of a model. */
     private static final String WHOLE_POOL = "";
 
     /** The numbers of engines of each group and of the whole pool. */
     private final Map<String, Count> counts = new HashMap<>();
 
-    /** The share of the engines that keeps serving. */
+    /** The minimum share of the engines that keep serving. */
     private final double servingFloor;
 
-    /** The number of engines that may still begin to load. */
+    /** The number of further engines that may start to load. */
     private int loadsLeft;
 
     /**
      * Creates a new budget.
      *
-     * @param servingFloor The share of the engines that keeps serving.
-     * @param loadsLeft The number of engines that may still begin to load.
+     * @param servingFloor The minimum share of the engines that keep serving.
+     * @param loadsLeft The number of further engines that may start to load.
      */
     private WaveBudget(double servingFloor, int loadsLeft) {
         this.servingFloor = servingFloor;
@@ -56,33 +56,33 @@
     }
 
     /**
-     * Returns whether no engine may begin to load.
+     * Returns whether no further engine may start to load.
      *
-     * @return {@code true} if no engine may begin to load.
+     * @return {@code true} if no further engine may start to load.
      */
     boolean isExhausted() {
         return loadsLeft <= 0;
     }
 
     /**
-     * Takes an engine out for loading, if the budget allows it.
+     * Reserves a load of an engine if the budget allows it.
      *
      * @param engine The engine.
      * @param group The base of the group whose model the engine is to load.
-     * @return {@code true} if the engine may begin to load.
+     * @return {@code true} if the engine may start to load.
      */
-    boolean take(EngineRow engine, String group) {
+    boolean reserve(EngineRow engine, String group) {
         if (isExhausted()) {
             return false;
         }
         if (isServing(engine)) {
             Count pool = counts.get(WHOLE_POOL);
             Count ofGroup = counts.getOrDefault(group, new Count());
-            if (!pool.allows(servingFloor) || !ofGroup.allows(servingFloor)) {
+            if (!pool.allowsLoad(servingFloor) || !ofGroup.allowsLoad(servingFloor)) {
                 return false;
             }
-            pool.takeOut();
-            ofGroup.takeOut();
+            pool.startLoading();
+            ofGroup.startLoading();
         }
         loadsLeft--;
         return true;
@@ -102,10 +102,10 @@
     }
 
     /**
-     * Returns whether an engine serves, such that loading takes capacity away.
+     * Returns whether an engine is serving, so that a load reduces capacity.
      *
      * @param engine The engine.
-     * @return {@code true} if the engine can be reached, holds any model and is not loading.
+     * @return {@code true} if the engine is usable, holds any model and is not loading.
      */
     private static boolean isServing(EngineRow engine) {
         boolean holdsAny = engine.reading()
@@ -120,24 +120,24 @@
         /** The number of engines. */
         private int engines;
 
-        /** The number of engines that serve. */
+        /** The number of engines that are serving. */
         private int serving;
 
         /** The number of engines that are loading. */
         private int loading;
 
         /**
-         * Returns whether one more engine may stop to serve.
+         * Returns whether a serving engine may start to load.
          *
-         * @param floor The share of the engines that keeps serving.
-         * @return {@code true} if enough engines stay, or if none is loading.
+         * @param floor The minimum share of the engines that keep serving.
+         * @return {@code true} if enough engines keep serving, or if none is loading.
          */
-        private boolean allows(double floor) {
+        private boolean allowsLoad(double floor) {
             return loading == 0 || serving - 1 >= Math.ceil(floor * engines);
         }
 
-        /** Takes a serving engine out for loading. */
-        private void takeOut() {
+        /** Moves an engine from serving to loading. */
+        private void startLoading() {
             serving--;
             loading++;
         }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/WeightEffect.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/WeightEffect.java
@@ -8,17 +8,16 @@
 public sealed interface WeightEffect extends Effect {
 
     /**
-     * Orders an engine to load a version, to be answered by exactly one {@link WeightEvent.OrderEnded}. The shell must
-     * not send the order at or after its end of validity, and must give its answer at the latest when the order's
-     * timeout has passed.
+     * Orders an engine to load a version. The shell answers with exactly one {@link WeightEvent.OrderEnded}, at the
+     * latest when the order's timeout has passed, and must not send the order at or after the end of its validity.
      *
      * @param endpoint The engine.
      * @param address The engine's address as {@code host:port}.
-     * @param fencingNumber The fencing number of the lease that the order is given under.
+     * @param fencingNumber The fencing number of the lease under which the order is sent.
      * @param model The model or adapter to load.
      * @param version The version to load.
-     * @param location The place of the weights in the weight store.
-     * @param validUntil The time from which on the order must no longer be sent.
+     * @param location The location of the weights in the weight store.
+     * @param validUntil The end of the order's validity, from which on it must not be sent.
      */
     record Order(
             EndpointName endpoint,
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/WeightEvent.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/WeightEvent.java
@@ -4,22 +4,22 @@
 import io.yuccaswitch.core.identity.EndpointName;
 import io.yuccaswitch.core.identity.TrainerName;
 
-/** Something that happened to the weight versions of a trainer. */
+/** An event that concerns the weight versions of trainers. */
 public sealed interface WeightEvent extends Event {
 
     /**
-     * A trainer published a version, or news of it arrived. News may be repeated and may come out of order: only the
-     * highest version of a trainer counts.
+     * A trainer published a version, or this node was notified of it. Notifications may be repeated and may arrive out
+     * of order: only the highest version of a trainer is used.
      *
      * @param trainer The trainer.
-     * @param version The version, which grows with each publication.
-     * @param location The place of the weights in the weight store.
+     * @param version The version, which increases with each publication.
+     * @param location The location of the weights in the weight store.
      */
     record Published(TrainerName trainer, long version, String location) implements WeightEvent {}
 
     /**
-     * A version that was published at this node is known to another node or to the platform, such that the publication
-     * may be answered. The event is raised once for each {@link Published} event that was not refused.
+     * A version that was published at this node is stored at another node or on the platform, so that the publication
+     * may be acknowledged. The event is raised once for each {@link Published} event that was not rejected.
      *
      * @param trainer The trainer.
      * @param version The version.
@@ -27,16 +27,17 @@
     record PublicationSafe(TrainerName trainer, long version) implements WeightEvent {}
 
     /**
-     * A publication at this node does not count, because a higher version is known or the same version lies elsewhere.
+     * A publication at this node is rejected, because this node has a higher version or the same version at another
+     * location.
      *
      * @param trainer The trainer.
-     * @param version The version that was refused.
-     * @param newestVersion The newest version that is known.
+     * @param version The rejected version.
+     * @param newestVersion The newest version that this node has.
      */
     record PublicationRefused(TrainerName trainer, long version, long newestVersion) implements WeightEvent {}
 
     /**
-     * An order to an engine has ended. Whether the engine holds the version is only known from its own report.
+     * An order to an engine has ended. Only a report of the engine confirms that it holds the version.
      *
      * @param endpoint The engine.
      * @param fencingNumber The fencing number of the order.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/WeightMessage.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/WeightMessage.java
@@ -8,25 +8,25 @@
 public sealed interface WeightMessage extends PeerMessage {
 
     /**
-     * Tells of a published version, to be answered by {@link Known}.
+     * Announces a published version. The receiver answers with {@link Known}.
      *
      * @param trainer The trainer.
      * @param version The version.
-     * @param location The place of the weights in the weight store.
+     * @param location The location of the weights in the weight store.
      */
     record Published(TrainerName trainer, long version, String location) implements WeightMessage {}
 
     /**
-     * Says that the sender knows a published version or a higher one.
+     * Reports that the sender has a published version or a higher one.
      *
      * @param trainer The trainer.
-     * @param version The newest version that the sender knows.
+     * @param version The newest version at the sender.
      */
     record Known(TrainerName trainer, long version) implements WeightMessage {}
 
     /**
-     * Tells of the newest version of each trainer, to be answered by the versions that are newer at the receiver, if
-     * there are any.
+     * Announces the newest version of each trainer. The receiver answers with the versions that are newer at its side,
+     * if there are any.
      *
      * @param versions The newest versions.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/WeightPlans.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/WeightPlans.java
@@ -18,7 +18,7 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 
-/** Derives from the configuration what is to be done about the weights of each pool. */
+/** Derives the weight plan of each pool from the configuration. */
 public final class WeightPlans {
 
     /** The number of concurrent loads where no weight store is configured. */
@@ -28,7 +28,7 @@
     private WeightPlans() {}
 
     /**
-     * Returns the leases for bringing weights to the engines of pools.
+     * Returns the leases for the rollout of weights to the engines of pools.
      *
      * @param configuration The configuration.
      * @return A lease for each pool of engines that trainers use.
@@ -49,7 +49,7 @@
                 .weightStore()
                 .map(WeightStoreSettings::concurrentLoads)
                 .orElse(DEFAULT_CONCURRENT_LOADS);
-        Map<PoolName, Integer> loads = share(pools, limit);
+        Map<PoolName, Integer> loads = divideLoads(pools, limit);
         Map<PoolName, PoolRow.Plan> plans = new TreeMap<>();
         pools.forEach((name, settings) -> plans.put(
                 name,
@@ -80,22 +80,22 @@
     }
 
     /**
-     * Shares the concurrent loads of the fleet among pools by the numbers of their engines, where each pool gets at
-     * least one, since the holders of the pools' leases don't know of each other's loads.
+     * Divides the concurrent loads of the fleet among pools in proportion to their engines. The division is fixed
+     * because the holders of the pools' leases do not know each other's current loads. Each pool gets at least one.
      *
      * @param pools The pools.
-     * @param limit The largest number of loads at the same time over the fleet.
-     * @return The largest number of loads at the same time of each pool.
+     * @param limit The maximum number of concurrent loads of the fleet.
+     * @return The maximum number of concurrent loads of each pool.
      */
-    private static Map<PoolName, Integer> share(Map<PoolName, PoolSettings> pools, int limit) {
+    private static Map<PoolName, Integer> divideLoads(Map<PoolName, PoolSettings> pools, int limit) {
         Map<PoolName, Integer> loads = new TreeMap<>();
         pools.keySet().forEach(name -> loads.put(name, 1));
-        for (int given = pools.size(); given < limit && !pools.isEmpty(); given++) {
-            PoolName neediest = loads.keySet().stream()
+        for (int allocated = pools.size(); allocated < limit && !pools.isEmpty(); allocated++) {
+            PoolName mostBelowShare = loads.keySet().stream()
                     .min(Comparator.comparingDouble(name -> (double) loads.get(name)
                             / Math.max(1, pools.get(name).endpoints().size())))
                     .orElseThrow();
-            loads.merge(neediest, 1, Integer::sum);
+            loads.merge(mostBelowShare, 1, Integer::sum);
         }
         return loads;
     }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/WeightRolloutSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/WeightRolloutSystem.java
@@ -15,20 +15,20 @@
 import java.util.Optional;
 
 /**
- * Brings the engines of the pools whose leases this node holds to the newest versions. Orders follow from what the
- * engines were read back to hold, never from what was ordered before, so that a lost, late or doubled order is
- * corrected by the next look.
+ * Rolls out the newest versions to the engines of the pools whose leases this node holds. Orders are derived from the
+ * versions that were read back from the engines, never from earlier orders, so that a lost, late or duplicated order is
+ * corrected in the next pass.
  */
 public final class WeightRolloutSystem implements DecisionSystem {
 
-    /** The number of read-back intervals in which an engine must show what it claims. */
-    private static final int CLAIM_INTERVALS = 3;
+    /** The number of read-back intervals within which a version that an engine accepted must be read back. */
+    private static final int CONFIRMATION_INTERVALS = 3;
 
-    /** The number of order timeouts after which an order without any answer counts as lost. */
-    private static final int FLIGHT_TIMEOUTS = 2;
+    /** The number of order timeouts after which an order in flight without an answer is treated as failed. */
+    private static final int IN_FLIGHT_ORDER_TIMEOUTS = 2;
 
     /** The kind of the decisions that this system makes. */
-    private static final String DECISION = "weights";
+    private static final String DECISION_KIND = "weights";
 
     /** The shared tables. */
     private final WeightTables tables;
@@ -39,7 +39,7 @@
     /** The leases. */
     private final LeaseView leases;
 
-    /** How far the rollouts of models are, by pool and model. */
+    /** The progress of rollouts by pool and model. */
     private final Map<String, Progress> progress = new HashMap<>();
 
     /**
@@ -58,22 +58,22 @@
     /** {@inheritDoc} */
     @Override
     public void run(Tick tick) {
-        tick.events(WeightEvent.OrderEnded.class).forEach(event -> end(tick, event));
+        tick.events(WeightEvent.OrderEnded.class).forEach(event -> handleOrderEnded(tick, event));
         for (PoolRow pool : tables.duePools()) {
             List<EngineRow> engines = tables.enginesOf(pool);
-            engines.forEach(engine -> expire(tick, pool, engine));
-            order(tick, pool);
-            report(tick, pool);
+            engines.forEach(engine -> expireOrder(tick, pool, engine));
+            sendDueOrders(tick, pool);
+            reportCompleted(tick, pool);
         }
     }
 
     /**
-     * Takes in the end of an order.
+     * Handles the end of an order.
      *
      * @param tick The tick.
      * @param event The end of the order.
      */
-    private void end(Tick tick, WeightEvent.OrderEnded event) {
+    private void handleOrderEnded(Tick tick, WeightEvent.OrderEnded event) {
         Optional<EngineRow> row = tables.engines().find(event.endpoint()).filter(engine -> engine.order()
                 .filter(order -> order.isEndedBy(event))
                 .isPresent());
@@ -89,9 +89,11 @@
                         event.endpoint(),
                         switch (event.result()) {
                             case ACCEPTED ->
-                                probed.withOrder(Optional.of(order.withPhase(EngineOrder.Phase.CLAIMED, tick.now())));
+                                probed.withOrder(Optional.of(
+                                        order.withPhase(EngineOrder.Phase.ACCEPTED_UNCONFIRMED, tick.now())));
                             case UNKNOWN ->
-                                probed.withOrder(Optional.of(order.withPhase(EngineOrder.Phase.LOST, tick.now())));
+                                probed.withOrder(
+                                        Optional.of(order.withPhase(EngineOrder.Phase.ANSWER_MISSING, tick.now())));
                             case NOT_SENT -> probed.withOrder(Optional.empty());
                             case FAILED, FENCED -> probed.withFailure(order, false, backoff, tick.now());
                         });
@@ -99,13 +101,13 @@
     }
 
     /**
-     * Gives up on an order of an engine whose time has passed.
+     * Fails the order of an engine if it timed out.
      *
      * @param tick The tick.
      * @param pool The pool.
      * @param engine The engine.
      */
-    private void expire(Tick tick, PoolRow pool, EngineRow engine) {
+    private void expireOrder(Tick tick, PoolRow pool, EngineRow engine) {
         if (engine.order().isEmpty()) {
             return;
         }
@@ -113,31 +115,32 @@
         Duration timeout = pool.plan().settings().orderTimeout();
         Duration limit =
                 switch (order.phase()) {
-                    case FLYING -> timeout.multipliedBy(FLIGHT_TIMEOUTS);
-                    case LOST -> timeout;
-                    case CLAIMED -> pool.plan().settings().readBackInterval().multipliedBy(CLAIM_INTERVALS);
+                    case IN_FLIGHT -> timeout.multipliedBy(IN_FLIGHT_ORDER_TIMEOUTS);
+                    case ANSWER_MISSING -> timeout;
+                    case ACCEPTED_UNCONFIRMED ->
+                        pool.plan().settings().readBackInterval().multipliedBy(CONFIRMATION_INTERVALS);
                 };
         if (tick.now().since(order.since()).compareTo(limit) < 0) {
             return;
         }
-        boolean denied = order.phase() == EngineOrder.Phase.CLAIMED
+        boolean denied = order.phase() == EngineOrder.Phase.ACCEPTED_UNCONFIRMED
                 && engine.unreachableSince().isEmpty();
         Duration backoff = pool.plan().settings().retryBackoff();
         tables.engines().put(engine.name(), engine.withFailure(order, denied, backoff, tick.now()));
         String reason = denied
-                ? "the engine claimed the version, but was not read back to hold it: its version is unknown"
-                : "no answer, and the version was not read back";
+                ? "the engine accepted the order, but the read-back does not show the version: its version is unknown"
+                : "no answer, and the read-back does not show the version";
         explain(tick, engine, order, reason);
     }
 
     /**
-     * Gives the orders that are due in a pool.
+     * Sends the orders that are due in a pool, within its load budget.
      *
      * @param tick The tick.
      * @param pool The pool.
      */
-    private void order(Tick tick, PoolRow pool) {
-        if (pool.placement().isEmpty() || isWaitingForEarlierOrders(tick.now(), pool)) {
+    private void sendDueOrders(Tick tick, PoolRow pool) {
+        if (pool.placement().isEmpty() || isWaitingForPreviousOrders(tick.now(), pool)) {
             return;
         }
         WaveBudget budget = WaveBudget.of(pool, tables.enginesOf(pool));
@@ -148,35 +151,36 @@
             if (budget.isExhausted()) {
                 return;
             }
-            if (budget.take(stale.engine(), stale.group()) && !give(tick, pool, stale)) {
+            if (budget.reserve(stale.engine(), stale.group()) && !sendOrder(tick, pool, stale)) {
                 return;
             }
         }
     }
 
     /**
-     * Returns whether orders of an earlier holder may still reach engines, which matters where the engines don't refuse
-     * them by their fencing numbers.
+     * Returns whether orders of a previous holder may still reach engines that do not reject them by their fencing
+     * numbers.
      *
      * @param now The current time.
      * @param pool The pool.
-     * @return {@code true} if the longest flight of an order has not passed since this node became the holder.
+     * @return {@code true} if the engines ignore fencing numbers and the order timeout has not passed since this node
+     *     became the holder.
      */
-    private static boolean isWaitingForEarlierOrders(MonotonicTime now, PoolRow pool) {
+    private static boolean isWaitingForPreviousOrders(MonotonicTime now, PoolRow pool) {
         Duration held = now.since(pool.lease().since());
         return pool.plan().fencing() == FencingSupport.IGNORED
                 && held.compareTo(pool.plan().settings().orderTimeout()) < 0;
     }
 
     /**
-     * Gives an order, if this node still holds the lease.
+     * Sends an order if this node still holds the lease.
      *
      * @param tick The tick.
      * @param pool The pool.
-     * @param stale What to order.
-     * @return {@code true} if the order was given.
+     * @param stale The model to order.
+     * @return {@code true} if the order was sent.
      */
-    private boolean give(Tick tick, PoolRow pool, StaleModel stale) {
+    private boolean sendOrder(Tick tick, PoolRow pool, StaleModel stale) {
         Optional<HeldLease> held = leases.held(LeaseName.ofWeights(pool.name()), tick.now());
         if (held.isEmpty()) {
             return false;
@@ -184,8 +188,8 @@
         EngineRow engine = stale.engine();
         PublishedVersion newest = stale.newest();
         long fencingNumber = held.get().fencingNumber();
-        EngineOrder order =
-                new EngineOrder(fencingNumber, stale.model(), newest.version(), EngineOrder.Phase.FLYING, tick.now());
+        EngineOrder order = new EngineOrder(
+                fencingNumber, stale.model(), newest.version(), EngineOrder.Phase.IN_FLIGHT, tick.now());
         tick.emit(new WeightEffect.Order(
                 engine.name(),
                 engine.address(),
@@ -203,24 +207,25 @@
     }
 
     /**
-     * Explains what became of an order.
+     * Records a decision about an order.
      *
      * @param tick The tick.
      * @param engine The engine.
      * @param order The order.
-     * @param reason What became of it.
+     * @param reason The reason, such as the outcome of the order.
      */
     private static void explain(Tick tick, EngineRow engine, EngineOrder order, String reason) {
-        tick.decide(Decision.of(DECISION, engine.name().toString(), order.model() + '@' + order.version(), reason));
+        tick.decide(
+                Decision.of(DECISION_KIND, engine.name().toString(), order.model() + '@' + order.version(), reason));
     }
 
     /**
-     * Explains rollouts that ended.
+     * Records the rollouts that completed.
      *
      * @param tick The tick.
      * @param pool The pool.
      */
-    private void report(Tick tick, PoolRow pool) {
+    private void reportCompleted(Tick tick, PoolRow pool) {
         for (ModelRollout rollout : ModelRollout.of(pool, tables.enginesOf(pool), versions)) {
             String key = pool.name() + "/" + rollout.model();
             Progress before = progress.get(key);
@@ -238,11 +243,11 @@
     }
 
     /**
-     * How far the rollout of a model is.
+     * The progress of the rollout of a model.
      *
      * @param version The version.
-     * @param since The time at which the version was first seen.
-     * @param complete {@code true} if the end of the rollout was explained.
+     * @param since The time at which the rollout of the version was first observed.
+     * @param complete {@code true} if the completion of the rollout was recorded.
      */
     private record Progress(long version, MonotonicTime since, boolean complete) {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/WeightTables.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/WeightTables.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** The tables that the systems of weights share: the pools whose leases this node holds, and their engines. */
+/** The tables that the weight systems share: the pools whose leases this node holds, and their engines. */
 public final class WeightTables {
 
     /** The pools whose leases this node holds. */
@@ -18,17 +18,17 @@
     /** The engines of these pools. */
     private final EntityTable<EndpointName, EngineRow> engines = new EntityTable<>();
 
-    /** The pools that are to be looked at in this tick. */
+    /** The pools that are due for processing in this tick. */
     private final Set<PoolName> due = new TreeSet<>();
 
     /**
-     * Returns the version of a model that an engine is known to hold.
+     * Returns the version of a model that an engine is confirmed to hold.
      *
      * @param engine The engine.
      * @param model The model.
      * @return The version, or empty if it is unknown or this node does not hold the lease of the engine's pool.
      */
-    public Optional<Long> knownVersion(EndpointName engine, String model) {
+    public Optional<Long> confirmedVersion(EndpointName engine, String model) {
         return engines.find(engine).filter(row -> row.isCertain(model)).flatMap(row -> row.loaded(model));
     }
 
@@ -51,16 +51,16 @@
     }
 
     /**
-     * Returns the names of the pools that are to be looked at in this tick.
+     * Returns the names of the pools that are due for processing in this tick.
      *
-     * @return The names, which the tracking system changes.
+     * @return The names, as a mutable set that the tracking system updates.
      */
     Set<PoolName> due() {
         return due;
     }
 
     /**
-     * Returns the pools that are to be looked at in this tick.
+     * Returns the pools that are due for processing in this tick.
      *
      * @return The rows of these pools.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/package-info.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/package-info.java
@@ -1,2 +1,2 @@
-/** Weight versions of trainers and how they reach the engines. */
+/** Weight versions of trainers and their rollout to the engines. */
 package io.yuccaswitch.core.weight;
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/weight/FakeEngine.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/weight/FakeEngine.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** An engine that carries orders out after the time of a load. */
+/** A fake engine that executes each order after the load time. */
 final class FakeEngine {
 
     final Map<String, Long> versions = new TreeMap<>();
@@ -23,7 +23,7 @@
 
     boolean failing;
 
-    boolean lying;
+    boolean acceptsWithoutLoading;
 
     boolean reachable = true;
 
@@ -31,8 +31,8 @@
 
     int incarnation = 1;
 
-    /** The weight store, which is never busy unless a benchmark says otherwise. */
-    Store store = (now, time) -> now.plus(time);
+    /** The scheduler of loads at the weight store, which has no rate limit unless a benchmark sets one. */
+    LoadScheduler loadScheduler = (now, time) -> now.plus(time);
 
     private final Map<String, Long> initial = new HashMap<>();
 
@@ -43,17 +43,17 @@
         versions.putAll(initial);
     }
 
-    void begin(WeightEffect.Order order, String node, MonotonicTime now) {
+    void beginLoad(WeightEffect.Order order, String node, MonotonicTime now) {
         orders++;
-        loads.add(new Load(order, node, store.reserve(now, loadTime), admits(order)));
+        loads.add(new Load(order, node, loadScheduler.reserve(now, loadTime), admits(order)));
     }
 
-    List<Ended> finish(MonotonicTime now) {
+    List<Ended> finishLoads(MonotonicTime now) {
         List<Ended> ended = new ArrayList<>();
         for (Load load : List.copyOf(loads)) {
             if (!now.isBefore(load.endsAt())) {
                 loads.remove(load);
-                ended.add(new Ended(load.node(), load.order(), swap(load, now)));
+                ended.add(new Ended(load.node(), load.order(), applyOrder(load, now)));
             }
         }
         return ended;
@@ -66,14 +66,14 @@
         versions.putAll(initial);
     }
 
-    private OrderResult swap(Load load, MonotonicTime now) {
+    private OrderResult applyOrder(Load load, MonotonicTime now) {
         if (!load.admitted() || !admits(load.order())) {
             return OrderResult.FENCED;
         }
         if (failing) {
             return OrderResult.FAILED;
         }
-        if (!lying) {
+        if (!acceptsWithoutLoading) {
             versions.put(load.order().model(), load.order().version());
             applied.add(new Applied(
                     load.order().fencingNumber(), load.node(), load.order().version(), now));
@@ -82,9 +82,9 @@
     }
 
     private boolean admits(WeightEffect.Order order) {
-        boolean old = order.fencingNumber() < highestFencingNumber;
+        boolean outdated = order.fencingNumber() < highestFencingNumber;
         highestFencingNumber = Math.max(highestFencingNumber, order.fencingNumber());
-        return !old || !checksFencing;
+        return !outdated || !checksFencing;
     }
 
     record Load(WeightEffect.Order order, String node, MonotonicTime endsAt, boolean admitted) {}
@@ -93,7 +93,7 @@
 
     record Applied(long fencingNumber, String node, long version, MonotonicTime at) {}
 
-    interface Store {
+    interface LoadScheduler {
 
         MonotonicTime reserve(MonotonicTime now, Duration loadTime);
     }
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/weight/FakePlatform.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/weight/FakePlatform.java
@@ -14,7 +14,7 @@
 import java.util.OptionalLong;
 import java.util.TreeMap;
 
-/** A table of objects with versions and conditional updates. */
+/** A fake platform that stores objects with versions and supports conditional updates. */
 final class FakePlatform {
 
     final Map<PlatformPurpose, Integer> calls = new EnumMap<>(PlatformPurpose.class);
@@ -23,7 +23,7 @@
 
     private long version;
 
-    boolean silent;
+    boolean unreachable;
 
     int answersToLose;
 
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/weight/LeaseFaultTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/weight/LeaseFaultTest.java
@@ -28,51 +28,51 @@
     }
 
     @Test
-    void oneNodeOfManyHoldsALeaseAndKeepsIt() {
+    void exactlyOneNodeAcquiresALeaseAndKeepsIt() {
         site.run(Duration.ofSeconds(2));
         TestNode holder = site.holder().orElseThrow();
         long number = holder.held(TestSite.POOL, site.now).orElseThrow().fencingNumber();
-        site.run(Duration.ofMinutes(2), present -> {
-            assertThat(present.holders()).isEqualTo(1);
-            assertThat(present.holder()).contains(holder);
+        site.run(Duration.ofMinutes(2), current -> {
+            assertThat(current.holders()).isEqualTo(1);
+            assertThat(current.holder()).contains(holder);
         });
         assertThat(holder.held(TestSite.POOL, site.now).orElseThrow().fencingNumber())
                 .isEqualTo(number);
     }
 
     @Test
-    void twoCandidatesThatRaceNeverHoldTheLeaseTogether() {
-        site.run(Duration.ofSeconds(1), present -> assertThat(present.holders()).isLessThanOrEqualTo(1));
+    void racingCandidatesNeverHoldTheLeaseAtTheSameTime() {
+        site.run(Duration.ofSeconds(1), current -> assertThat(current.holders()).isLessThanOrEqualTo(1));
         assertThat(site.holders()).isEqualTo(1);
     }
 
     @Test
-    void aLostAnswerOfTheFirstWriteIsSettledByReading() {
+    void aLostAnswerToTheFirstWriteIsResolvedByARead() {
         site.platform.answersToLose = 2;
-        site.run(Duration.ofSeconds(3), present -> assertThat(present.holders()).isLessThanOrEqualTo(1));
+        site.run(Duration.ofSeconds(3), current -> assertThat(current.holders()).isLessThanOrEqualTo(1));
         assertThat(site.holders()).isEqualTo(1);
     }
 
     @Test
-    void aLostAnswerOfARenewalDoesNotLoseTheLease() {
+    void aLostAnswerToARenewalDoesNotLoseTheLease() {
         site.run(Duration.ofSeconds(2));
         TestNode holder = site.holder().orElseThrow();
         site.platform.answersToLose = 1;
-        site.run(Duration.ofSeconds(30), present -> assertThat(present.holder()).contains(holder));
+        site.run(Duration.ofSeconds(30), current -> assertThat(current.holder()).contains(holder));
         assertThat(site.platform.answersToLose).isZero();
     }
 
     @Test
-    void theTimeOfASlowAnswerIsTakenOffTheValidityOfTheLease() {
+    void theLatencyOfASlowAnswerShortensTheValidityOfTheLease() {
         site.platformDelay = TestSite.LEASE.minus(TestSite.MARGIN);
-        site.run(Duration.ofMinutes(2), present -> assertThat(present.holders()).isZero());
+        site.run(Duration.ofMinutes(2), current -> assertThat(current.holders()).isZero());
         site.platformDelay = Duration.ofSeconds(2);
         site.run(Duration.ofMinutes(1));
-        site.run(Duration.ofMinutes(1), present -> assertThat(present.holders()).isEqualTo(1));
+        site.run(Duration.ofMinutes(1), current -> assertThat(current.holders()).isEqualTo(1));
     }
 
     @Test
-    void aPlannedStopReleasesTheLeaseAtOnceEvenIfTheAnswerIsLost() {
+    void aPlannedStopReleasesTheLeaseImmediatelyEvenIfTheAnswerIsLost() {
         site.run(Duration.ofSeconds(2));
         TestNode holder = site.holder().orElseThrow();
         site.platform.answersToLose = 1;
@@ -82,12 +82,12 @@
     }
 
     @Test
-    void aDeadHolderIsReplacedOnlyAfterAWholeLeaseUnderAHigherNumber() {
+    void aDeadHolderIsReplacedOnlyAfterTheFullLeaseDurationUnderAHigherFencingNumber() {
         site.run(Duration.ofSeconds(2));
         TestNode holder = site.holder().orElseThrow();
         HeldLease before = holder.held(TestSite.POOL, site.now).orElseThrow();
         site.kill(holder);
-        site.run(before.validUntil().plus(TestSite.MARGIN).since(site.now), present -> assertThat(present.holder())
+        site.run(before.validUntil().plus(TestSite.MARGIN).since(site.now), current -> assertThat(current.holder())
                 .isEmpty());
         site.run(Duration.ofSeconds(10));
         HeldLease after =
@@ -96,18 +96,18 @@
     }
 
     @Test
-    void aHolderThatWakesAfterItsLeaseDoesNotThinkItStillHoldsIt() {
+    void aHolderThatResumesAfterItsLeaseEndedDoesNotHoldItAnyLonger() {
         site.run(Duration.ofSeconds(2));
         TestNode holder = site.holder().orElseThrow();
         site.pause(holder, Duration.ofSeconds(40));
         site.run(
-                Duration.ofSeconds(40), present -> assertThat(present.holders()).isLessThanOrEqualTo(1));
+                Duration.ofSeconds(40), current -> assertThat(current.holders()).isLessThanOrEqualTo(1));
         assertThat(holder.held(TestSite.POOL, site.now)).isEmpty();
-        site.run(Duration.ofMinutes(1), present -> assertThat(present.holders()).isLessThanOrEqualTo(1));
+        site.run(Duration.ofMinutes(1), current -> assertThat(current.holders()).isLessThanOrEqualTo(1));
     }
 
     @Test
-    void aHolderThatWasPausedWithoutAChallengerTakesAHigherNumber() {
+    void aHolderThatWasPausedWithoutAChallengerAcquiresAHigherFencingNumber() {
         site.kill(site.nodes.get("n2"));
         site.kill(site.nodes.get("n3"));
         site.run(Duration.ofSeconds(2));
@@ -126,20 +126,20 @@
         site.nodes.values().stream()
                 .filter(node -> node != holder)
                 .forEach(node -> site.pause(node, Duration.ofSeconds(60)));
-        site.run(Duration.ofSeconds(90), present -> assertThat(present.holder()).contains(holder));
+        site.run(Duration.ofSeconds(90), current -> assertThat(current.holder()).contains(holder));
     }
 
     @Test
-    void aChallengerStartsToWatchAnewAfterAnOutage() {
+    void aChallengerRestartsItsObservationAfterAPlatformOutage() {
         site.run(Duration.ofSeconds(20));
         TestNode holder = site.holder().orElseThrow();
-        site.platform.silent = true;
+        site.platform.unreachable = true;
         site.run(Duration.ofMinutes(2));
-        holder.cutFromPlatform = true;
-        site.platform.silent = false;
-        site.run(TestSite.LEASE, present -> assertThat(present.nodes.values())
+        holder.partitionedFromPlatform = true;
+        site.platform.unreachable = false;
+        site.run(TestSite.LEASE, current -> assertThat(current.nodes.values())
                 .allMatch(node ->
-                        node == holder || node.held(TestSite.POOL, present.now).isEmpty()));
+                        node == holder || node.held(TestSite.POOL, current.now).isEmpty()));
         site.run(Duration.ofSeconds(10));
         assertThat(site.holder()).isPresent().isNotEqualTo(Optional.of(holder));
     }
@@ -157,17 +157,17 @@
     }
 
     @Test
-    void aValueThatIsNoRecordIsTreatedAsHeldUntilItWentUnchangedForAWholeLease() {
+    void aMalformedLeaseValueIsTreatedAsHeldUntilItIsUnchangedForTheFullLeaseDuration() {
         site.platform.put(LeaseSystem.KIND, LEASE_NAME, "rubbish");
-        site.run(TestSite.LEASE, present -> assertThat(present.holders()).isZero());
+        site.run(TestSite.LEASE, current -> assertThat(current.holders()).isZero());
         site.run(Duration.ofSeconds(10));
         assertThat(site.holders()).isEqualTo(1);
     }
 
     @Test
-    void callsToThePlatformDoNotGrowWithNodes() {
+    void theRateOfPlatformCallsDoesNotGrowWithTheNumberOfNodes() {
         site.run(Duration.ofMinutes(2));
-        int few = site.platform.calls.get(PlatformPurpose.LEASE);
+        int callsOfSmallSite = site.platform.calls.get(PlatformPurpose.LEASE);
         TestSite large = new TestSite();
         large.addEngine("e1", Map.of("m", 1L));
         large.addTrainer("t", "m", 1);
@@ -176,20 +176,20 @@
         }
         large.configure();
         large.run(Duration.ofMinutes(2));
-        assertThat(large.platform.calls.get(PlatformPurpose.LEASE)).isLessThanOrEqualTo(few * 3 / 2);
+        assertThat(large.platform.calls.get(PlatformPurpose.LEASE)).isLessThanOrEqualTo(callsOfSmallSite * 3 / 2);
     }
 
     @Test
-    void theHolderGoesOnWhileThePlatformIsSilentTowardsAllNodes() {
+    void theHolderContinuesWhileThePlatformIsUnreachableForAllNodes() {
         site.run(Duration.ofSeconds(2));
         TestNode holder = site.holder().orElseThrow();
-        site.platform.silent = true;
-        site.run(Duration.ofMinutes(1), present -> assertThat(present.holders()).isLessThanOrEqualTo(1));
+        site.platform.unreachable = true;
+        site.run(Duration.ofMinutes(1), current -> assertThat(current.holders()).isLessThanOrEqualTo(1));
         HeldLease degraded = holder.held(TestSite.POOL, site.now).orElseThrow();
         assertThat(degraded.degraded()).isTrue();
-        site.platform.silent = false;
+        site.platform.unreachable = false;
         site.run(
-                Duration.ofSeconds(20), present -> assertThat(present.holders()).isLessThanOrEqualTo(1));
+                Duration.ofSeconds(20), current -> assertThat(current.holders()).isLessThanOrEqualTo(1));
         HeldLease regular =
                 site.holder().orElseThrow().held(TestSite.POOL, site.now).orElseThrow();
         assertThat(regular.degraded()).isFalse();
@@ -197,34 +197,34 @@
     }
 
     @Test
-    void aHolderThatAloneHearsNothingOfThePlatformStopsAndIsReplaced() {
+    void aHolderThatAloneCannotReachThePlatformStopsAndIsReplaced() {
         site.run(Duration.ofSeconds(2));
         TestNode holder = site.holder().orElseThrow();
-        holder.cutFromPlatform = true;
-        site.run(Duration.ofMinutes(3), present -> assertThat(present.holders()).isLessThanOrEqualTo(1));
+        holder.partitionedFromPlatform = true;
+        site.run(Duration.ofMinutes(3), current -> assertThat(current.holders()).isLessThanOrEqualTo(1));
         assertThat(site.holder()).isPresent().isNotEqualTo(Optional.of(holder));
     }
 
     @Test
-    void aHolderThatIsCutOffFromAllStopsAlthoughItHearsNothingOfThePlatform() {
+    void aHolderPartitionedFromAllNodesStopsAlthoughItCannotReachThePlatform() {
         site.run(Duration.ofSeconds(2));
         TestNode holder = site.holder().orElseThrow();
-        holder.cutFromPlatform = true;
-        holder.cutOff = true;
-        site.run(Duration.ofMinutes(3), present -> assertThat(present.holders()).isLessThanOrEqualTo(1));
+        holder.partitionedFromPlatform = true;
+        holder.partitioned = true;
+        site.run(Duration.ofMinutes(3), current -> assertThat(current.holders()).isLessThanOrEqualTo(1));
         assertThat(holder.held(TestSite.POOL, site.now)).isEmpty();
         assertThat(site.holders()).isEqualTo(1);
     }
 
     @Test
-    void aSuccessorActsWhenTheHolderDiesWhileThePlatformIsSilent() {
+    void aSuccessorTakesOverWhenTheHolderDiesWhileThePlatformIsUnreachable() {
         site.run(Duration.ofSeconds(5));
         TestNode holder = site.holder().orElseThrow();
-        site.platform.silent = true;
+        site.platform.unreachable = true;
         site.run(Duration.ofMinutes(1));
         long before = holder.held(TestSite.POOL, site.now).orElseThrow().fencingNumber();
         site.kill(holder);
-        site.run(Duration.ofMinutes(1), present -> assertThat(present.holders()).isLessThanOrEqualTo(1));
+        site.run(Duration.ofMinutes(1), current -> assertThat(current.holders()).isLessThanOrEqualTo(1));
         HeldLease after =
                 site.holder().orElseThrow().held(TestSite.POOL, site.now).orElseThrow();
         assertThat(after.degraded()).isTrue();
@@ -232,19 +232,19 @@
     }
 
     @Test
-    void aHolderThatWakesWhileASuccessorActsStandsBack() {
+    void aHolderThatResumesAfterASuccessorTookOverDoesNotActAgain() {
         site.run(Duration.ofSeconds(5));
         TestNode holder = site.holder().orElseThrow();
-        site.platform.silent = true;
+        site.platform.unreachable = true;
         site.run(Duration.ofMinutes(1));
-        holder.cutOff = true;
+        holder.partitioned = true;
         site.pause(holder, Duration.ofSeconds(121));
         site.run(Duration.ofMinutes(2));
         TestNode successor = site.holder().orElseThrow();
-        holder.cutOff = false;
-        site.run(Duration.ofMinutes(2), present -> {
-            assertThat(present.holders()).isEqualTo(1);
-            assertThat(present.holder()).contains(successor);
+        holder.partitioned = false;
+        site.run(Duration.ofMinutes(2), current -> {
+            assertThat(current.holders()).isEqualTo(1);
+            assertThat(current.holder()).contains(successor);
         });
     }
 }
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/weight/PlacementTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/weight/PlacementTest.java
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void anEngineThatReturnsSoonKeepsItsModelAndOneThatIsGoneIsReplaced() {
+    void anEngineKeepsItsModelAfterAShortOutageAndIsReplacedAfterALongOne() {
         for (int index = 0; index < 4; index++) {
             site.addEngine("e" + index, Map.of(index < 3 ? "a" : "b", 1L));
         }
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void aNewHolderMovesNothing() {
+    void aNewHolderMovesNoModel() {
         for (int index = 0; index < 5; index++) {
             site.addEngine("e" + index, Map.of(index % 2 == 0 ? "a" : "b", 1L));
         }
@@ -97,19 +97,19 @@
     }
 
     @Test
-    void sharesThatAreOffByLessThanTheHysteresisMoveNothing() {
+    void noModelMovesIfSharesDeviateByLessThanTheHysteresis() {
         List<EngineRow> engines = engines(5, Map.of());
         Map<EndpointName, List<String>> before = new HashMap<>();
         for (int index = 0; index < 5; index++) {
             before.put(name(index), List.of(index < 3 ? "a" : "b"));
         }
-        PlacementPolicy.Placement off =
+        PlacementPolicy.Placement smallDeviation =
                 new PlacementPolicy(groups(List.of(49, 51)), engines, _trainer -> Optional.empty()).place(before);
-        assertThat(off.groups()).isEqualTo(before);
-        assertThat(off.moves()).isEmpty();
-        PlacementPolicy.Placement furtherOff =
+        assertThat(smallDeviation.groups()).isEqualTo(before);
+        assertThat(smallDeviation.moves()).isEmpty();
+        PlacementPolicy.Placement largeDeviation =
                 new PlacementPolicy(groups(List.of(40, 60)), engines, _trainer -> Optional.empty()).place(before);
-        assertThat(furtherOff.moves()).hasSize(1);
+        assertThat(largeDeviation.moves()).hasSize(1);
     }
 
     @Property(tries = 200, seed = "20261202")
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/weight/TestNode.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/weight/TestNode.java
@@ -23,7 +23,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** A node with the systems of leases and weights, whose ticks the test drives. */
+/** A node with the lease and weight systems, whose ticks are driven by the test. */
 final class TestNode {
 
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
@@ -44,14 +44,14 @@
 
     MonotonicTime pausedUntil = new MonotonicTime(Long.MIN_VALUE);
 
-    MonotonicTime heardPlatformAt = MonotonicTime.ZERO;
+    MonotonicTime lastPlatformContactAt = MonotonicTime.ZERO;
 
-    /** The processor time that the ticks of this node took. */
+    /** The processor time that this node's ticks used. */
     long processorNanos;
 
-    boolean cutOff;
+    boolean partitioned;
 
-    boolean cutFromPlatform;
+    boolean partitionedFromPlatform;
 
     private final TestSite site;
 
@@ -61,8 +61,8 @@
         this.site = site;
         this.identity = identity;
         PlatformTokens tokens = new PlatformTokens();
-        MembershipView members = new View();
-        leases = new LeaseSystem(WeightPlans::leases, members, tokens, this::silence);
+        MembershipView members = new SiteMembership();
+        leases = new LeaseSystem(WeightPlans::leases, members, tokens, this::platformUnreachableFor);
         DecisionSystem recorder = tick -> raised.addAll(tick.events(WeightEvent.class));
         core = new DecisionCore(
                 List.of(
@@ -93,15 +93,17 @@
         return now.isBefore(pausedUntil);
     }
 
-    private Optional<Duration> silence(MonotonicTime now) {
+    private Optional<Duration> platformUnreachableFor(MonotonicTime now) {
         List<TestNode> reached = site.reachableFrom(this);
         if (2 * reached.size() < site.nodes.size()) {
             return Optional.empty();
         }
-        return reached.stream().map(node -> now.since(node.heardPlatformAt)).min(Duration::compareTo);
+        return reached.stream()
+                .map(node -> now.since(node.lastPlatformContactAt))
+                .min(Duration::compareTo);
     }
 
-    private final class View implements MembershipView {
+    private final class SiteMembership implements MembershipView {
 
         @Override
         public Member self() {
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/weight/TestSite.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/weight/TestSite.java
@@ -38,8 +38,8 @@
 import java.util.function.Consumer;
 
 /**
- * A few cores that a test drives together: it moves the clock by hand, and hands the effects of each core to a fake
- * platform, to modelled engines and to the other cores in the step after.
+ * A site of several decision cores under simulated time. Each step advances the clock and passes the effects of each
+ * core to a fake platform, fake engines and the other cores.
  */
 final class TestSite {
 
@@ -71,15 +71,15 @@
 
     Duration platformDelay = Duration.ZERO;
 
-    /** The pause that a node makes right before it sends its next order. */
+    /** The duration for which the next node that sends an order is paused immediately before it, if any. */
     Optional<Duration> pauseBeforeOrder = Optional.empty();
 
-    /** Whether orders are sent after the end of their validity, as a pause inside of a send may bring about. */
+    /** Whether orders are sent after the end of their validity, as when a node is paused during the send. */
     boolean sendsLateOrders;
 
     private final Map<NodeName, Member> members = new HashMap<>();
 
-    private final List<Held> effects = new ArrayList<>();
+    private final List<PendingEffect> effects = new ArrayList<>();
 
     private final List<Answer> answers = new ArrayList<>();
 
@@ -100,7 +100,7 @@
                 identity.name(),
                 new Member(identity, zone, "local", name + ":1", name + ":2", name + ":3", MemberCondition.ALIVE));
         TestNode node = new TestNode(this, identity, name.hashCode() + incarnation);
-        node.heardPlatformAt = now;
+        node.lastPlatformContactAt = now;
         nodes.put(name, node);
         if (generation > 0) {
             node.inbox.add(new ConfigurationEvent.InForce(generation, configuration()));
@@ -183,13 +183,13 @@
 
     List<TestNode> reachableFrom(TestNode node) {
         return nodes.values().stream()
-                .filter(other -> other == node || (!other.cutOff && !node.cutOff))
+                .filter(other -> other == node || (!other.partitioned && !node.partitioned))
                 .toList();
     }
 
     void step() {
         now = now.plus(stepLength);
-        engines.forEach((name, engine) -> engine.finish(now).forEach(ended -> answer(name, ended)));
+        engines.forEach((name, engine) -> engine.finishLoads(now).forEach(ended -> answer(name, ended)));
         for (Answer answer : List.copyOf(answers)) {
             if (!now.isBefore(answer.at())) {
                 answers.remove(answer);
@@ -198,17 +198,17 @@
         }
         for (TestNode node : nodes.values()) {
             if (!node.isPaused(now)) {
-                node.tick(now).effects().forEach(effect -> effects.add(new Held(node, effect)));
+                node.tick(now).effects().forEach(effect -> effects.add(new PendingEffect(node, effect)));
             }
         }
-        for (Held held : List.copyOf(effects)) {
-            if (held.effect() instanceof WeightEffect.Order && pauseBeforeOrder.isPresent()) {
-                pause(held.node(), pauseBeforeOrder.get());
+        for (PendingEffect pending : List.copyOf(effects)) {
+            if (pending.effect() instanceof WeightEffect.Order && pauseBeforeOrder.isPresent()) {
+                pause(pending.node(), pauseBeforeOrder.get());
                 pauseBeforeOrder = Optional.empty();
             }
-            if (!held.node().isPaused(now)) {
-                effects.remove(held);
-                carryOut(held.node(), held.effect());
+            if (!pending.node().isPaused(now)) {
+                effects.remove(pending);
+                execute(pending.node(), pending.effect());
             }
         }
     }
@@ -222,13 +222,13 @@
         }
     }
 
-    private void carryOut(TestNode node, Effect effect) {
+    private void execute(TestNode node, Effect effect) {
         if (effect instanceof PlatformEffect call) {
-            boolean silent = platform.silent || node.cutFromPlatform;
+            boolean unreachable = platform.unreachable || node.partitionedFromPlatform;
             PlatformEvent answer =
-                    silent ? new PlatformEvent.Unavailable(call.token(), true, "silent") : platform.answer(call);
+                    unreachable ? new PlatformEvent.Unavailable(call.token(), true, "silent") : platform.answer(call);
             answers.add(new Answer(node, answer, now.plus(platformDelay)));
-            node.heardPlatformAt = silent ? node.heardPlatformAt : now;
+            node.lastPlatformContactAt = unreachable ? node.lastPlatformContactAt : now;
         } else if (effect instanceof PeerEffect.Send send) {
             messages++;
             TestNode target = nodes.get(send.target().value());
@@ -264,7 +264,7 @@
                     "lease ended"));
             return;
         }
-        engines.get(order.endpoint()).begin(order, node.identity.name().value(), now);
+        engines.get(order.endpoint()).beginLoad(order, node.identity.name().value(), now);
     }
 
     FleetConfiguration configuration() {
@@ -291,7 +291,7 @@
                 new LeaseSettings(LEASE, MARGIN));
     }
 
-    private record Held(TestNode node, Effect effect) {}
+    private record PendingEffect(TestNode node, Effect effect) {}
 
     private record Answer(TestNode node, PlatformEvent event, MonotonicTime at) {}
 }
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/weight/WeightBenchmark.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/weight/WeightBenchmark.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Prints the figures of docs/MEASUREMENTS.md, "Leases and weights". It is no part of the test suite; run it with
+ * Prints the figures of docs/MEASUREMENTS.md, "Leases and weights". It is not part of the test suite. Run it with
  * {@code mvn -B -pl yuccaswitch-core test -Dtest=WeightBenchmark}.
  */
 class WeightBenchmark {
@@ -28,7 +28,7 @@
     private static final Duration LOAD_TIME = Duration.ofSeconds(1);
 
     @Test
-    void rolloutTimeAgainstEnginesAndStoreRate() {
+    void rolloutTimeByNumberOfEnginesAndStoreRate() {
         print(
                 "| engines | loads/s of the store | concurrent loads | rollout (s) | most loading | orders | read-backs | holder CPU in rollout (%) |");
         print("|---|---|---|---|---|---|---|---|");
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void idleCostOfAHolderAndOfAnotherNode() {
+    void idleProcessorTimeOfAHolderAndOfAnotherNode() {
         print("| engines | holder CPU (%) | holder us/tick | read-backs/s | other node CPU (%) | other us/tick |");
         print("|---|---|---|---|---|---|");
         for (int engines : List.of(64, 8, 64, 512, 2200)) {
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void stateOfEnginesAtTheHolder() {
+    void heapOfTheEngineStateAtTheHolder() {
         print("| engines | heap of the holder's state (bytes) | bytes per engine |");
         print("|---|---|---|");
         for (int engines : List.of(512, 2200, 22_000)) {
@@ -109,14 +109,14 @@
         MonotonicTime startedAt = site.now;
         long before = holder.processorNanos;
         site.publish(holder, "t", 2);
-        int most = 0;
+        int maximumLoading = 0;
         site.probes = 0;
         while (!site.allHold("m", 2) && site.now.since(startedAt).toMinutes() < 15) {
             site.step();
             int loading = site.engines.values().stream()
                     .mapToInt(engine -> engine.loads.size())
                     .sum();
-            most = Math.max(most, loading);
+            maximumLoading = Math.max(maximumLoading, loading);
         }
         Duration time = site.now.since(startedAt);
         print(String.format(
@@ -125,13 +125,16 @@
                 rate,
                 site.concurrentLoads,
                 time.toMillis() / 1000.0,
-                most,
+                maximumLoading,
                 site.engines.values().stream().mapToInt(engine -> engine.orders).sum(),
                 site.probes,
                 100.0 * (holder.processorNanos - before) / time.toNanos()));
     }
 
-    /** A site whose store carries out so many loads a second, one after another, of one second at least. */
+    /**
+     * Creates a site whose weight store completes at most {@code rate} loads per second, each of which takes at least
+     * one second.
+     */
     private static TestSite site(int engines, int rate, int nodes) {
         TestSite site = new TestSite();
         site.stepLength = TICK;
@@ -140,7 +143,7 @@
         for (int index = 0; index < engines; index++) {
             FakeEngine engine = site.addEngine("e" + index, Map.of("m", 1L));
             engine.loadTime = LOAD_TIME;
-            engine.store = (now, time) -> {
+            engine.loadScheduler = (now, time) -> {
                 MonotonicTime begin = now.isBefore(freeAt[0]) ? freeAt[0] : now;
                 freeAt[0] = begin.plus(Duration.ofSeconds(1).dividedBy(rate));
                 MonotonicTime earliest = now.plus(time);
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/weight/WeightPropertyTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/weight/WeightPropertyTest.java
@@ -24,10 +24,10 @@
             (site, node) -> site.pause(node, Duration.ofSeconds(15)),
             (site, node) -> site.pause(node, Duration.ofMinutes(1)),
             (site, _node) -> site.pauseBeforeOrder = Optional.of(Duration.ofSeconds(30)),
-            (site, _node) -> site.platform.silent = !site.platform.silent,
+            (site, _node) -> site.platform.unreachable = !site.platform.unreachable,
             (site, _node) -> site.platform.answersToLose = 2,
-            (_site, node) -> node.cutOff = !node.cutOff,
-            (_site, node) -> node.cutFromPlatform = !node.cutFromPlatform,
+            (_site, node) -> node.partitioned = !node.partitioned,
+            (_site, node) -> node.partitionedFromPlatform = !node.partitionedFromPlatform,
             WeightPropertyTest::restart,
             (site, _node) -> site.engine("e0").restart(),
             (site, node) -> site.publish(node, "t", newest(site) + 1));
@@ -86,10 +86,10 @@
     }
 
     private static void heal(TestSite site) {
-        site.platform.silent = false;
+        site.platform.unreachable = false;
         site.nodes.values().forEach(node -> {
-            node.cutOff = false;
-            node.cutFromPlatform = false;
+            node.partitioned = false;
+            node.partitionedFromPlatform = false;
             node.pausedUntil = site.now;
         });
     }
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/weight/WeightRolloutTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/weight/WeightRolloutTest.java
@@ -18,10 +18,10 @@
     private final TestSite site = new TestSite();
 
     @Test
-    void aPublishedVersionReachesAllEnginesInWaves() {
+    void aPublishedVersionIsRolledOutToAllEnginesInWaves() {
         prepare(6);
         site.publish(site.nodes.get("n2"), "t", 2);
-        site.run(Duration.ofSeconds(15), _present -> {
+        site.run(Duration.ofSeconds(15), _site -> {
             assertThat(loading()).isLessThanOrEqualTo(site.concurrentLoads);
             assertThat(site.engines.size() - loading()).isGreaterThanOrEqualTo(3);
         });
@@ -31,17 +31,17 @@
     }
 
     @Test
-    void theServingFloorBoundsAWaveBelowTheStoresLimit() {
+    void theServingFloorLimitsAWaveBelowTheLimitOfTheWeightStore() {
         site.concurrentLoads = 100;
         site.servingFloor = 0.75;
         prepare(8);
         site.publish(site.nodes.get("n1"), "t", 2);
-        site.run(Duration.ofSeconds(15), _present -> assertThat(loading()).isLessThanOrEqualTo(2));
+        site.run(Duration.ofSeconds(15), _site -> assertThat(loading()).isLessThanOrEqualTo(2));
         assertThat(site.allHold("m", 2)).isTrue();
     }
 
     @Test
-    void aPoolOfOneEngineIsBroughtToNewVersionsToo() {
+    void aPoolOfOneEngineIsUpdatedToNewVersions() {
         prepare(1);
         site.publish(site.nodes.get("n1"), "t", 2);
         site.run(Duration.ofSeconds(5));
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void aNewerVersionDuringARolloutReplacesItAndNothingGoesBack() {
+    void aNewerVersionSupersedesARolloutAndNoEngineIsDowngraded() {
         prepare(6);
         site.publish(site.nodes.get("n1"), "t", 2);
         site.run(Duration.ofMillis(1500));
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void anEngineThatHoldsANewerVersionThanIsKnownIsLeftAlone() {
+    void anEngineWithAVersionNewerThanThePublishedOneGetsNoOrder() {
         prepare(2);
         site.engine("e0").versions.put("m", 9L);
         site.run(Duration.ofSeconds(2));
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void anEngineThatFailsForEverCostsOnlyItsOwnShare() {
+    void anEngineThatAlwaysFailsDoesNotBlockTheRolloutToOthers() {
         site.concurrentLoads = 1;
         prepare(4);
         site.engine("e0").failing = true;
@@ -89,22 +89,22 @@
     }
 
     @Test
-    void anEngineThatClaimsAVersionButKeepsTheOldOneIsUnknownAndTriedAgain() {
+    void anEngineThatAcceptsAnOrderWithoutLoadingIsUncertainAndOrderedAgain() {
         prepare(3);
-        FakeEngine liar = site.engine("e1");
-        liar.lying = true;
+        FakeEngine faulty = site.engine("e1");
+        faulty.acceptsWithoutLoading = true;
         site.publish(site.nodes.get("n1"), "t", 2);
         site.run(Duration.ofSeconds(10));
         WeightTables tables = site.holder().orElseThrow().tables;
-        assertThat(tables.knownVersion(name("e1"), "m")).isEmpty();
-        assertThat(tables.knownVersion(name("e0"), "m")).contains(2L);
-        liar.lying = false;
+        assertThat(tables.confirmedVersion(name("e1"), "m")).isEmpty();
+        assertThat(tables.confirmedVersion(name("e0"), "m")).contains(2L);
+        faulty.acceptsWithoutLoading = false;
         site.run(Duration.ofSeconds(30));
-        assertThat(tables.knownVersion(name("e1"), "m")).contains(2L);
+        assertThat(tables.confirmedVersion(name("e1"), "m")).contains(2L);
     }
 
     @Test
-    void anEngineThatRestartsWithOldWeightsIsBroughtToTheNewestVersionAgain() {
+    void anEngineThatRestartsWithOldWeightsIsUpdatedToTheNewestVersionAgain() {
         prepare(3);
         site.publish(site.nodes.get("n1"), "t", 2);
         site.run(Duration.ofSeconds(10));
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void anEngineThatRestartsDuringASwapIsOrderedAgain() {
+    void anEngineThatRestartsDuringALoadIsOrderedAgain() {
         prepare(1);
         site.publish(site.nodes.get("n1"), "t", 2);
         site.run(Duration.ofMillis(600));
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void aHolderPausedRightBeforeAnOrderDoesNotSendItAfterItsLease() {
+    void aHolderPausedImmediatelyBeforeAnOrderDoesNotSendItAfterItsLeaseEnds() {
         prepare(4);
         TestNode holder = rollOutAroundPausedHolder();
         assertThat(site.allHold("m", 3)).isTrue();
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void anOrderThatIsSentAfterTheLeaseIsRefusedByACheckingEngine() {
+    void anOrderSentAfterTheLeaseEndsIsRejectedByAnEngineThatChecksFencing() {
         prepare(4);
         site.sendsLateOrders = true;
         rollOutAroundPausedHolder();
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void anOrderThatIsSentAfterTheLeaseIsUndoneAtAnEngineThatIgnoresFencing() {
+    void anOrderSentAfterTheLeaseEndsIsRevertedAtAnEngineThatIgnoresFencing() {
         site.fencing = FencingSupport.IGNORED;
         prepare(4);
         site.sendsLateOrders = true;
@@ -164,7 +164,7 @@
     }
 
     @Test
-    void anOldOrderThatAnIgnoringEngineCarriesOutLateIsCorrected() {
+    void anOutdatedOrderExecutedLateByAnEngineThatIgnoresFencingIsCorrected() {
         site.fencing = FencingSupport.IGNORED;
         prepare(2);
         site.publish(site.nodes.get("n1"), "t", 2);
@@ -176,18 +176,18 @@
     }
 
     @Test
-    void aNewHolderWaitsForTheLongestFlightOfAnOrderAtEnginesThatIgnoreFencing() {
+    void aNewHolderWaitsForTheOrderTimeoutAtEnginesThatIgnoreFencing() {
         site.fencing = FencingSupport.IGNORED;
         prepare(2);
         TestNode holder = site.holder().orElseThrow();
         site.kill(holder);
         site.publish(site.nodes.values().iterator().next(), "t", 2);
         List<Duration> waits = new ArrayList<>();
-        site.run(Duration.ofMinutes(1), present -> {
+        site.run(Duration.ofMinutes(1), current -> {
             if (loading() > 0) {
-                present.holder()
-                        .flatMap(node -> node.held(TestSite.POOL, present.now))
-                        .ifPresent(lease -> waits.add(present.now.since(lease.since())));
+                current.holder()
+                        .flatMap(node -> node.held(TestSite.POOL, current.now))
+                        .ifPresent(lease -> waits.add(current.now.since(lease.since())));
             }
         });
         assertThat(waits.get(0)).isGreaterThanOrEqualTo(TestSite.ORDER_TIMEOUT);
@@ -195,15 +195,15 @@
     }
 
     @Test
-    void aPublicationDuringAnHourOfSilenceReachesAllEngines() {
+    void aPublicationDuringAnHourOfPlatformOutageIsRolledOutToAllEngines() {
         prepare(4);
-        site.platform.silent = true;
+        site.platform.unreachable = true;
         site.run(Duration.ofMinutes(30));
         site.publish(site.nodes.get("n3"), "t", 2);
         site.run(Duration.ofSeconds(20));
         assertThat(site.allHold("m", 2)).isTrue();
         site.run(Duration.ofMinutes(30));
-        site.platform.silent = false;
+        site.platform.unreachable = false;
         site.run(Duration.ofMinutes(1));
         assertThat(site.platform
                         .find(VersionStore.KIND, "t")
@@ -217,9 +217,9 @@
     }
 
     @Test
-    void aPublicationIsRolledOutAlthoughTheHolderDiesDuringAnOutage() {
+    void aPublicationIsRolledOutAlthoughTheHolderDiesDuringAPlatformOutage() {
         prepare(4);
-        site.platform.silent = true;
+        site.platform.unreachable = true;
         site.run(Duration.ofMinutes(2));
         site.kill(site.holder().orElseThrow());
         site.publish(site.nodes.values().iterator().next(), "t", 2);
@@ -231,19 +231,19 @@
     void aPublicationIsSafeOnlyOnceAnotherNodeOrThePlatformHasIt() {
         prepare(1);
         TestNode publisher = site.nodes.get("n1");
-        publisher.cutOff = true;
-        publisher.cutFromPlatform = true;
+        publisher.partitioned = true;
+        publisher.partitionedFromPlatform = true;
         site.publish(publisher, "t", 2);
         site.run(Duration.ofSeconds(10));
         WeightEvent.PublicationSafe safe = new WeightEvent.PublicationSafe(new TrainerName("t"), 2);
         assertThat(publisher.raised).doesNotContain(safe);
-        publisher.cutOff = false;
+        publisher.partitioned = false;
         site.run(Duration.ofSeconds(2));
         assertThat(publisher.raised).contains(safe);
     }
 
     @Test
-    void aPublicationThatDoesNotFollowTheNewestVersionIsRefused() {
+    void aPublicationOlderThanTheNewestVersionIsRejected() {
         prepare(1);
         site.publish(site.nodes.get("n1"), "t", 5);
         site.run(Duration.ofSeconds(1));
@@ -254,7 +254,7 @@
     }
 
     @Test
-    void aSiteThatStartsAnewLearnsVersionsFromThePlatform() {
+    void aRestartedSiteRestoresVersionsFromThePlatform() {
         prepare(2);
         site.publish(site.nodes.get("n1"), "t", 2);
         site.run(Duration.ofSeconds(5));
@@ -266,7 +266,9 @@
         assertThat(site.allHold("m", 2)).isTrue();
     }
 
-    /** Pauses the holder right before its first order of version 2 until another node rolled out version 3. */
+    /**
+     * Pauses the holder immediately before its first order of version 2 until another node has rolled out version 3.
+     */
     private TestNode rollOutAroundPausedHolder() {
         site.pauseBeforeOrder = Optional.of(Duration.ofSeconds(60));
         TestNode holder = site.holder().orElseThrow();
