--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/ConfigurationEvent.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/ConfigurationEvent.java
@@ -4,11 +4,11 @@
 import io.yuccaswitch.core.value.Bytes;
 import java.util.OptionalLong;
 
-/** Something that happened to the configuration. */
+/** An event that concerns the configuration. */
 public sealed interface ConfigurationEvent extends Event {
 
     /**
-     * A generation of the configuration came into force on this node. Generations only grow.
+     * A generation of the configuration became active on this node. Generations only increase.
      *
      * @param generation The generation.
      * @param configuration The configuration.
@@ -16,38 +16,38 @@
     record InForce(long generation, FleetConfiguration configuration) implements ConfigurationEvent {}
 
     /**
-     * The shell decoded what {@link ConfigurationEffect.Decode} asked for. This is not yet in force: the distribution
-     * raises {@link InForce} if the generation is higher than the one before.
+     * The shell decoded the envelope of a {@link ConfigurationEffect.Decode}. The configuration is not active yet: the
+     * distribution raises {@link InForce} if the generation is higher than the previous one.
      *
      * @param generation The generation.
-     * @param envelope The envelope that was decoded.
+     * @param envelope The decoded envelope.
      * @param configuration The configuration.
      */
     record Decoded(long generation, Bytes envelope, FleetConfiguration configuration) implements ConfigurationEvent {}
 
     /**
-     * The shell could not decode what {@link ConfigurationEffect.Decode} asked for. The generation before stays in
-     * force.
+     * The shell could not decode the envelope of a {@link ConfigurationEffect.Decode}. The previous generation remains
+     * active.
      *
-     * @param generation The generation if the envelope could be read and only its content was not understood, such as
-     *     when it was written for a newer release, or empty if the envelope is malformed.
+     * @param generation The generation if the envelope could be read but its content is not supported, for example
+     *     because it was written for a newer release, or empty if the envelope is malformed.
      * @param envelope The envelope.
      * @param reason The reason, for logs.
      */
     record Rejected(OptionalLong generation, Bytes envelope, String reason) implements ConfigurationEvent {}
 
     /**
-     * A snapshot of an envelope was found on this VM's disk when the node started. It may be old.
+     * A snapshot of an envelope was found on this VM's disk when the node started. It may be stale.
      *
      * @param envelope The envelope.
      */
     record SnapshotFound(Bytes envelope) implements ConfigurationEvent {}
 
     /**
-     * This node has a configuration in force and made sure that it is the newest one that it can learn of, such that it
-     * may serve from now on. This is raised once.
+     * This node has an active configuration and has confirmed that it is the newest one that it can obtain, so that it
+     * may serve from now on. This event is raised once.
      *
-     * @param generation The generation in force.
+     * @param generation The active generation.
      */
     record ReadyToServe(long generation) implements ConfigurationEvent {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/ConfigurationMessage.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/ConfigurationMessage.java
@@ -3,28 +3,28 @@
 import io.yuccaswitch.core.peer.PeerMessage;
 import io.yuccaswitch.core.value.Bytes;
 
-/** A message by which nodes hand the configuration on to each other. */
+/** A message by which nodes distribute the configuration among each other. */
 public sealed interface ConfigurationMessage extends PeerMessage {
 
     /**
-     * Says that the sender holds a generation, when it has just learned of it.
+     * Announces a generation that the sender has just obtained.
      *
      * @param generation The generation.
      */
     record Announcement(long generation) implements ConfigurationMessage {}
 
     /**
-     * Asks for the configuration if the receiver holds a higher generation than the sender.
+     * Requests the configuration if the receiver holds a higher generation than the sender.
      *
      * @param generation The generation that the sender holds, or zero if it holds none.
      */
     record Pull(long generation) implements ConfigurationMessage {}
 
     /**
-     * Hands a generation on.
+     * Transfers a generation.
      *
      * @param generation The generation.
-     * @param compressedEnvelope The envelope as the platform holds it, compressed.
+     * @param compressedEnvelope The compressed envelope, as stored on the platform.
      */
     record Content(long generation, Bytes compressedEnvelope) implements ConfigurationMessage {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/ConfigurationView.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/ConfigurationView.java
@@ -3,39 +3,39 @@
 import io.yuccaswitch.core.time.MonotonicTime;
 import java.util.Optional;
 
-/** What other systems may ask of the configuration. */
+/** A read-only view of the configuration for other systems. */
 public interface ConfigurationView {
 
     /**
-     * Returns the highest generation that this node holds, whether or not it could bring it into force.
+     * Returns the highest generation that this node holds, whether or not it could be activated.
      *
      * @return The generation, or zero if there is none.
      */
     long heldGeneration();
 
     /**
-     * Returns the generation in force on this node.
+     * Returns the active generation on this node.
      *
      * @return The generation, or zero if there is none.
      */
     long generation();
 
     /**
-     * Returns the configuration in force on this node.
+     * Returns the active configuration on this node.
      *
      * @return The configuration, or empty if there is none.
      */
     Optional<FleetConfiguration> inForce();
 
     /**
-     * Returns since when the generation has been in force on this node.
+     * Returns the time since which the generation has been active on this node.
      *
-     * @return The time, or empty if there is none in force.
+     * @return The time, or empty if no generation is active.
      */
     Optional<MonotonicTime> inForceSince();
 
     /**
-     * Returns whether this node has made sure that its generation is the newest one it can learn of.
+     * Returns whether this node has confirmed that its generation is the newest one that it can obtain.
      *
      * @return {@code true} if this node may serve.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/EndpointSettings.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/EndpointSettings.java
@@ -6,12 +6,12 @@
  * An endpoint of a pool.
  *
  * @param address The address of the endpoint as host:port.
- * @param availabilityZone The availability zone that the endpoint lies in.
+ * @param availabilityZone The availability zone of the endpoint.
  * @param accelerators The number of accelerators that the endpoint uses.
  */
 public record EndpointSettings(
         @Setting(description = "The address of the endpoint as host:port.") String address,
-        @Setting(description = "The availability zone that the endpoint lies in.", references = "availabilityZones")
+        @Setting(description = "The availability zone of the endpoint.", references = "availabilityZones")
                 AvailabilityZone availabilityZone,
         @Setting(
                         description = "The number of accelerators that the endpoint uses.",
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/FencingSupport.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/FencingSupport.java
@@ -1,9 +1,9 @@
 package io.yuccaswitch.core.configuration;
 
-/** Whether endpoints refuse orders that bear an old fencing number. */
+/** Whether endpoints reject orders with an old fencing number. */
 public enum FencingSupport {
-    /** Endpoints refuse such orders. */
+    /** Endpoints reject such orders. */
     CHECKED,
-    /** Endpoints take any order. */
+    /** Endpoints accept any order. */
     IGNORED
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/FleetConfiguration.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/FleetConfiguration.java
@@ -8,17 +8,17 @@
 import java.util.Optional;
 
 /**
- * The whole configuration of a site, as operators write it and as it is in force on every node.
+ * The complete configuration of a site, as written by operators and as active on every node.
  *
  * @param site The name of the site.
  * @param availabilityZones The availability zones of the site by their names.
  * @param pools The pools of endpoints by their names.
  * @param callers The callers by their names.
  * @param trainers The trainers by their names.
- * @param weightStore The store that engines load weights from.
- * @param entry How entry addresses are given to callers.
- * @param membership How nodes keep track of each other.
- * @param lease How leases are held.
+ * @param weightStore The store from which engines load weights.
+ * @param entry The settings of entry addresses and requests at the entry.
+ * @param membership The settings of membership and failure detection.
+ * @param lease The settings of leases.
  */
 public record FleetConfiguration(
         @Setting(description = "The name of the site.") String site,
@@ -27,10 +27,10 @@
         @Setting(description = "The pools of endpoints by their names.") Map<PoolName, PoolSettings> pools,
         @Setting(description = "The callers by their names.") Map<CallerName, CallerSettings> callers,
         @Setting(description = "The trainers by their names.") Map<TrainerName, TrainerSettings> trainers,
-        @Setting(description = "The store that engines load weights from.") Optional<WeightStoreSettings> weightStore,
-        @Setting(description = "How entry addresses are given to callers.") EntrySettings entry,
-        @Setting(description = "How nodes keep track of each other.") MembershipSettings membership,
-        @Setting(description = "How leases are held.") LeaseSettings lease) {
+        @Setting(description = "The store from which engines load weights.") Optional<WeightStoreSettings> weightStore,
+        @Setting(description = "The settings of entry addresses and requests at the entry.") EntrySettings entry,
+        @Setting(description = "The settings of membership and failure detection.") MembershipSettings membership,
+        @Setting(description = "The settings of leases.") LeaseSettings lease) {
 
     /** Copies the collections. */
     public FleetConfiguration {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/MembershipSettings.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/MembershipSettings.java
@@ -3,21 +3,22 @@
 import java.time.Duration;
 
 /**
- * How nodes keep track of each other.
+ * The settings of membership and failure detection.
  *
- * @param exchangeInterval The interval at which a node exchanges news with another one.
- * @param suspicionTime The time after which a suspected node that does not object counts as dead.
+ * @param exchangeInterval The interval at which a node exchanges membership updates with another one.
+ * @param suspicionTime The time after which a suspected node that does not refute the suspicion is considered dead.
  * @param platformListInterval The interval at which the list of VMs is read from the platform.
  */
 public record MembershipSettings(
         @Setting(
-                        description = "The interval at which a node exchanges news with another one.",
+                        description = "The interval at which a node exchanges membership updates with another one.",
                         defaultValue = "250ms",
                         minimum = "20ms",
                         maximum = "1m")
                 Duration exchangeInterval,
         @Setting(
-                        description = "The time after which a suspected node that does not object counts as dead.",
+                        description =
+                                "The time after which a suspected node that does not refute the suspicion is considered dead.",
                         defaultValue = "3s",
                         minimum = "100ms",
                         maximum = "5m")
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/PoolKind.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/PoolKind.java
@@ -1,6 +1,6 @@
 package io.yuccaswitch.core.configuration;
 
-/** What the endpoints of a pool are. */
+/** The kind of a pool's endpoints. */
 public enum PoolKind {
     /** Model engines. */
     ENGINE,
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/RoutingPolicyKind.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/RoutingPolicyKind.java
@@ -1,15 +1,15 @@
 package io.yuccaswitch.core.configuration;
 
-/** A policy that picks an endpoint among candidates. */
+/** A policy that selects an endpoint among candidates. */
 public enum RoutingPolicyKind {
-    /** Picks at random. */
+    /** Selects a random endpoint. */
     RANDOM,
-    /** Picks one after the other. */
+    /** Selects the endpoints in turn. */
     ROUND_ROBIN,
-    /** Picks the endpoint with the least requests of this node in progress. */
+    /** Selects the endpoint with the fewest requests of this node in progress. */
     LEAST_IN_FLIGHT,
-    /** Picks the less loaded of two random candidates. */
+    /** Selects the less loaded of two random candidates. */
     POWER_OF_TWO_CHOICES,
-    /** Picks by an estimate in which the time of an iteration grows linearly with the active requests. */
+    /** Selects by an estimate in which the duration of an iteration grows linearly with the active requests. */
     ITERATION_TIME_ESTIMATE
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/Setting.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/Setting.java
@@ -18,7 +18,7 @@
 public @interface Setting {
 
     /**
-     * Returns what the setting does, in a full sentence.
+     * Returns the description of the setting as a full sentence.
      *
      * @return The description.
      */
@@ -26,22 +26,22 @@
 
     /**
      * Returns the default as it would be written in a file without its quotes. An empty default means that the key is
-     * required, but for optional values, lists, maps and records of settings: these default to being empty, and to a
-     * record of defaults.
+     * required, except for optional values, lists and maps, which default to empty, and records of settings, which
+     * default to a record of defaults.
      *
      * @return The default.
      */
     String defaultValue() default "";
 
     /**
-     * Returns the smallest value that is allowed, in the type's own unit; for durations as {@code "10ms"}.
+     * Returns the minimum value in the type's own unit; for durations as {@code "10ms"}.
      *
      * @return The lower bound, or an empty text for none.
      */
     String minimum() default "";
 
     /**
-     * Returns the largest value that is allowed, in the type's own unit; for durations as {@code "1h"}.
+     * Returns the maximum value in the type's own unit; for durations as {@code "1h"}.
      *
      * @return The upper bound, or an empty text for none.
      */
@@ -55,7 +55,8 @@
     String unit() default "";
 
     /**
-     * Returns the top-level map of the configuration, such as {@code pools}, that the value must be a key of.
+     * Returns the name of the top-level map of the configuration, such as {@code pools}, in which the value must be a
+     * key.
      *
      * @return The name of the map, or an empty text if the value refers to nothing.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/TrainerSettings.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/TrainerSettings.java
@@ -7,27 +7,27 @@
  * A trainer.
  *
  * @param pool The pool whose engines generate the samples of the trainer.
- * @param model The model or adapter that the trainer trains, as the engines name it.
- * @param token The bearer token that tells the trainer from others.
- * @param stalenessBound The largest number of versions that a sample may be behind.
- * @param weight The share of the engines that the trainer gets against others.
+ * @param model The name at the engines of the model or adapter that the trainer trains.
+ * @param token The bearer token that identifies the trainer.
+ * @param stalenessBound The maximum number of versions by which a sample may lag.
+ * @param weight The weight by which the trainer's share of the engines is computed.
  * @param scorer The pool of services that score the samples.
  * @param scorerRepeatable Whether a call of the scorer may be repeated.
- * @param groupsInProgress The largest number of groups of the trainer that are accepted and not yet handed over.
+ * @param groupsInProgress The maximum number of groups of the trainer that are accepted and not yet delivered.
  */
 public record TrainerSettings(
         @Setting(description = "The pool whose engines generate the samples of the trainer.", references = "pools")
                 PoolName pool,
-        @Setting(description = "The model or adapter that the trainer trains, as the engines name it.") String model,
-        @Setting(description = "The bearer token that tells the trainer from others.") Optional<String> token,
+        @Setting(description = "The name at the engines of the model or adapter that the trainer trains.") String model,
+        @Setting(description = "The bearer token that identifies the trainer.") Optional<String> token,
         @Setting(
-                        description = "The largest number of versions that a sample may be behind.",
+                        description = "The maximum number of versions by which a sample may lag.",
                         defaultValue = "1",
                         minimum = "0",
                         maximum = "1000")
                 int stalenessBound,
         @Setting(
-                        description = "The share of the engines that the trainer gets against others.",
+                        description = "The weight by which the trainer's share of the engines is computed.",
                         defaultValue = "1",
                         minimum = "1",
                         maximum = "1000")
@@ -38,7 +38,7 @@
                 boolean scorerRepeatable,
         @Setting(
                         description =
-                                "The largest number of groups of the trainer that are accepted and not yet handed over.",
+                                "The maximum number of groups of the trainer that are accepted and not yet delivered.",
                         defaultValue = "4096",
                         minimum = "1",
                         maximum = "65536")
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/WeightStoreSettings.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/WeightStoreSettings.java
@@ -1,15 +1,15 @@
 package io.yuccaswitch.core.configuration;
 
 /**
- * The store that engines load weights from.
+ * The store from which engines load weights.
  *
  * @param address The address of the store as host:port.
- * @param concurrentLoads The largest number of engines that load from the store at the same time.
+ * @param concurrentLoads The maximum number of engines that load from the store concurrently.
  */
 public record WeightStoreSettings(
         @Setting(description = "The address of the store as host:port.") String address,
         @Setting(
-                        description = "The largest number of engines that load from the store at the same time.",
+                        description = "The maximum number of engines that load from the store concurrently.",
                         defaultValue = "4",
                         minimum = "1",
                         maximum = "4096")
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/ZoneSettings.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/ZoneSettings.java
@@ -3,8 +3,7 @@
 /**
  * An availability zone.
  *
- * @param region The region that the availability zone lies in.
+ * @param region The region of the availability zone.
  */
 public record ZoneSettings(
-        @Setting(description = "The region that the availability zone lies in.", defaultValue = "local")
-                String region) {}
+        @Setting(description = "The region of the availability zone.", defaultValue = "local") String region) {}
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/distribution/Announcer.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/distribution/Announcer.java
@@ -9,16 +9,16 @@
 import java.util.List;
 
 /**
- * Tells a few random nodes at once when this node learns of a generation: most of them in its availability zone, where
- * messages are quick. Whoever is missed learns of the generation by the next exchanges.
+ * Announces a generation that this node obtained to a few random nodes, most of them in its availability zone, where
+ * latency is low. The other nodes are notified of the generation by the next membership exchanges.
  */
 final class Announcer {
 
-    /** The number of nodes to tell in the same availability zone. */
-    private static final int IN_ZONE = 3;
+    /** The number of announcements in the node's own availability zone. */
+    private static final int ANNOUNCEMENTS_IN_ZONE = 3;
 
-    /** The number of nodes to tell elsewhere. */
-    private static final int ELSEWHERE = 1;
+    /** The number of announcements in other availability zones. */
+    private static final int ANNOUNCEMENTS_IN_OTHER_ZONES = 1;
 
     /** The members. */
     private final MembershipView members;
@@ -33,33 +33,33 @@
     }
 
     /**
-     * Tells others of a generation.
+     * Announces a generation to other nodes.
      *
      * @param tick The tick.
      * @param generation The generation.
      */
     void announce(Tick tick, long generation) {
         Member self = members.self();
-        List<Member> near = new ArrayList<>();
-        List<Member> far = new ArrayList<>();
+        List<Member> sameZone = new ArrayList<>();
+        List<Member> otherZones = new ArrayList<>();
         for (Member member : members.working()) {
             if (!member.identity().equals(self.identity())) {
-                (member.availabilityZone().equals(self.availabilityZone()) ? near : far).add(member);
+                (member.availabilityZone().equals(self.availabilityZone()) ? sameZone : otherZones).add(member);
             }
         }
-        tell(tick, near, IN_ZONE, generation);
-        tell(tick, far, ELSEWHERE, generation);
+        announce(tick, sameZone, ANNOUNCEMENTS_IN_ZONE, generation);
+        announce(tick, otherZones, ANNOUNCEMENTS_IN_OTHER_ZONES, generation);
     }
 
     /**
-     * Tells some random nodes.
+     * Announces a generation to random nodes.
      *
      * @param tick The tick.
-     * @param candidates The nodes to choose from, which are used up.
-     * @param count The largest number of nodes to tell.
+     * @param candidates The candidate nodes, from which the chosen ones are removed.
+     * @param count The maximum number of announcements.
      * @param generation The generation.
      */
-    private static void tell(Tick tick, List<Member> candidates, int count, long generation) {
+    private static void announce(Tick tick, List<Member> candidates, int count, long generation) {
         for (int i = 0; i < count && !candidates.isEmpty(); i++) {
             Member chosen = candidates.remove(tick.random().nextInt(candidates.size()));
             tick.emit(new PeerEffect.Send(chosen.identity().name(), new ConfigurationMessage.Announcement(generation)));
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/distribution/Compression.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/distribution/Compression.java
@@ -7,14 +7,14 @@
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
 
-/** Compresses envelopes, which are texts with many repetitions, for their way from node to node. */
+/** Compresses envelopes for transfers between nodes. Envelopes are texts with many repetitions. */
 final class Compression {
 
-    /** The largest size of an envelope, well above the largest value of the platform. */
-    static final int MAXIMUM_SIZE = 4 * 1024 * 1024;
+    /** The maximum size of an expanded envelope, well above the platform's maximum size of a value. */
+    static final int MAXIMUM_EXPANDED_BYTES = 4 * 1024 * 1024;
 
     /** The size of the buffer. */
-    private static final int BUFFER_SIZE = 16 * 1024;
+    private static final int BUFFER_BYTES = 16 * 1024;
 
     /** This class has no instances. */
     private Compression() {}
@@ -30,7 +30,7 @@
         deflater.setInput(plain.unsafeArray());
         deflater.finish();
         ByteArrayOutputStream output = new ByteArrayOutputStream();
-        byte[] buffer = new byte[BUFFER_SIZE];
+        byte[] buffer = new byte[BUFFER_BYTES];
         while (!deflater.finished()) {
             output.write(buffer, 0, deflater.deflate(buffer));
         }
@@ -42,18 +42,18 @@
      * Expands bytes that need not be well-formed.
      *
      * @param compressed The compressed bytes.
-     * @return The bytes, or empty if they are malformed or too many.
+     * @return The bytes, or empty if the input is malformed or expands beyond the maximum size.
      */
     static Optional<Bytes> expand(Bytes compressed) {
         Inflater inflater = new Inflater();
         inflater.setInput(compressed.unsafeArray());
         ByteArrayOutputStream output = new ByteArrayOutputStream();
-        byte[] buffer = new byte[BUFFER_SIZE];
+        byte[] buffer = new byte[BUFFER_BYTES];
         try {
             while (!inflater.finished()) {
                 int count = inflater.inflate(buffer);
                 output.write(buffer, 0, count);
-                if ((count == 0 && !inflater.finished()) || output.size() > MAXIMUM_SIZE) {
+                if ((count == 0 && !inflater.finished()) || output.size() > MAXIMUM_EXPANDED_BYTES) {
                     return Optional.empty();
                 }
             }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/distribution/ConfigurationState.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/distribution/ConfigurationState.java
@@ -8,7 +8,7 @@
 import io.yuccaswitch.core.value.Bytes;
 import java.util.Optional;
 
-/** The generations that this node holds and has in force. Both only grow. */
+/** The held generation and the active generation of this node. Both only increase. */
 public final class ConfigurationState implements ConfigurationView {
 
     /** The highest generation that this node holds, or zero. */
@@ -17,19 +17,19 @@
     /** The envelope of the highest generation that this node holds. */
     private Bytes heldEnvelope = Bytes.EMPTY;
 
-    /** The generation in force, or zero. */
+    /** The active generation, or zero. */
     private long generation;
 
-    /** The configuration in force. */
+    /** The active configuration. */
     private Optional<FleetConfiguration> inForce = Optional.empty();
 
-    /** The time since which the generation has been in force. */
+    /** The time since which the generation has been active. */
     private Optional<MonotonicTime> inForceSince = Optional.empty();
 
     /** The number of envelopes that are being decoded. */
     private int decoding;
 
-    /** Whether this node has made sure that its generation is the newest one it can learn of. */
+    /** Whether this node has confirmed that its generation is the newest one that it can obtain. */
     private boolean ready;
 
     /** {@inheritDoc} */
@@ -72,7 +72,7 @@
     }
 
     /**
-     * Has an envelope decoded.
+     * Requests the decoding of an envelope.
      *
      * @param tick The tick.
      * @param envelope The envelope.
@@ -82,7 +82,7 @@
         tick.emit(new ConfigurationEffect.Decode(envelope));
     }
 
-    /** Takes note that an envelope was decoded or rejected. */
+    /** Records that an envelope was decoded or rejected. */
     void decoded() {
         decoding--;
     }
@@ -90,18 +90,18 @@
     /**
      * Returns whether envelopes are being decoded.
      *
-     * @return {@code true} if a higher generation may be about to come into force.
+     * @return {@code true} if a higher generation may become active.
      */
     boolean isDecoding() {
         return decoding > 0;
     }
 
     /**
-     * Holds an envelope if its generation is higher than the one before.
+     * Stores an envelope if its generation is higher than the held one.
      *
      * @param candidate The generation.
      * @param envelope The envelope.
-     * @return {@code true} if the envelope is held now and was not before.
+     * @return {@code true} if the envelope was stored.
      */
     boolean hold(long candidate, Bytes envelope) {
         if (candidate <= heldGeneration) {
@@ -113,14 +113,14 @@
     }
 
     /**
-     * Brings a configuration into force if its generation is higher than the one before.
+     * Activates a configuration if its generation is higher than the active one.
      *
      * @param now The current time.
      * @param candidate The generation.
      * @param configuration The configuration.
-     * @return {@code true} if the configuration is in force now and was not before.
+     * @return {@code true} if the configuration was activated.
      */
-    boolean enforce(MonotonicTime now, long candidate, FleetConfiguration configuration) {
+    boolean activate(MonotonicTime now, long candidate, FleetConfiguration configuration) {
         if (candidate <= generation) {
             return false;
         }
@@ -130,7 +130,7 @@
         return true;
     }
 
-    /** Takes note that this node may serve. */
+    /** Records that this node may serve. */
     void becomeReady() {
         ready = true;
     }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/distribution/ConfigurationSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/distribution/ConfigurationSystem.java
@@ -19,45 +19,45 @@
 import java.util.Optional;
 
 /**
- * Brings generations of the configuration into force on this node, and hands them on to others. A generation is only
- * taken if it is higher than the one before, whether it comes from the platform, another node or a disk. This system
- * runs after the membership and before all systems that look at {@link ConfigurationEvent.InForce}.
+ * Activates generations of the configuration on this node, and forwards them to others. A generation is activated only
+ * if it is higher than the active one, whether it comes from the platform, another node or the disk. This system runs
+ * after the membership and before all systems that handle {@link ConfigurationEvent.InForce}.
  */
 public final class ConfigurationSystem implements DecisionSystem {
 
-    /** The kind of the decisions that are explained here. */
+    /** The kind of the decisions that this system makes. */
     private static final String DECISION_KIND = "configuration";
 
-    /** The time after which a pull that was not answered may be repeated elsewhere. */
+    /** The time after which an unanswered pull may be repeated at another node. */
     private static final Duration PULL_TIMEOUT = Duration.ofSeconds(1);
 
     /** The state of the configuration. */
     private final ConfigurationState state;
 
-    /** Brings envelopes from the platform. */
+    /** Supplies envelopes from the platform. */
     private final ConfigurationWatchSystem watch;
 
-    /** Finds out whether this node may serve. */
+    /** Determines whether this node may serve. */
     private final ReadinessSystem readiness;
 
-    /** Tells others of a new generation. */
+    /** Announces a new generation to other nodes. */
     private final Announcer announcer;
 
-    /** The generation that is being pulled, or zero. */
-    private long pulling;
+    /** The highest generation that was pulled, or zero. */
+    private long pulledGeneration;
 
     /** The time of the latest pull. */
     private MonotonicTime pulledAt = MonotonicTime.ZERO;
 
-    /** The envelope that was compressed last, and its compressed form, or empty if there is none. */
+    /** The message with the last compressed envelope, or empty if there is none. */
     private Optional<ConfigurationMessage.Content> content = Optional.empty();
 
     /**
      * Creates a new system.
      *
-     * @param state The state of the configuration, which other systems look at.
+     * @param state The state of the configuration, which other systems read.
      * @param members The members.
-     * @param tokens Hands out the tokens of calls to the platform.
+     * @param tokens Allocates the tokens of calls to the platform.
      */
     public ConfigurationSystem(ConfigurationState state, MembershipView members, PlatformTokens tokens) {
         this.state = state;
@@ -82,7 +82,7 @@
             pullIfHigher(tick, event.sender().name(), event.generation());
         }
         for (ConfigurationEvent.Decoded event : tick.events(ConfigurationEvent.Decoded.class)) {
-            take(tick, event);
+            applyDecoded(tick, event);
         }
         for (ConfigurationEvent.Rejected event : tick.events(ConfigurationEvent.Rejected.class)) {
             reject(tick, event);
@@ -91,7 +91,7 @@
     }
 
     /**
-     * Handles a message of another node.
+     * Handles a message from another node.
      *
      * @param tick The tick.
      * @param sender The sender.
@@ -112,45 +112,46 @@
     }
 
     /**
-     * Pulls a generation from a node if it is higher than the one that this node holds or is pulling already.
+     * Pulls a generation from a node if it is higher than the held one and the one for which a pull is pending.
      *
      * @param tick The tick.
      * @param holder The node that holds the generation.
      * @param generation The generation.
      */
     private void pullIfHigher(Tick tick, NodeName holder, long generation) {
-        boolean waiting = generation <= pulling && tick.now().since(pulledAt).compareTo(PULL_TIMEOUT) < 0;
-        if (generation <= state.heldGeneration() || waiting) {
+        boolean pullPending =
+                generation <= pulledGeneration && tick.now().since(pulledAt).compareTo(PULL_TIMEOUT) < 0;
+        if (generation <= state.heldGeneration() || pullPending) {
             return;
         }
-        pulling = generation;
+        pulledGeneration = generation;
         pulledAt = tick.now();
         tick.emit(new PeerEffect.Send(holder, new ConfigurationMessage.Pull(state.heldGeneration())));
     }
 
     /**
-     * Takes a decoded generation if it is higher than the one in force.
+     * Applies a decoded generation if it is higher than the held or the active one.
      *
      * @param tick The tick.
      * @param event The decoded generation.
      */
-    private void take(Tick tick, ConfigurationEvent.Decoded event) {
+    private void applyDecoded(Tick tick, ConfigurationEvent.Decoded event) {
         state.decoded();
         if (state.hold(event.generation(), event.envelope())) {
             announcer.announce(tick, event.generation());
         }
-        if (!state.enforce(tick.now(), event.generation(), event.configuration())) {
+        if (!state.activate(tick.now(), event.generation(), event.configuration())) {
             return;
         }
         tick.raise(new ConfigurationEvent.InForce(event.generation(), event.configuration()));
         tick.emit(new ConfigurationEffect.Keep(event.generation(), event.envelope()));
         tick.decide(Decision.of(
-                DECISION_KIND, Long.toString(event.generation()), "in-force", "higher than the generation before"));
+                DECISION_KIND, Long.toString(event.generation()), "in-force", "higher than the previous generation"));
     }
 
     /**
-     * Takes note of a generation that this node does not understand. It is handed on all the same, since other nodes
-     * may be of a newer release.
+     * Handles a generation that this node cannot decode. If the envelope is well-formed, it is forwarded nevertheless,
+     * since other nodes may run a newer release.
      *
      * @param tick The tick.
      * @param event The rejection.
@@ -164,7 +165,7 @@
     }
 
     /**
-     * Returns the message that hands the held generation on.
+     * Returns the message that transfers the held generation.
      *
      * @return The message.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/distribution/ConfigurationWatchSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/distribution/ConfigurationWatchSystem.java
@@ -18,26 +18,29 @@
 import java.util.OptionalLong;
 
 /**
- * Brings envelopes from the platform. Every node reads once when it starts; after that, only the two nodes of each
- * availability zone that rank highest among its working ones watch for changes, so that the platform's calls grow with
- * the zones and not with the nodes.
+ * Supplies envelopes from the platform. Every node reads the configuration once when it starts. After that, only the
+ * two highest-ranked working nodes of each availability zone watch for changes, so that the number of platform calls
+ * grows with the availability zones and not with the nodes.
  */
 final class ConfigurationWatchSystem implements DecisionSystem {
 
     /** The key of the object that holds the newest accepted generation. */
-    static final ObjectKey KEY = new ObjectKey("configuration", "fleet");
+    static final ObjectKey CONFIGURATION_KEY = new ObjectKey("configuration", "fleet");
 
-    /** The number of watching nodes of an availability zone. */
+    /** The number of watchers of an availability zone. */
     private static final int WATCHERS_PER_ZONE = 2;
 
-    /** The interval at which a node looks into whether it should watch. */
-    private static final Duration ROLE_INTERVAL = Duration.ofMillis(500);
+    /** The interval at which a node checks whether it is a watcher. */
+    private static final Duration ROLE_CHECK_INTERVAL = Duration.ofMillis(500);
 
-    /** The first bound of the delay after a failed call. */
-    private static final Duration FIRST_DELAY = Duration.ofMillis(500);
+    /** The upper bound of the delay after the first failed call. */
+    private static final Duration INITIAL_BACKOFF = Duration.ofMillis(500);
 
-    /** The largest bound of the delay after a failed call, which bounds how late a change is seen after an outage. */
-    private static final Duration LONGEST_DELAY = Duration.ofSeconds(4);
+    /**
+     * The maximum upper bound of the delay after a failed call, which limits how late a change is observed after an
+     * outage.
+     */
+    private static final Duration MAXIMUM_BACKOFF = Duration.ofSeconds(4);
 
     /** The state of the configuration. */
     private final ConfigurationState state;
@@ -45,33 +48,33 @@
     /** The members. */
     private final MembershipView members;
 
-    /** Hands out the tokens of calls. */
+    /** Allocates the tokens of calls. */
     private final PlatformTokens tokens;
 
-    /** When to call again. */
-    private final CallBackOff backOff = new CallBackOff(FIRST_DELAY, LONGEST_DELAY);
+    /** The backoff of calls to the platform. */
+    private final CallBackOff backoff = new CallBackOff(INITIAL_BACKOFF, MAXIMUM_BACKOFF);
 
-    /** The token of the call under way, or empty if there is none. */
+    /** The token of the call in flight, or empty if there is none. */
     private OptionalLong call = OptionalLong.empty();
 
-    /** The version from which a watch goes on, or empty if the kind must be listed first. */
+    /** The version after which a watch resumes, or empty if the kind must be listed first. */
     private OptionalLong watchedVersion = OptionalLong.empty();
 
-    /** Whether this node was among the watching ones when it was last looked into. */
+    /** Whether this node was a watcher at the last check. */
     private boolean watcher;
 
-    /** The time at which that is looked into next. */
+    /** The time of the next check whether this node is a watcher. */
     private MonotonicTime nextRoleCheck = new MonotonicTime(Long.MIN_VALUE);
 
     /** Whether the platform has answered since the start. */
-    private boolean heard;
+    private boolean platformAnswered;
 
     /**
      * Creates a new system.
      *
      * @param state The state of the configuration.
      * @param members The members.
-     * @param tokens Hands out the tokens of calls.
+     * @param tokens Allocates the tokens of calls.
      */
     ConfigurationWatchSystem(ConfigurationState state, MembershipView members, PlatformTokens tokens) {
         this.state = state;
@@ -88,39 +91,40 @@
                 receive(tick, event);
             }
         }
-        if (call.isEmpty() && backOff.allows(tick.now()) && (!heard || hasWatcherRole(tick.now()))) {
+        if (call.isEmpty() && backoff.allows(tick.now()) && (!platformAnswered || hasWatcherRole(tick.now()))) {
             call = OptionalLong.of(tokens.next());
             tick.emit(nextCall(call.getAsLong()));
         }
     }
 
     /**
-     * Returns whether the platform has answered since the start, such that what it held then is known.
+     * Returns whether the platform has answered since the start of this node, so that this node has received the
+     * generation stored at that time.
      *
      * @return {@code true} if the platform has answered.
      */
-    boolean hasHeard() {
-        return heard;
+    boolean hasPlatformAnswered() {
+        return platformAnswered;
     }
 
     /**
-     * Returns whether this node watches, and looks into it now and then only.
+     * Returns whether this node is a watcher, which is checked at an interval.
      *
      * @param now The current time.
-     * @return {@code true} if this node is one of the watching nodes of its availability zone.
+     * @return {@code true} if this node is a watcher of its availability zone.
      */
     private boolean hasWatcherRole(MonotonicTime now) {
         if (!now.isBefore(nextRoleCheck)) {
-            nextRoleCheck = now.plus(ROLE_INTERVAL);
+            nextRoleCheck = now.plus(ROLE_CHECK_INTERVAL);
             watcher = isWatcher();
         }
         return watcher;
     }
 
     /**
-     * Computes whether this node watches.
+     * Computes whether this node is a watcher.
      *
-     * @return {@code true} if this node is one of the watching nodes of its availability zone.
+     * @return {@code true} if this node is a watcher of its availability zone.
      */
     private boolean isWatcher() {
         Member self = members.self();
@@ -130,50 +134,51 @@
         if (zone.size() <= WATCHERS_PER_ZONE) {
             return true;
         }
-        return RendezvousRanking.rank(KEY.toString(), zone).stream()
+        return RendezvousRanking.rank(CONFIGURATION_KEY.toString(), zone).stream()
                 .limit(WATCHERS_PER_ZONE)
                 .anyMatch(member -> member.identity().equals(self.identity()));
     }
 
     /**
-     * Returns the next call: a list, and then watches that go on from there.
+     * Returns the next call: a list, and then watches that resume after its version.
      *
      * @param token The call's token.
      * @return The call.
      */
     private PlatformEffect nextCall(long token) {
         return watchedVersion.isPresent()
-                ? new PlatformEffect.Watch(token, PlatformPurpose.CONFIGURATION, KEY.kind(), watchedVersion.getAsLong())
-                : new PlatformEffect.ListKind(token, PlatformPurpose.CONFIGURATION, KEY.kind());
+                ? new PlatformEffect.Watch(
+                        token, PlatformPurpose.CONFIGURATION, CONFIGURATION_KEY.kind(), watchedVersion.getAsLong())
+                : new PlatformEffect.ListKind(token, PlatformPurpose.CONFIGURATION, CONFIGURATION_KEY.kind());
     }
 
     /**
-     * Handles the answer to the call under way.
+     * Handles the answer to the call in flight.
      *
      * @param tick The tick.
      * @param event The answer.
      */
     private void receive(Tick tick, PlatformEvent event) {
         if (event instanceof PlatformEvent.ObjectsListed listed) {
-            take(tick, listed);
+            applyListing(tick, listed);
         } else {
-            backOff.failed(tick);
+            backoff.failed(tick);
         }
     }
 
     /**
-     * Takes the objects that the platform listed.
+     * Applies the objects that the platform listed.
      *
      * @param tick The tick.
      * @param listed The objects.
      */
-    private void take(Tick tick, PlatformEvent.ObjectsListed listed) {
-        heard = true;
-        backOff.succeeded(tick.now(), Duration.ZERO);
+    private void applyListing(Tick tick, PlatformEvent.ObjectsListed listed) {
+        platformAnswered = true;
+        backoff.succeeded(tick.now(), Duration.ZERO);
         watchedVersion = listed.reset() ? OptionalLong.empty() : OptionalLong.of(listed.version());
         for (StoredObject object : listed.objects()) {
-            boolean known = object.value().equals(state.heldEnvelope());
-            if (object.key().equals(KEY) && !object.deleted() && !known) {
+            boolean alreadyHeld = object.value().equals(state.heldEnvelope());
+            if (object.key().equals(CONFIGURATION_KEY) && !object.deleted() && !alreadyHeld) {
                 state.decode(tick, object.value());
             }
         }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/distribution/ReadinessSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/distribution/ReadinessSystem.java
@@ -11,15 +11,15 @@
 import java.util.Optional;
 
 /**
- * Finds out when a fresh node may serve. It needs a configuration in force that is not lower than any it heard of, and
- * somebody to vouch for it: a node that is ready itself, or the platform. Both are asked. A node that has heard one of
- * them waits for the other one for a while, since either may be behind, and goes on without it if it does not answer. A
- * snapshot on disk never vouches for itself: nobody could tell that it is not older than what this node served before.
+ * Determines when a newly started node may serve. The node needs an active configuration whose generation is not lower
+ * than any reported to it, and a confirmation by a node that is itself ready or by the platform. Both sources are
+ * queried. After one of them has answered, the node waits for the other one until a timeout, since either may lag. A
+ * snapshot on disk is not a confirmation, since it may be older than the generation that this node served before.
  */
 final class ReadinessSystem implements DecisionSystem {
 
     /** The time for which a node that could be ready waits for the other source. */
-    private static final Duration PATIENCE = Duration.ofSeconds(2);
+    private static final Duration OTHER_SOURCE_TIMEOUT = Duration.ofSeconds(2);
 
     /** The state of the configuration. */
     private final ConfigurationState state;
@@ -27,27 +27,27 @@
     /** The members. */
     private final MembershipView members;
 
-    /** Brings envelopes from the platform. */
+    /** Supplies envelopes from the platform. */
     private final ConfigurationWatchSystem watch;
 
-    /** The highest generation that another node reported. */
+    /** The highest generation reported by another node. */
     private long highestReported;
 
-    /** Whether a node that is ready itself has reported. */
-    private boolean vouched;
+    /** Whether a node that is itself ready has reported. */
+    private boolean confirmedByNode;
 
-    /** Whether the membership has joined. */
+    /** Whether this node has joined the membership. */
     private boolean joined;
 
     /** The time since which this node could be ready, or empty if it could not. */
-    private Optional<MonotonicTime> possibleSince = Optional.empty();
+    private Optional<MonotonicTime> couldServeSince = Optional.empty();
 
     /**
      * Creates a new system.
      *
      * @param state The state of the configuration.
      * @param members The members.
-     * @param watch Brings envelopes from the platform.
+     * @param watch Supplies envelopes from the platform.
      */
     ReadinessSystem(ConfigurationState state, MembershipView members, ConfigurationWatchSystem watch) {
         this.state = state;
@@ -63,44 +63,44 @@
         }
         for (MembershipEvent.PeerReported event : tick.events(MembershipEvent.PeerReported.class)) {
             highestReported = Math.max(highestReported, event.generation());
-            vouched |= event.ready();
+            confirmedByNode |= event.ready();
         }
         joined |= !tick.events(MembershipEvent.SelfJoined.class).isEmpty();
-        if (!isPossible()) {
-            possibleSince = Optional.empty();
+        if (!couldServe()) {
+            couldServeSince = Optional.empty();
             return;
         }
-        possibleSince = Optional.of(possibleSince.orElseGet(tick::now));
-        boolean patient = tick.now().since(possibleSince.get()).compareTo(PATIENCE) < 0;
-        if (hasHeardAll() || !patient) {
+        couldServeSince = Optional.of(couldServeSince.orElseGet(tick::now));
+        boolean withinTimeout = tick.now().since(couldServeSince.get()).compareTo(OTHER_SOURCE_TIMEOUT) < 0;
+        if (haveAllSourcesAnswered() || !withinTimeout) {
             state.becomeReady();
             tick.raise(new ConfigurationEvent.ReadyToServe(state.generation()));
-            String reason = "vouched for by " + (vouched ? "a node" : "the platform");
+            String reason = "confirmed by " + (confirmedByNode ? "a node" : "the platform");
             tick.decide(Decision.of("configuration", Long.toString(state.generation()), "ready", reason));
         }
     }
 
     /**
-     * Returns whether this node could serve if the source that it has not heard of stays silent. A held generation that
-     * this release does not understand does not hold the node back.
+     * Returns whether this node could serve if the source that has not answered stays silent. A held generation that
+     * this release does not support does not prevent readiness.
      *
      * @return {@code true} if this node could serve.
      */
-    private boolean isPossible() {
+    private boolean couldServe() {
         return joined
                 && !state.isDecoding()
                 && state.generation() > 0
                 && state.heldGeneration() >= highestReported
-                && (vouched || watch.hasHeard());
+                && (confirmedByNode || watch.hasPlatformAnswered());
     }
 
     /**
-     * Returns whether both sources were heard, where there are both.
+     * Returns whether all existing sources have answered.
      *
-     * @return {@code true} if there is nobody else to wait for.
+     * @return {@code true} if there is no other source to wait for.
      */
-    private boolean hasHeardAll() {
+    private boolean haveAllSourcesAnswered() {
         boolean alone = members.working().size() == 1;
-        return watch.hasHeard() && (vouched || alone);
+        return watch.hasPlatformAnswered() && (confirmedByNode || alone);
     }
 }
