--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/identity/AvailabilityZone.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/identity/AvailabilityZone.java
@@ -1,7 +1,7 @@
 package io.yuccaswitch.core.identity;
 
 /**
- * The name of a availability zone.
+ * The name of an availability zone.
  *
  * @param value The name as text: letters, digits, dots, hyphens and underscores.
  */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/identity/EndpointName.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/identity/EndpointName.java
@@ -3,17 +3,17 @@
 import java.util.Comparator;
 
 /**
- * The name of one start of an endpoint: a back end that serves requests, such as a model engine or a plain service. An
- * endpoint that starts again under its name is another one, which holds and knows nothing of before.
+ * The name of one incarnation of an endpoint: a back end that serves requests, such as a model engine or a plain
+ * service. An endpoint that restarts under its name is a different endpoint, which has none of the previous state.
  *
  * @param pool The pool that the endpoint belongs to.
  * @param value The endpoint's name within its pool.
- * @param incarnation Tells the starts under one name apart, the later one being larger; 0 where the endpoint does not
- *     tell.
+ * @param incarnation The incarnation, which increases with each restart under the same name; 0 if the endpoint does not
+ *     report its incarnation.
  */
 public record EndpointName(PoolName pool, String value, long incarnation) implements Comparable<EndpointName> {
 
-    /** The incarnation of an endpoint that does not tell its own. */
+    /** The incarnation of an endpoint that does not report one. */
     public static final long UNTOLD = 0;
 
     /** The order of names. */
@@ -27,7 +27,7 @@
     }
 
     /**
-     * Creates the name of an endpoint that does not tell its starts apart.
+     * Creates the name of an endpoint that does not report its incarnation.
      *
      * @param pool The pool that the endpoint belongs to.
      * @param value The endpoint's name within its pool.
@@ -37,20 +37,20 @@
     }
 
     /**
-     * Returns the name of another start of this endpoint.
+     * Returns the name of another incarnation of this endpoint.
      *
-     * @param started The incarnation.
+     * @param changed The incarnation.
      * @return The name.
      */
-    public EndpointName withIncarnation(long started) {
-        return new EndpointName(pool, value, started);
+    public EndpointName withIncarnation(long changed) {
+        return new EndpointName(pool, value, changed);
     }
 
     /**
-     * Returns whether this is an earlier start of an endpoint than another one.
+     * Returns whether this is an earlier incarnation of an endpoint than another one.
      *
-     * @param other The name of a start of the same endpoint.
-     * @return {@code true} if both are told and this one is earlier.
+     * @param other The name of an incarnation of the same endpoint.
+     * @return {@code true} if both incarnations are reported and this one is earlier.
      */
     public boolean isBefore(EndpointName other) {
         return incarnation != UNTOLD && incarnation < other.incarnation;
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/identity/NodeIdentity.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/identity/NodeIdentity.java
@@ -1,18 +1,17 @@
 package io.yuccaswitch.core.identity;
 
 /**
- * One life of a node: its name and its incarnation. A process that starts again under the same name gets a higher
- * incarnation.
+ * The identity of one incarnation of a node. A process that restarts under the same name gets a higher incarnation.
  *
  * @param name The node's name.
- * @param incarnation The incarnation, a positive number that grows with each start of the process.
+ * @param incarnation The incarnation, a positive number that increases with each start of the process.
  */
 public record NodeIdentity(NodeName name, long incarnation) implements Comparable<NodeIdentity> {
 
     /** Checks the incarnation. */
     public NodeIdentity {
         if (incarnation <= 0) {
-            throw new IllegalArgumentException("Not a positive incarnation: " + incarnation);
+            throw new IllegalArgumentException("Incarnation must be positive: " + incarnation);
         }
     }
 
