--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/value/Bytes.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/value/Bytes.java
@@ -15,7 +15,7 @@
     /**
      * Creates a new sequence.
      *
-     * @param content The bytes, which the new instance owns.
+     * @param content The bytes, which must not be changed by the caller afterwards.
      */
     private Bytes(byte[] content) {
         this.content = content;
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/value/package-info.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/value/package-info.java
@@ -1,2 +1,2 @@
-/** Small immutable values shared by all concepts. */
+/** Immutable value types that are shared by all packages. */
 package io.yuccaswitch.core.value;
