--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/time/MonotonicTime.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/time/MonotonicTime.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /**
- * A point on a process's monotonic clock. Points of different processes can't be compared.
+ * A point in time on a process's monotonic clock. Points of different processes are not comparable.
  *
  * @param nanoseconds The nanoseconds since an arbitrary origin.
  */
@@ -16,7 +16,7 @@
      * Returns the point after a duration.
      *
      * @param duration The duration to add, which may be negative.
-     * @return The point that much later.
+     * @return The later point, or an earlier one if the duration is negative.
      */
     public MonotonicTime plus(Duration duration) {
         return new MonotonicTime(nanoseconds + duration.toNanos());
