--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/distribution/ConfigurationSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/distribution/ConfigurationSystem.java
@@ -43,7 +43,7 @@
     /** Announces a new generation to other nodes. */
     private final Announcer announcer;
 
-    /** The highest generation that was pulled, or zero. */
+    /** The generation of the latest pull, or zero. */
     private long pulledGeneration;
 
     /** The time of the latest pull. */
