--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/CompletionBody.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/CompletionBody.java
@@ -5,11 +5,11 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Writes the bodies of generation and scoring requests, and reads scores. */
+/** Writes the bodies of generation and scoring requests, and parses the scores in answers. */
 final class CompletionBody {
 
-    /** The smallest character that JSON allows unescaped. */
-    private static final char FIRST_PRINTABLE = ' ';
+    /** The first character that JSON allows unescaped. */
+    private static final char MINIMUM_UNESCAPED_CHARACTER = ' ';
 
     /** The score in a scorer's answer. */
     private static final Pattern SCORE =
@@ -19,7 +19,7 @@
     private CompletionBody() {}
 
     /**
-     * Writes the body of a generation.
+     * Writes the body of a generation request.
      *
      * @param model The model.
      * @param specification The group.
@@ -36,12 +36,12 @@
     }
 
     /**
-     * Writes the body of a scoring.
+     * Writes the body of a scoring request.
      *
      * @param specification The group.
      * @param sample The sample to score.
-     * @param generation The number of the generation that produced the sample, which tells calls for the same slot
-     *     apart.
+     * @param generation The number of the generation that produced the sample, which distinguishes calls for the same
+     *     slot.
      * @return The body.
      */
     static Bytes scoring(GroupSpecification specification, Sample sample, long generation) {
@@ -56,7 +56,7 @@
     }
 
     /**
-     * Reads the score from a scorer's answer.
+     * Parses the score from a scorer's answer.
      *
      * @param body The body of the answer.
      * @return The score, or empty if the answer has none.
@@ -67,10 +67,10 @@
     }
 
     /**
-     * Writes a text as a JSON string.
+     * Quotes and escapes a text as a JSON string.
      *
      * @param text The text.
-     * @return The JSON string with its quotes.
+     * @return The JSON string including its quotes.
      */
     private static String quote(String text) {
         StringBuilder builder = new StringBuilder(text.length() + 2).append('"');
@@ -78,7 +78,7 @@
             char character = text.charAt(index);
             if (character == '"' || character == '\\') {
                 builder.append('\\').append(character);
-            } else if (character < FIRST_PRINTABLE) {
+            } else if (character < MINIMUM_UNESCAPED_CHARACTER) {
                 builder.append(String.format("\\u%04x", (int) character));
             } else {
                 builder.append(character);
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/Cursor.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/Cursor.java
@@ -10,21 +10,21 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * What a trainer has taken. Cursors of one trainer form a join semilattice: the join of two holds what either of them
- * holds, so news of them may come late, twice and in any order.
+ * The set of groups that a trainer has received. Cursors of one trainer form a join semilattice: the join of two
+ * cursors contains the groups of both, so updates may arrive late, repeatedly and in any order.
  *
  * @param trainer The trainer.
- * @param floorStep The step below which all groups count as delivered.
+ * @param floorStep The step below which all groups are considered delivered.
  * @param delivered The numbers of the delivered groups by their steps, none below the floor and none empty. The bitmaps
  *     must not be changed.
  */
 public record Cursor(TrainerName trainer, long floorStep, ImmutableSortedMap<Long, RoaringBitmap> delivered) {
 
-    /** The largest number of steps that a cursor looks back. Older steps are closed. */
+    /** The maximum number of steps that a cursor tracks individually. Older steps are closed. */
     public static final long MAXIMUM_STEPS = 4096;
 
     /**
-     * Creates the cursor of a trainer that has taken nothing.
+     * Creates the cursor of a trainer that has not received any groups.
      *
      * @param trainer The trainer.
      * @return The cursor.
@@ -34,10 +34,10 @@
     }
 
     /**
-     * Creates a cursor from steps, closing those that lie too far back.
+     * Creates a cursor from steps, and closes those older than {@link #MAXIMUM_STEPS}.
      *
      * @param trainer The trainer.
-     * @param floorStep The step below which all groups count as delivered.
+     * @param floorStep The step below which all groups are considered delivered.
      * @param steps The numbers of the delivered groups by their steps.
      * @return The cursor.
      */
@@ -61,10 +61,10 @@
     }
 
     /**
-     * Returns this cursor after further groups were delivered.
+     * Returns this cursor extended by further delivered groups.
      *
      * @param keys The identities of the groups.
-     * @return The cursor that holds the groups too.
+     * @return The cursor that contains the groups as well.
      */
     public Cursor with(Collection<GroupKey> keys) {
         NavigableMap<Long, RoaringBitmap> steps = new TreeMap<>(delivered);
@@ -78,7 +78,7 @@
      * Returns the join of this cursor and another one.
      *
      * @param other The other cursor, of the same trainer.
-     * @return The cursor that holds what either of them holds.
+     * @return The cursor that contains the groups of both.
      */
     public Cursor join(Cursor other) {
         if (covers(other)) {
@@ -91,10 +91,10 @@
     }
 
     /**
-     * Returns whether this cursor holds all that another one holds.
+     * Returns whether this cursor contains all groups of another one.
      *
      * @param other The other cursor, of the same trainer.
-     * @return {@code true} if the other cursor holds nothing beyond this one.
+     * @return {@code true} if the other cursor contains no group that this one lacks.
      */
     public boolean covers(Cursor other) {
         return other.floorStep <= floorStep
@@ -111,7 +111,7 @@
     }
 
     /**
-     * Returns the steps and groups of this cursor that another one lacks.
+     * Returns the individually tracked groups of this cursor that another one lacks.
      *
      * @param other The other cursor, of the same trainer.
      * @return The identities of the groups.
@@ -125,10 +125,10 @@
     }
 
     /**
-     * Returns whether this cursor holds all groups of a step.
+     * Returns whether this cursor contains the given groups of a step.
      *
      * @param entry The step with its groups.
-     * @return {@code true} if this cursor holds them all.
+     * @return {@code true} if this cursor contains all of them.
      */
     private boolean coversStep(Map.Entry<Long, RoaringBitmap> entry) {
         RoaringBitmap groups = delivered.get(entry.getKey());
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/CursorCodec.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/CursorCodec.java
@@ -15,19 +15,19 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * Encodes cursors as text that is safe in URLs: a version, the trainer, the steps and a checksum. Steps in a row with
- * the same groups are written once with their number, such that the text stays short over a long training.
+ * Encodes cursors as URL-safe text: a format version, the trainer, the steps and a checksum. Consecutive steps with the
+ * same groups are run-length encoded, so the text stays short over a long training.
  */
 public final class CursorCodec {
 
     /** The version of the format. */
-    private static final int FORMAT = 1;
+    private static final int FORMAT_VERSION = 1;
 
     /** The number of bytes of the checksum. */
     private static final int CHECKSUM_BYTES = 4;
 
-    /** The largest length of a cursor's text. */
-    private static final int MAXIMUM_LENGTH = 512 * 1024;
+    /** The maximum length of an encoded cursor in characters. */
+    private static final int MAXIMUM_LENGTH_CHARACTERS = 512 * 1024;
 
     /** The text encoding. */
     private static final BaseEncoding TEXT = BaseEncoding.base64Url().omitPadding();
@@ -35,7 +35,7 @@
     /** This class has no instances. */
     private CursorCodec() {}
 
-    /** What a text turned out to be. */
+    /** The result of decoding a text. */
     public sealed interface Reading {
 
         /**
@@ -46,9 +46,9 @@
         record Valid(Cursor cursor) implements Reading {}
 
         /**
-         * The text is no cursor.
+         * The text is not a cursor.
          *
-         * @param reason The reason, for the trainer.
+         * @param reason The reason, as reported to the trainer.
          */
         record Malformed(String reason) implements Reading {}
 
@@ -68,7 +68,7 @@
      */
     public static String encode(Cursor cursor) {
         ByteArrayDataOutput output = ByteStreams.newDataOutput();
-        output.writeByte(FORMAT);
+        output.writeByte(FORMAT_VERSION);
         output.writeUTF(cursor.trainer().value());
         output.writeLong(cursor.floorStep());
         long first = -1;
@@ -91,11 +91,12 @@
     }
 
     /**
-     * Decodes a cursor that was encoded by a node of this system.
+     * Decodes a cursor that a node encoded.
      *
-     * @param trainer The trainer whose cursor it must be.
-     * @param text The text, or an empty text for the cursor of a trainer that has taken nothing.
-     * @return The cursor, or the cursor of a trainer that has taken nothing if the text is not a cursor of the trainer.
+     * @param trainer The trainer that the cursor must belong to.
+     * @param text The text, or an empty text for the cursor of a trainer that has not received any groups.
+     * @return The cursor, or the cursor of a trainer that has not received any groups if the text is not a valid cursor
+     *     of the trainer.
      */
     static Cursor decodeOrStart(TrainerName trainer, String text) {
         return decode(trainer, text) instanceof Reading.Valid valid ? valid.cursor() : Cursor.start(trainer);
@@ -106,19 +107,19 @@
      *
      * @param trainer The trainer that sent the text.
      * @param text The text.
-     * @return What the text turned out to be.
+     * @return The result of decoding the text.
      */
     public static Reading decode(TrainerName trainer, String text) {
-        if (text.length() > MAXIMUM_LENGTH) {
+        if (text.length() > MAXIMUM_LENGTH_CHARACTERS) {
             return new Reading.Malformed("The cursor is too long.");
         }
         if (!TEXT.canDecode(text)) {
-            return new Reading.Malformed("The cursor has characters that no cursor has.");
+            return new Reading.Malformed("The cursor contains invalid characters.");
         }
         byte[] bytes = TEXT.decode(text);
         int length = bytes.length - CHECKSUM_BYTES;
         if (!TEXT.encode(bytes).equals(text)) {
-            return new Reading.Malformed("The cursor is not written as nodes write it.");
+            return new Reading.Malformed("The cursor is not in its canonical encoding.");
         }
         if (length < 1 || !Arrays.equals(checksum(bytes, length), Arrays.copyOfRange(bytes, length, bytes.length))) {
             return new Reading.Malformed("The cursor's checksum is wrong.");
@@ -126,12 +127,12 @@
         try {
             return parse(trainer, new DataInputStream(new ByteArrayInputStream(bytes, 0, length)));
         } catch (IOException | RuntimeException exception) {
-            return new Reading.Malformed("The cursor can't be read: " + exception.getMessage());
+            return new Reading.Malformed("The cursor can't be parsed: " + exception.getMessage());
         }
     }
 
     /**
-     * Writes steps in a row that have the same groups.
+     * Writes consecutive steps that have the same groups.
      *
      * @param output The output to write to.
      * @param first The first of the steps.
@@ -157,13 +158,13 @@
      *
      * @param trainer The trainer that sent the cursor.
      * @param input The content without its checksum.
-     * @return What the content turned out to be.
-     * @throws IOException If the content is broken.
+     * @return The result of parsing the content.
+     * @throws IOException If the content is malformed.
      */
     private static Reading parse(TrainerName trainer, DataInputStream input) throws IOException {
         int format = input.readUnsignedByte();
-        if (format != FORMAT) {
-            return new Reading.Malformed("The cursor has the unknown format " + format + ".");
+        if (format != FORMAT_VERSION) {
+            return new Reading.Malformed("The cursor has the unknown format version " + format + ".");
         }
         TrainerName owner = new TrainerName(input.readUTF());
         if (!owner.equals(trainer)) {
@@ -178,19 +179,19 @@
     }
 
     /**
-     * Reads steps in a row that have the same groups.
+     * Reads consecutive steps that have the same groups.
      *
      * @param input The input to read from.
      * @param count The number of the steps.
      * @param steps The steps to add to.
-     * @throws IOException If the content is broken.
+     * @throws IOException If the content is malformed.
      */
     private static void readRun(DataInputStream input, int count, NavigableMap<Long, RoaringBitmap> steps)
             throws IOException {
         long first = input.readLong();
         int length = input.readInt();
         if (count < 0 || count > Cursor.MAXIMUM_STEPS || first < 0 || length < 0 || length > input.available()) {
-            throw new IOException("a length is out of bounds");
+            throw new IOException("the number of steps, the first step or the length of a run is out of bounds");
         }
         RoaringBitmap groups = new RoaringBitmap();
         groups.deserialize(java.nio.ByteBuffer.wrap(input.readNBytes(length)));
@@ -203,7 +204,7 @@
      * Computes the checksum of the beginning of an array.
      *
      * @param bytes The array.
-     * @param length The number of bytes to cover.
+     * @param length The number of bytes to include.
      * @return The checksum.
      */
     private static byte[] checksum(byte[] bytes, int length) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/CursorState.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/CursorState.java
@@ -7,28 +7,29 @@
 import java.util.Optional;
 
 /**
- * What this node knows of the cursor of a trainer.
+ * The state of a trainer's cursor at this node.
  *
- * @param acknowledged All that the trainer is known to have taken.
- * @param sure {@code true} if nothing that the trainer took before was left out when this was learned.
- * @param knownAt What other nodes confirmed to know, by their names and incarnations.
- * @param progress How far the trainer has come.
- * @param lastBatch The latest hand-over that was not acknowledged yet, or empty if there is none.
+ * @param acknowledged The groups that the trainer has acknowledged, as recorded at this node.
+ * @param complete {@code true} if the cursor was guaranteed to contain all groups that the trainer had received when it
+ *     was recorded.
+ * @param confirmedCursors The cursors that other nodes confirmed to have recorded, by name and incarnation.
+ * @param progress The progress of the trainer.
+ * @param lastBatch The latest unacknowledged hand-over, or empty if there is none.
  */
 record CursorState(
         Cursor acknowledged,
-        boolean sure,
-        Map<NodeIdentity, Cursor> knownAt,
+        boolean complete,
+        Map<NodeIdentity, Cursor> confirmedCursors,
         TrainerProgress progress,
         Optional<Batch> lastBatch) {
 
     /** Copies the map. */
     CursorState {
-        knownAt = Map.copyOf(knownAt);
+        confirmedCursors = Map.copyOf(confirmedCursors);
     }
 
     /**
-     * Creates the state of a trainer of which nothing is known.
+     * Creates the state of a trainer without any recorded cursor.
      *
      * @param trainer The trainer.
      * @return The state.
@@ -44,30 +45,30 @@
      * @return The changed state.
      */
     CursorState withCursor(Cursor cursor) {
-        return new CursorState(acknowledged.join(cursor), sure, knownAt, progress, lastBatch);
+        return new CursorState(acknowledged.join(cursor), complete, confirmedCursors, progress, lastBatch);
     }
 
     /**
-     * Returns this state as one that is sure.
+     * Returns this state marked as complete.
      *
      * @return The changed state.
      */
-    CursorState withSure() {
-        return new CursorState(acknowledged, true, knownAt, progress, lastBatch);
+    CursorState withComplete() {
+        return new CursorState(acknowledged, true, confirmedCursors, progress, lastBatch);
     }
 
     /**
-     * Returns this state after another node said what it knows.
+     * Returns this state after another node reported its cursor.
      *
      * @param node The other node.
-     * @param cursor What the other node knows.
+     * @param cursor The cursor that the other node has recorded.
      * @return The changed state.
      */
-    CursorState withKnownAt(NodeIdentity node, Cursor cursor) {
-        Map<NodeIdentity, Cursor> known = new HashMap<>(knownAt);
-        known.keySet().removeIf(other -> other.name().equals(node.name()));
-        known.put(node, cursor);
-        return new CursorState(acknowledged, sure, known, progress, lastBatch);
+    CursorState withConfirmedCursor(NodeIdentity node, Cursor cursor) {
+        Map<NodeIdentity, Cursor> confirmed = new HashMap<>(confirmedCursors);
+        confirmed.keySet().removeIf(other -> other.name().equals(node.name()));
+        confirmed.put(node, cursor);
+        return new CursorState(acknowledged, complete, confirmed, progress, lastBatch);
     }
 
     /**
@@ -77,7 +78,7 @@
      * @return The changed state.
      */
     CursorState withProgress(TrainerProgress changed) {
-        return new CursorState(acknowledged, sure, knownAt, changed, lastBatch);
+        return new CursorState(acknowledged, complete, confirmedCursors, changed, lastBatch);
     }
 
     /**
@@ -87,27 +88,27 @@
      * @return The changed state.
      */
     CursorState withBatch(Batch batch) {
-        return new CursorState(acknowledged, sure, knownAt, progress, Optional.of(batch));
+        return new CursorState(acknowledged, complete, confirmedCursors, progress, Optional.of(batch));
     }
 
     /**
-     * Returns whether another node is known to know all that this one does.
+     * Returns whether another node confirmed a cursor that covers the one of this node.
      *
      * @param node The other node.
-     * @return {@code true} if the other node confirmed it.
+     * @return {@code true} if the other node has recorded all acknowledged groups.
      */
-    boolean sharedWith(NodeIdentity node) {
-        Cursor known = knownAt.get(node);
-        return known != null && known.covers(acknowledged);
+    boolean isConfirmedBy(NodeIdentity node) {
+        Cursor confirmed = confirmedCursors.get(node);
+        return confirmed != null && confirmed.covers(acknowledged);
     }
 
     /**
-     * A hand-over that was not acknowledged yet.
+     * An unacknowledged hand-over.
      *
-     * @param base The cursor upon which it was made.
-     * @param step The step that it was restricted to, or {@link SampleMessage#ANY_STEP}.
+     * @param base The acknowledged cursor on which it is based.
+     * @param step The step that it is restricted to, or {@link SampleMessage#ANY_STEP}.
      * @param useVersion The weight version with which the trainer uses the samples.
-     * @param result The cursor after it.
+     * @param result The cursor that acknowledges it.
      */
     record Batch(Cursor base, long step, long useVersion, Cursor result) {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/CursorStore.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/CursorStore.java
@@ -17,22 +17,22 @@
 import java.util.OptionalLong;
 
 /**
- * Keeps the cursors that trainers presented on the platform, written by the primary keeper at most once a second for
- * each trainer. A write whose fate is not known is followed by a read, so a lost answer does no harm: what is read is
- * joined, and written again only if something is missing in it.
+ * Stores the cursors that trainers presented on the platform. The primary keeper makes at most one call per second for
+ * each trainer. A write with an unknown outcome is followed by a read, so a lost answer is harmless: the stored cursor
+ * is joined with the local one, and written again only if it lacks groups.
  */
 final class CursorStore {
 
-    /** The shortest time between two calls for the same trainer. */
-    private static final Duration CALL_INTERVAL = Duration.ofSeconds(1);
+    /** The minimum time after a failed call or a write before the next call for the same trainer. */
+    private static final Duration MINIMUM_CALL_INTERVAL = Duration.ofSeconds(1);
 
-    /** The kind of the objects. */
-    private static final String KIND = "cursor";
+    /** The platform's kind of the objects that hold cursors. */
+    private static final String OBJECT_KIND = "cursor";
 
     /** The shared tables. */
     private final SampleContext context;
 
-    /** What is known of the platform's objects. */
+    /** The state of the platform's objects at this node, by trainer. */
     private final EntityTable<TrainerName, Row> rows = new EntityTable<>();
 
     /**
@@ -51,11 +51,11 @@
      * @return The key.
      */
     static ObjectKey key(TrainerName trainer) {
-        return new ObjectKey(KIND, trainer.value());
+        return new ObjectKey(OBJECT_KIND, trainer.value());
     }
 
     /**
-     * Decodes a trainer's cursor as it is on the platform.
+     * Decodes a trainer's cursor from an object of the platform.
      *
      * @param trainer The trainer.
      * @param object The object, or empty if there is none.
@@ -67,26 +67,26 @@
     }
 
     /**
-     * Returns whether the platform holds a cursor, as of the latest call.
+     * Returns whether the platform stores a cursor, as of the latest call.
      *
      * @param cursor The cursor.
-     * @return {@code true} if the platform holds all of it.
+     * @return {@code true} if the stored cursor covers it.
      */
     boolean holds(Cursor cursor) {
         return rows.find(cursor.trainer())
-                .flatMap(Row::known)
-                .filter(known -> known.covers(cursor))
+                .flatMap(Row::storedCursor)
+                .filter(storedCursor -> storedCursor.covers(cursor))
                 .isPresent();
     }
 
     /**
-     * Takes the answer to a call of this store.
+     * Handles the answer to a call, if this store made the call.
      *
      * @param tick The current tick.
      * @param event The answer.
-     * @return The cursor that the platform has, or empty if this tells none.
+     * @return The cursor that the platform stores, or empty if the answer contains none.
      */
-    Optional<Cursor> take(Tick tick, PlatformEvent event) {
+    Optional<Cursor> handle(Tick tick, PlatformEvent event) {
         Optional<Row> found = rows.view().stream()
                 .filter(row -> row.token().equals(OptionalLong.of(event.token())))
                 .findFirst();
@@ -94,7 +94,7 @@
             return Optional.empty();
         }
         Row row = found.get();
-        Row changed = row.ended(tick.now());
+        Row changed = row.withCallEnded(tick.now());
         Optional<Cursor> read = Optional.empty();
         if (event instanceof PlatformEvent.ObjectRead answer) {
             read = cursor(row.trainer(), answer.object());
@@ -110,7 +110,7 @@
     }
 
     /**
-     * Makes the calls that are due.
+     * Issues the calls that are due.
      *
      * @param tick The current tick.
      */
@@ -118,27 +118,27 @@
         for (CursorState state : context.cursors.view()) {
             TrainerName trainer = state.acknowledged().trainer();
             List<Member> keepers = context.roles.keepers(trainer);
-            if (state.sure() && !keepers.isEmpty() && context.roles.isSelf(keepers.get(0))) {
+            if (state.complete() && !keepers.isEmpty() && context.roles.isSelf(keepers.get(0))) {
                 call(tick, rows.find(trainer).orElseGet(() -> Row.unread(trainer)), state.acknowledged());
             }
         }
     }
 
     /**
-     * Makes the call that is due for a trainer.
+     * Issues the call that is due for a trainer, if any.
      *
      * @param tick The current tick.
-     * @param row What is known of the platform's object.
-     * @param acknowledged What the trainer has taken.
+     * @param row The state of the platform's object.
+     * @param acknowledged The groups that the trainer has acknowledged.
      */
     private void call(Tick tick, Row row, Cursor acknowledged) {
         boolean written =
-                row.known().filter(cursor -> cursor.covers(acknowledged)).isPresent();
+                row.storedCursor().filter(cursor -> cursor.covers(acknowledged)).isPresent();
         if (written || row.token().isPresent() || tick.now().isBefore(row.notBefore())) {
             return;
         }
         long token = context.tokens.next();
-        if (row.known().isEmpty()) {
+        if (row.storedCursor().isEmpty()) {
             rows.put(row.trainer(), row.withCall(token, Optional.empty()));
             tick.emit(new PlatformEffect.Read(token, PlatformPurpose.SAMPLE, key(row.trainer())));
             return;
@@ -153,25 +153,25 @@
     }
 
     /**
-     * What is known of a trainer's object on the platform.
+     * The state of a trainer's object on the platform, as recorded at this node.
      *
      * @param trainer The trainer.
-     * @param known The cursor that the object holds, or empty if that is not known.
+     * @param storedCursor The cursor that the object holds, or empty if it is unknown.
      * @param version The version of the object, or empty if it does not exist.
      * @param token The token of the call in progress, or empty if there is none.
      * @param writing The cursor that the call in progress writes, or empty.
-     * @param notBefore The time before which no call is made.
+     * @param notBefore The time before which no call is issued.
      */
     private record Row(
             TrainerName trainer,
-            Optional<Cursor> known,
+            Optional<Cursor> storedCursor,
             OptionalLong version,
             OptionalLong token,
             Optional<Cursor> writing,
             MonotonicTime notBefore) {
 
         /**
-         * Creates the row of an object that was not read.
+         * Creates the row of an object that was not read yet.
          *
          * @param trainer The trainer.
          * @return The row.
@@ -194,27 +194,27 @@
          * @return The changed row.
          */
         private Row withCall(long callToken, Optional<Cursor> cursor) {
-            return new Row(trainer, known, version, OptionalLong.of(callToken), cursor, notBefore);
+            return new Row(trainer, storedCursor, version, OptionalLong.of(callToken), cursor, notBefore);
         }
 
         /**
-         * Returns this row after its call ended, with the object to be read before anything is written.
+         * Returns this row after its call ended. The object must be read before the next write.
          *
          * @param now The current time.
          * @return The changed row.
          */
-        private Row ended(MonotonicTime now) {
+        private Row withCallEnded(MonotonicTime now) {
             return new Row(
                     trainer,
                     Optional.empty(),
                     OptionalLong.empty(),
                     OptionalLong.empty(),
                     writing,
-                    now.plus(CALL_INTERVAL));
+                    now.plus(MINIMUM_CALL_INTERVAL));
         }
 
         /**
-         * Returns this row after the object was read. It may be written at once.
+         * Returns this row after the object was read. It may be written immediately.
          *
          * @param object The object, or empty if it does not exist.
          * @param cursor The cursor that the object holds, or empty if there is none.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/CursorSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/CursorSystem.java
@@ -20,86 +20,97 @@
 import java.util.stream.Collectors;
 
 /**
- * Knows what trainers have taken: joins the cursors that they present, shares them with the other keeper and the
- * holders of the groups, and finds out what a trainer without a cursor took before.
+ * Tracks which groups trainers have received: joins the cursors that they present, replicates them to the other keeper
+ * and the holders of the groups, and determines what a trainer without a cursor received before.
  */
 final class CursorSystem implements SampleMessageHandler {
 
-    /** The interval at which what is not confirmed is sent again. */
+    /** The interval at which unconfirmed cursors are sent again. */
     private static final Duration SWEEP_INTERVAL = Duration.ofMillis(200);
 
-    /** The time after which an inquiry is content with the platform and the keepers. */
-    private static final Duration MEMBER_PATIENCE = Duration.ofSeconds(1);
+    /**
+     * The time after which the answers of the platform and the keepers suffice for an inquiry. A confirmation by the
+     * platform that is not answered within this time is skipped.
+     */
+    private static final Duration MEMBER_TIMEOUT = Duration.ofSeconds(1);
 
-    /** The time in which a keeper that is out of sight brings what the trainer took from it to the platform. */
-    private static final Duration GONE_KEEPER_PATIENCE = Duration.ofMillis(2500);
+    /**
+     * The delay before the platform is read while a node is dead. Within this time an unreachable keeper writes the
+     * groups that the trainer received from it to the platform.
+     */
+    private static final Duration PLATFORM_READ_DELAY = Duration.ofMillis(2500);
 
-    /** The time after which an inquiry has failed. */
-    private static final Duration INQUIRY_PATIENCE = Duration.ofSeconds(4);
+    /** The time after which an inquiry fails. */
+    private static final Duration INQUIRY_TIMEOUT = Duration.ofSeconds(4);
 
     /** The shared tables. */
     private final SampleContext context;
 
     /** The requests in progress. */
-    private final FlightTable flights;
+    private final SampleRequestTable sampleRequests;
 
-    /** Keeps cursors on the platform. */
+    /** Stores cursors on the platform. */
     private final CursorStore store;
 
-    /** The inquiries by trainer, the latest of each. */
+    /** The latest inquiry of each trainer. */
     private final EntityTable<TrainerName, Inquiry> inquiries = new EntityTable<>();
 
-    /** The latest questions to the platform about cursors that trainers presented, by trainer. */
+    /** The latest confirmation of each trainer's presented cursor by the platform. */
     private final EntityTable<TrainerName, Confirmation> confirmations = new EntityTable<>();
 
-    /** The names of all nodes that ever took work in this life of this node. */
-    private final Set<NodeName> seen = new HashSet<>();
+    /**
+     * The names of the nodes that took work during this incarnation of this node, without those that left or were
+     * forgotten.
+     */
+    private final Set<NodeName> observedNodes = new HashSet<>();
 
-    /** When unconfirmed messages are sent again. */
+    /** The schedule at which unconfirmed cursors are sent again. */
     private final Interval sweep = new Interval(SWEEP_INTERVAL);
 
     /**
      * Creates a new system.
      *
      * @param context The shared tables.
-     * @param flights The requests in progress.
+     * @param sampleRequests The requests in progress.
      */
-    CursorSystem(SampleContext context, FlightTable flights) {
+    CursorSystem(SampleContext context, SampleRequestTable sampleRequests) {
         this.context = context;
-        this.flights = flights;
+        this.sampleRequests = sampleRequests;
         store = new CursorStore(context);
     }
 
     /** {@inheritDoc} */
     @Override
     public void receive(Tick tick, NodeIdentity sender, SampleMessage message) {
-        if (message instanceof SampleMessage.Acknowledge news) {
-            learn(tick, sender, news.trainer(), news.cursor(), news.sure());
-            if (news.answer()) {
-                context.outbox.send(tick, sender.name(), known(news.trainer()));
+        if (message instanceof SampleMessage.Acknowledge update) {
+            applyReport(tick, sender, update.trainer(), update.cursor(), update.complete());
+            if (update.answerRequested()) {
+                context.outbox.send(tick, sender.name(), cursorReport(update.trainer()));
             }
-        } else if (message instanceof SampleMessage.AskCursor question) {
-            context.outbox.send(tick, sender.name(), known(question.trainer()));
+        } else if (message instanceof SampleMessage.AskCursor request) {
+            context.outbox.send(tick, sender.name(), cursorReport(request.trainer()));
         } else if (message instanceof SampleMessage.CursorKnown answer) {
-            learn(tick, sender, answer.trainer(), answer.cursor(), answer.sure());
-            inquiries.update(answer.trainer(), inquiry -> inquiry.withAnswer(sender, answer.sure()));
+            applyReport(tick, sender, answer.trainer(), answer.cursor(), answer.complete());
+            inquiries.update(answer.trainer(), inquiry -> inquiry.withAnswer(sender, answer.complete()));
         } else if (message instanceof SampleMessage.Reconciled answer) {
             join(tick, answer.trainer(), CursorCodec.decodeOrStart(answer.trainer(), answer.cursor()));
-        } else if (message instanceof SampleMessage.Progress news) {
-            progress(news.trainer(), news.step(), news.useVersion());
+        } else if (message instanceof SampleMessage.Progress update) {
+            progress(update.trainer(), update.step(), update.useVersion());
         }
     }
 
     /** {@inheritDoc} */
     @Override
     public void run(Tick tick) {
-        context.roles.working().forEach(member -> seen.add(member.identity().name()));
-        seen.removeIf(this::handedOff);
+        context.roles
+                .working()
+                .forEach(member -> observedNodes.add(member.identity().name()));
+        observedNodes.removeIf(this::hasLeft);
         for (PlatformEvent event : tick.events(PlatformEvent.class)) {
-            store.take(tick, event).ifPresent(read -> join(tick, read.trainer(), read));
+            store.handle(tick, event).ifPresent(read -> join(tick, read.trainer(), read));
             for (Inquiry inquiry : inquiries.rows()) {
                 if (inquiry.token() == event.token()) {
-                    learnFromPlatform(tick, inquiry.trainer(), event);
+                    joinPlatformCursor(tick, inquiry.trainer(), event);
                     boolean read = event instanceof PlatformEvent.ObjectRead;
                     inquiries.put(
                             inquiry.trainer(),
@@ -108,91 +119,96 @@
             }
             for (Confirmation confirmation : confirmations.rows()) {
                 if (confirmation.token() == event.token()) {
-                    learnFromPlatform(tick, confirmation.trainer(), event);
+                    joinPlatformCursor(tick, confirmation.trainer(), event);
                     confirmations.put(confirmation.trainer(), confirmation.withAnswer());
                 }
             }
         }
         for (Inquiry inquiry : inquiries.rows()) {
             if (inquiry.platform() == Inquiry.Platform.DUE && !tick.now().isBefore(inquiry.readAt())) {
-                inquiries.put(inquiry.trainer(), inquiry.withPlatform(Inquiry.Platform.ASKED));
+                inquiries.put(inquiry.trainer(), inquiry.withPlatform(Inquiry.Platform.REQUESTED));
                 tick.emit(new PlatformEffect.Read(
                         inquiry.token(), PlatformPurpose.SAMPLE, CursorStore.key(inquiry.trainer())));
             }
         }
         if (context.rolesChanged() || sweep.due(tick.now())) {
-            context.cursors.rows().forEach(state -> share(tick, state));
+            context.cursors.rows().forEach(state -> replicate(tick, state));
         }
         store.run(tick);
     }
 
     /**
-     * Takes the cursor that a trainer presented.
+     * Processes the cursor that a trainer presented.
      *
      * @param tick The current tick.
      * @param cursor The cursor.
      */
-    void present(Tick tick, Cursor cursor) {
+    void processPresented(Tick tick, Cursor cursor) {
         TrainerName trainer = cursor.trainer();
         CursorState before = context.cursor(trainer);
         if (before.acknowledged().covers(cursor) && !cursor.covers(before.acknowledged())) {
-            tick.decide(Decision.of("pull", trainer.toString(), "later cursor", "the trainer presented an old cursor"));
+            tick.decide(Decision.of(
+                    "pull",
+                    trainer.toString(),
+                    "later cursor",
+                    "the trainer presented a cursor that lags behind the recorded one"));
         }
         join(tick, trainer, cursor);
-        context.cursors.put(trainer, context.cursor(trainer).withSure());
-        share(tick, context.cursor(trainer));
+        context.cursors.put(trainer, context.cursor(trainer).withComplete());
+        replicate(tick, context.cursor(trainer));
     }
 
     /**
-     * Returns whether it is known what a trainer has taken, asking the platform and the members for it if need be.
+     * Returns whether the groups that a trainer has received are determined, querying the platform and the members if
+     * needed.
      *
      * @param tick The current tick.
      * @param trainer The trainer.
-     * @param since The time since when the asking must have begun.
-     * @return What is known.
+     * @param since The earliest time at which the query may have started.
+     * @return The certainty of the trainer's cursor at this node.
      */
     Inquiry.Certainty inquire(Tick tick, TrainerName trainer, MonotonicTime since) {
         Optional<Inquiry> current =
                 inquiries.find(trainer).filter(inquiry -> !inquiry.startedAt().isBefore(since));
         if (current.isEmpty()) {
-            begin(tick, trainer);
+            startInquiry(tick, trainer);
             return Inquiry.Certainty.PENDING;
         }
         Inquiry.Certainty certainty = judge(tick.now(), trainer, current.get());
         if (certainty == Inquiry.Certainty.CERTAIN) {
-            context.cursors.put(trainer, context.cursor(trainer).withSure());
+            context.cursors.put(trainer, context.cursor(trainer).withComplete());
         }
         return certainty;
     }
 
     /**
-     * Returns whether a cursor that a trainer presents may be trusted now by a keeper that has followed the trainer.
-     * While any node is gone the platform is asked first, as a keeper out of sight makes what it hands over safe there.
+     * Returns whether a keeper with a complete cursor of the trainer may trust a presented cursor now. While any node
+     * is dead the platform is queried first, as an unreachable keeper stores there what it hands over.
      *
      * @param tick The current tick.
      * @param trainer The trainer.
-     * @param since The time since when the asking must have begun.
-     * @return {@code true} if the cursor may be trusted, {@code false} if the platform has yet to answer.
+     * @param since The earliest time at which the query may have started.
+     * @return {@code true} if the cursor may be trusted, {@code false} while the answer of the platform is pending.
      */
     boolean confirmed(Tick tick, TrainerName trainer, MonotonicTime since) {
-        if (!anyGone()) {
+        if (!anyNodeDead()) {
             return true;
         }
         Optional<Confirmation> current = confirmations
                 .find(trainer)
                 .filter(confirmation -> !confirmation.startedAt().isBefore(since));
         if (current.isEmpty()) {
-            Confirmation begun = new Confirmation(trainer, tick.now(), context.tokens.next(), false);
-            confirmations.put(trainer, begun);
-            tick.emit(new PlatformEffect.Read(begun.token(), PlatformPurpose.SAMPLE, CursorStore.key(trainer)));
+            Confirmation started = new Confirmation(trainer, tick.now(), context.tokens.next(), false);
+            confirmations.put(trainer, started);
+            tick.emit(new PlatformEffect.Read(started.token(), PlatformPurpose.SAMPLE, CursorStore.key(trainer)));
             return false;
         }
         return current.get().answered()
-                || tick.now().since(current.get().startedAt()).compareTo(MEMBER_PATIENCE) > 0;
+                || tick.now().since(current.get().startedAt()).compareTo(MEMBER_TIMEOUT) > 0;
     }
 
     /**
-     * Takes in how far a trainer has come.
+     * Records the progress of a trainer.
      *
      * @param trainer The trainer.
      * @param step The step for which the trainer pulls, or {@link SampleMessage#ANY_STEP}.
@@ -204,28 +220,28 @@
     }
 
     /**
-     * Returns whether all the cursors that this node is sure of are safe at their keepers and on the platform.
+     * Returns whether the other keepers have confirmed all complete cursors of this node.
      *
      * @return {@code true} if this node may stop.
      */
     boolean handedOff() {
         return context.cursors.view().stream()
-                .filter(CursorState::sure)
+                .filter(CursorState::complete)
                 .allMatch(state -> context
                         .roles
                         .others(context.roles.keepers(state.acknowledged().trainer()))
                         .stream()
-                        .allMatch(member -> state.sharedWith(member.identity())));
+                        .allMatch(member -> state.isConfirmedBy(member.identity())));
     }
 
     /**
-     * Begins to ask the platform and all members for what a trainer has taken.
+     * Starts an inquiry that queries the platform and all members for the groups that a trainer has received.
      *
      * @param tick The current tick.
      * @param trainer The trainer.
      */
-    private void begin(Tick tick, TrainerName trainer) {
-        MonotonicTime readAt = anyGone() ? tick.now().plus(GONE_KEEPER_PATIENCE) : tick.now();
+    private void startInquiry(Tick tick, TrainerName trainer) {
+        MonotonicTime readAt = anyNodeDead() ? tick.now().plus(PLATFORM_READ_DELAY) : tick.now();
         inquiries.put(
                 trainer,
                 new Inquiry(
@@ -235,35 +251,35 @@
                         context.tokens.next(),
                         Inquiry.Platform.DUE,
                         Set.of(),
-                        context.cursor(trainer).sure()));
+                        context.cursor(trainer).complete()));
         context.roles
                 .others(context.roles.working())
                 .forEach(member -> context.outbox.send(tick, member, new SampleMessage.AskCursor(trainer)));
     }
 
     /**
-     * Judges what an inquiry found. With the platform, its answer and those of the keepers suffice; it is asked late
-     * enough that a keeper out of sight has written there what it knows. Without it, every member must have answered,
-     * one of them must be sure, and none may be gone, as it could have served the trainer unseen.
+     * Evaluates an inquiry. If the platform answered, its answer and those of the keepers suffice: it is read late
+     * enough that an unreachable keeper has written its cursor there. Otherwise, every member must have answered, one
+     * of them must have a complete cursor, and no node may be dead, as it could have served the trainer unnoticed.
      *
      * @param now The current time.
      * @param trainer The trainer.
      * @param inquiry The inquiry.
-     * @return What the inquiry found.
+     * @return The result of the inquiry.
      */
     private Inquiry.Certainty judge(MonotonicTime now, TrainerName trainer, Inquiry inquiry) {
         boolean all = answeredBy(inquiry, context.roles.others(context.roles.working()));
         boolean keepers = answeredBy(inquiry, context.roles.others(context.roles.keepers(trainer)));
         Duration age = now.since(inquiry.startedAt());
-        boolean patient = age.compareTo(MEMBER_PATIENCE) < 0;
-        if (inquiry.platform() == Inquiry.Platform.ANSWERED && keepers && (all || !patient)) {
+        boolean awaitsMembers = age.compareTo(MEMBER_TIMEOUT) < 0;
+        if (inquiry.platform() == Inquiry.Platform.ANSWERED && keepers && (all || !awaitsMembers)) {
             return Inquiry.Certainty.CERTAIN;
         }
-        boolean alone = anyGone() || inMinority();
-        if (inquiry.platform() == Inquiry.Platform.UNAVAILABLE && all && inquiry.sure() && !alone) {
+        boolean othersMayServe = anyNodeDead() || inMinority();
+        if (inquiry.platform() == Inquiry.Platform.UNAVAILABLE && all && inquiry.complete() && !othersMayServe) {
             return Inquiry.Certainty.CERTAIN;
         }
-        return age.compareTo(INQUIRY_PATIENCE) < 0 ? Inquiry.Certainty.PENDING : Inquiry.Certainty.UNKNOWN;
+        return age.compareTo(INQUIRY_TIMEOUT) < 0 ? Inquiry.Certainty.PENDING : Inquiry.Certainty.UNKNOWN;
     }
 
     /**
@@ -278,13 +294,13 @@
     }
 
     /**
-     * Returns whether a node can't serve trainers unseen, because it said that it leaves, or has been gone for so long
-     * that the members have forgotten it.
+     * Returns whether a node can't serve trainers unnoticed, because it announced that it is leaving, or has been dead
+     * for so long that the members have forgotten it.
      *
      * @param name The node.
-     * @return {@code true} if the node has handed off what it knew, or is forgotten.
+     * @return {@code true} if the node is leaving or is forgotten.
      */
-    private boolean handedOff(NodeName name) {
+    private boolean hasLeft(NodeName name) {
         return context.membership
                 .find(name)
                 .map(member -> member.condition() == MemberCondition.LEAVING)
@@ -292,73 +308,74 @@
     }
 
     /**
-     * Returns whether any node that took work has gone without saying that it leaves.
+     * Returns whether any node that took work is dead without having announced that it is leaving.
      *
-     * @return {@code true} if any node is gone.
+     * @return {@code true} if any node is dead.
      */
-    private boolean anyGone() {
-        return seen.stream().anyMatch(name -> context.membership
+    private boolean anyNodeDead() {
+        return observedNodes.stream().anyMatch(name -> context.membership
                 .find(name)
                 .map(member -> member.condition() == MemberCondition.DEAD)
                 .orElse(false));
     }
 
     /**
-     * Returns whether at most half of the nodes are in sight, such that the others could serve trainers unseen. Then
-     * only the platform can tell what a trainer has taken.
+     * Returns whether at most half of the nodes are reachable, so that the others could serve trainers unnoticed. Then
+     * only the platform can determine what a trainer has received.
      *
-     * @return {@code true} if at most half of the nodes are in sight.
+     * @return {@code true} if at most half of the nodes are reachable.
      */
     boolean inMinority() {
-        return context.roles.working().size() * 2 <= seen.size();
+        return context.roles.working().size() * 2 <= observedNodes.size();
     }
 
     /**
-     * Returns whether what a trainer has taken would survive the loss of this node: it is known to the other keeper, in
-     * another availability zone if the site has several, or to the platform.
+     * Returns whether the record of a trainer's acknowledged groups survives the loss of this node: either the other
+     * keeper has it, in another availability zone if the site has several, or the platform stores it.
      *
      * @param trainer The trainer.
-     * @return {@code true} if it is safe.
+     * @return {@code true} if the cursor is durable.
      */
-    boolean safe(TrainerName trainer) {
+    boolean isDurable(TrainerName trainer) {
         CursorState state = context.cursor(trainer);
         List<Member> keepers = context.roles.keepers(trainer);
-        boolean shared = context.roles.others(keepers).stream().allMatch(member -> state.sharedWith(member.identity()));
-        boolean apart = context.inTwoZones(keepers) && !inMinority();
-        return (apart && shared) || store.holds(state.acknowledged());
+        boolean confirmedByKeepers =
+                context.roles.others(keepers).stream().allMatch(member -> state.isConfirmedBy(member.identity()));
+        boolean zoneRedundant = context.inTwoZones(keepers) && !inMinority();
+        return (zoneRedundant && confirmedByKeepers) || store.holds(state.acknowledged());
     }
 
     /**
-     * Takes what the platform knows.
+     * Joins the cursor that the platform stores.
      *
      * @param tick The current tick.
      * @param trainer The trainer.
      * @param event The platform's answer.
      */
-    private void learnFromPlatform(Tick tick, TrainerName trainer, PlatformEvent event) {
+    private void joinPlatformCursor(Tick tick, TrainerName trainer, PlatformEvent event) {
         if (event instanceof PlatformEvent.ObjectRead read) {
             CursorStore.cursor(trainer, read.object()).ifPresent(cursor -> join(tick, trainer, cursor));
         }
     }
 
     /**
-     * Takes what another node knows.
+     * Joins the cursor that another node reported, and records that the node has it.
      *
      * @param tick The current tick.
      * @param sender The other node.
      * @param trainer The trainer.
-     * @param text The cursor that the other node knows.
-     * @param sure {@code true} if the other node was sure of it.
+     * @param text The encoded cursor that the other node has recorded.
+     * @param complete {@code true} if the other node's cursor is complete.
      */
-    private void learn(Tick tick, NodeIdentity sender, TrainerName trainer, String text, boolean sure) {
+    private void applyReport(Tick tick, NodeIdentity sender, TrainerName trainer, String text, boolean complete) {
         Cursor cursor = CursorCodec.decodeOrStart(trainer, text);
         join(tick, trainer, cursor);
-        CursorState state = context.cursor(trainer).withKnownAt(sender, cursor);
-        context.cursors.put(trainer, sure ? state.withSure() : state);
+        CursorState state = context.cursor(trainer).withConfirmedCursor(sender, cursor);
+        context.cursors.put(trainer, complete ? state.withComplete() : state);
     }
 
     /**
-     * Joins a cursor, and lets go of the groups that it covers.
+     * Joins a cursor, and removes the groups that it covers.
      *
      * @param tick The current tick.
      * @param trainer The trainer.
@@ -383,22 +400,23 @@
         for (HeldGroup held : context.held.rows()) {
             if (held.key().trainer().equals(trainer) && after.acknowledged().contains(held.key())) {
                 context.held.remove(held.key());
-                flights.cancel(held.key());
+                sampleRequests.cancel(held.key());
             }
         }
         if (before.lastBatch().isPresent()) {
-            tellHolders(tick, before, after);
+            notifyHolders(tick, before, after);
         }
     }
 
     /**
-     * Tells the holders of groups that the groups were taken. A holder that does not hear it learns it from a keeper.
+     * Notifies the holders of groups that the trainer has received them. A holder that misses the message is informed
+     * by a keeper later.
      *
      * @param tick The current tick.
-     * @param before What was known before.
-     * @param after What is known now.
+     * @param before The state before the change.
+     * @param after The state after the change.
      */
-    private void tellHolders(Tick tick, CursorState before, CursorState after) {
+    private void notifyHolders(Tick tick, CursorState before, CursorState after) {
         TrainerName trainer = after.acknowledged().trainer();
         Set<NodeName> holders = after.acknowledged().without(before.acknowledged()).stream()
                 .flatMap(key -> context.roles.others(context.roles.holders(key)).stream())
@@ -410,18 +428,18 @@
     }
 
     /**
-     * Shares a cursor that this node is sure of with the keepers that are not known to know it.
+     * Sends a complete cursor to the keepers that have not confirmed it.
      *
      * @param tick The current tick.
-     * @param state The cursor.
+     * @param state The state of the cursor.
      */
-    private void share(Tick tick, CursorState state) {
-        if (!state.sure()) {
+    private void replicate(Tick tick, CursorState state) {
+        if (!state.complete()) {
             return;
         }
         TrainerName trainer = state.acknowledged().trainer();
         for (Member keeper : context.roles.others(context.roles.keepers(trainer))) {
-            if (!state.sharedWith(keeper.identity())) {
+            if (!state.isConfirmedBy(keeper.identity())) {
                 String text = CursorCodec.encode(state.acknowledged());
                 context.outbox.send(tick, keeper, new SampleMessage.Acknowledge(trainer, text, true, true));
             }
@@ -429,30 +447,30 @@
     }
 
     /**
-     * Says what this node knows.
+     * Creates a message with the cursor of this node.
      *
      * @param trainer The trainer.
      * @return The message.
      */
-    private SampleMessage known(TrainerName trainer) {
+    private SampleMessage cursorReport(TrainerName trainer) {
         CursorState state = context.cursor(trainer);
-        return new SampleMessage.CursorKnown(trainer, CursorCodec.encode(state.acknowledged()), state.sure());
+        return new SampleMessage.CursorKnown(trainer, CursorCodec.encode(state.acknowledged()), state.complete());
     }
 
     /**
-     * A question to the platform about a cursor that a trainer presented.
+     * A query to the platform that confirms a cursor that a trainer presented.
      *
      * @param trainer The trainer.
-     * @param startedAt The time at which the platform was asked.
+     * @param startedAt The time at which the platform was queried.
      * @param token The token of the call.
      * @param answered {@code true} once the call ended.
      */
     private record Confirmation(TrainerName trainer, MonotonicTime startedAt, long token, boolean answered) {
 
         /**
-         * Returns this question after its call ended.
+         * Returns this confirmation after its call ended.
          *
-         * @return The changed question.
+         * @return The changed confirmation.
          */
         private Confirmation withAnswer() {
             return new Confirmation(trainer, startedAt, token, true);
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/DiscardReason.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/DiscardReason.java
@@ -2,19 +2,19 @@
 
 import java.util.Locale;
 
-/** Why generated work was thrown away and run again. Length is never a reason. */
+/** The reason for which generated samples were discarded and are generated again. Their length is never a reason. */
 public enum DiscardReason {
-    /** The samples would be used past the staleness bound. */
+    /** The samples would exceed the staleness bound when used. */
     STALE,
-    /** The generation was stopped because its samples would be past the staleness bound before they could be used. */
+    /** The generation was stopped because its sample would exceed the staleness bound before it could be used. */
     STOPPED_EARLY,
-    /** The engine did not say which weight versions it used. */
+    /** The engine did not report which weight versions it used. */
     VERSION_UNREPORTED,
-    /** The engine named weight versions that can't be true. */
+    /** The engine reported a weight version that was not published. */
     VERSION_IMPOSSIBLE,
-    /** The engine was read back to hold an older version than it named. */
+    /** A reading of the engine showed an older version than the engine reported for the sample. */
     VERSION_CONTRADICTED,
-    /** The answer of a scorer that must not be called twice was lost. */
+    /** The answer of a scorer whose calls must not be repeated was lost. */
     SCORE_LOST,
     /** The keepers lost the group. */
     KEEPERS_LOST;
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/GenerationSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/GenerationSystem.java
@@ -14,37 +14,43 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Takes what engines generated, proves its labels, and finishes groups. It runs after the request path. */
+/**
+ * Processes the outcomes of generations, verifies the labels of samples, and finishes groups. It runs after the request
+ * path.
+ */
 final class GenerationSystem implements SampleMessageHandler {
 
-    /** The pause before a generation that failed or was rejected runs again. */
-    private static final Duration BACKOFF = Duration.ofMillis(100);
+    /** The initial delay before a failed or rejected generation is retried. */
+    private static final Duration INITIAL_BACKOFF = Duration.ofMillis(100);
 
-    /** The longest such pause. */
+    /** The maximum delay before a generation is retried. */
     private static final Duration MAXIMUM_BACKOFF = Duration.ofSeconds(5);
 
-    /** The time in which an engine's reading must confirm a label that is newer than the reading before. */
-    private static final Duration VERIFY_PATIENCE = Duration.ofSeconds(3);
+    /**
+     * The time within which a reading of the engine and a publication must confirm a label that is newer than the
+     * latest ones.
+     */
+    private static final Duration VERIFICATION_TIMEOUT = Duration.ofSeconds(3);
 
-    /** The codes of refusals that say that the pool has more work than it can take. */
+    /** The codes of refusals that indicate that the pool is overloaded. */
     private static final Set<String> OVERLOAD_CODES = Set.of("queue-full", "shed", "deadline-unreachable");
 
-    /** The HTTP status of a whole answer. */
-    private static final int OK = 200;
+    /** The HTTP status of a successful answer. */
+    private static final int HTTP_OK = 200;
 
     /** The shared tables. */
     private final SampleContext context;
 
     /** The requests in progress. */
-    private final FlightTable flights;
+    private final SampleRequestTable sampleRequests;
 
-    /** Bounds the requests in progress. */
+    /** Limits the requests in progress by pool. */
     private final PoolWindow window;
 
-    /** Expects the length of samples. */
+    /** Estimates the length of samples. */
     private final LengthEstimate lengths;
 
-    /** Proves labels. */
+    /** Verifies labels. */
     private final LabelCheck labels;
 
     /** Sends finished groups to their keepers. */
@@ -54,19 +60,19 @@
      * Creates a new system.
      *
      * @param context The shared tables.
-     * @param flights The requests in progress.
-     * @param window Bounds the requests in progress.
-     * @param lengths Expects the length of samples.
+     * @param sampleRequests The requests in progress.
+     * @param window Limits the requests in progress by pool.
+     * @param lengths Estimates the length of samples.
      * @param holders Sends finished groups to their keepers.
      */
     GenerationSystem(
             SampleContext context,
-            FlightTable flights,
+            SampleRequestTable sampleRequests,
             PoolWindow window,
             LengthEstimate lengths,
             HolderSystem holders) {
         this.context = context;
-        this.flights = flights;
+        this.sampleRequests = sampleRequests;
         this.window = window;
         this.lengths = lengths;
         this.holders = holders;
@@ -76,22 +82,25 @@
     /** {@inheritDoc} */
     @Override
     public void receive(Tick _tick, NodeIdentity _sender, SampleMessage _message) {
-        // Generations come from the request path alone.
+        // The outcomes of generations arrive only from the request path.
     }
 
     /** {@inheritDoc} */
     @Override
     public void run(Tick tick) {
         for (RequestEvent.Progressed event : tick.events(RequestEvent.Progressed.class)) {
-            flights.find(event.id()).ifPresent(flight -> progressed(flight, event.partial()));
+            sampleRequests.find(event.id()).ifPresent(sampleRequest -> progressed(sampleRequest, event.partial()));
         }
         for (RequestEvent.Concluded event : tick.events(RequestEvent.Concluded.class)) {
-            flights.find(event.id()).filter(flight -> !flight.scoring()).ifPresent(flight -> {
-                flights.remove(event.id());
-                if (expected(flight)) {
-                    concluded(tick, flight, event.outcome());
-                }
-            });
+            sampleRequests
+                    .find(event.id())
+                    .filter(sampleRequest -> !sampleRequest.scoring())
+                    .ifPresent(sampleRequest -> {
+                        sampleRequests.remove(event.id());
+                        if (isAwaited(sampleRequest)) {
+                            concluded(tick, sampleRequest, event.outcome());
+                        }
+                    });
         }
         for (HeldGroup group : context.held.rows()) {
             if (group.stage() == HeldGroup.Stage.RUNNING) {
@@ -102,118 +111,125 @@
     }
 
     /**
-     * Returns whether a generation is the one that its sample waits for.
+     * Returns whether a generation is the one that its sample currently waits for.
      *
-     * @param flight The generation.
+     * @param sampleRequest The generation.
      * @return {@code true} if the sample waits for it.
      */
-    private boolean expected(Flight flight) {
+    private boolean isAwaited(SampleRequest sampleRequest) {
         return context.held
-                .find(flight.key())
+                .find(sampleRequest.key())
                 .filter(group -> group.stage() == HeldGroup.Stage.RUNNING)
-                .flatMap(group -> group.slots().get(flight.index()).request())
-                .filter(flight.id()::equals)
+                .flatMap(group -> group.slots().get(sampleRequest.index()).request())
+                .filter(sampleRequest.id()::equals)
                 .isPresent();
     }
 
     /**
-     * Learns the version that a generation began with.
+     * Records the version with which a generation began.
      *
-     * @param flight The generation.
-     * @param partial What was generated so far.
+     * @param sampleRequest The generation.
+     * @param partial The partial generation.
      */
-    private void progressed(Flight flight, Generation partial) {
+    private void progressed(SampleRequest sampleRequest, Generation partial) {
         if (!partial.segments().isEmpty() && partial.segments().get(0).version() >= 0) {
-            flights.put(flight.withOldestVersion(partial.segments().get(0).version()));
+            sampleRequests.put(
+                    sampleRequest.withOldestVersion(partial.segments().get(0).version()));
         }
     }
 
     /**
-     * Takes the outcome of a generation.
+     * Processes the outcome of a generation.
      *
      * @param tick The current tick.
-     * @param flight The generation.
+     * @param sampleRequest The generation.
      * @param outcome The outcome.
      */
-    private void concluded(Tick tick, Flight flight, Outcome outcome) {
+    private void concluded(Tick tick, SampleRequest sampleRequest, Outcome outcome) {
         if (outcome instanceof Outcome.Answered answered
-                && answered.status() == OK
+                && answered.status() == HTTP_OK
                 && answered.generation().isPresent()
                 && !answered.generation().get().finishReason().isEmpty()) {
-            window.answered(flight.pool());
-            generated(tick, flight, answered.endpoint(), answered.generation().get());
+            window.answered(sampleRequest.pool());
+            generated(
+                    tick,
+                    sampleRequest,
+                    answered.endpoint(),
+                    answered.generation().get());
         } else if (outcome instanceof Outcome.NotRun notRun) {
             if (OVERLOAD_CODES.contains(notRun.code())) {
-                window.refused(flight.pool());
+                window.refused(sampleRequest.pool());
             }
-            again(tick, flight, notRun.retryAfter().orElse(BACKOFF));
+            retry(tick, sampleRequest, notRun.retryAfter().orElse(INITIAL_BACKOFF));
         } else {
-            again(tick, flight, BACKOFF);
+            retry(tick, sampleRequest, INITIAL_BACKOFF);
         }
     }
 
     /**
-     * Takes a whole generation.
+     * Processes a complete generation.
      *
      * @param tick The current tick.
-     * @param flight The generation's request.
+     * @param sampleRequest The generation's request.
      * @param engine The engine.
      * @param generation The generation.
      */
-    private void generated(Tick tick, Flight flight, EndpointName engine, Generation generation) {
-        GroupKey key = flight.key();
+    private void generated(Tick tick, SampleRequest sampleRequest, EndpointName engine, Generation generation) {
+        GroupKey key = sampleRequest.key();
         Optional<TrainerSettings> settings = context.trainer(key.trainer());
         if (settings.isEmpty()) {
-            again(tick, flight, MAXIMUM_BACKOFF);
+            retry(tick, sampleRequest, MAXIMUM_BACKOFF);
             return;
         }
         long published = context.cursor(key.trainer()).progress().published();
         LabelCheck.Verdict verdict =
-                labels.judge(generation, engine, settings.get().model(), published);
+                labels.check(generation, engine, settings.get().model(), published);
         if (verdict == LabelCheck.Verdict.UNREPORTED) {
-            reject(tick, flight, DiscardReason.VERSION_UNREPORTED, generation.tokens());
+            reject(tick, sampleRequest, DiscardReason.VERSION_UNREPORTED, generation.tokens());
         } else {
-            Sample sample = new Sample(flight.index(), generation.text(), generation.segments(), 0, false);
-            boolean proven = verdict == LabelCheck.Verdict.PROVEN;
-            Slot.Phase next = proven ? afterProof(settings.get()) : Slot.Phase.VERIFYING;
-            lengthObserved(tick, key, flight.index(), sample);
+            Sample sample = new Sample(sampleRequest.index(), generation.text(), generation.segments(), 0, false);
+            boolean verified = verdict == LabelCheck.Verdict.VERIFIED;
+            Slot.Phase nextPhase = verified ? phaseAfterVerification(settings.get()) : Slot.Phase.VERIFYING;
+            recordLength(tick, key, sampleRequest.index(), sample);
             context.held.update(
                     key,
                     group -> group.withSlot(
-                            flight.index(),
-                            group.slots().get(flight.index()).withSample(next, sample, engine, tick.now())));
+                            sampleRequest.index(),
+                            group.slots()
+                                    .get(sampleRequest.index())
+                                    .withSample(nextPhase, sample, engine, tick.now())));
         }
     }
 
     /**
-     * Counts a generated sample.
+     * Records the length and generation time of a sample.
      *
      * @param tick The current tick.
      * @param key The identity of the group.
      * @param index The index of the sample in its group.
      * @param sample The sample.
      */
-    private void lengthObserved(Tick tick, GroupKey key, int index, Sample sample) {
+    private void recordLength(Tick tick, GroupKey key, int index, Sample sample) {
         context.held.find(key).ifPresent(group -> {
             lengths.observe(group.specification().prompt(), sample.tokens());
-            MonotonicTime begun = group.slots().get(index).startedAt();
+            MonotonicTime startedAt = group.slots().get(index).startedAt();
             context.statistics.generated(
-                    key.trainer(), sample.tokens(), tick.now().since(begun));
+                    key.trainer(), sample.tokens(), tick.now().since(startedAt));
         });
     }
 
     /**
-     * Returns what a sample waits for after its label is proven.
+     * Returns the phase of a sample after its label is verified.
      *
      * @param settings The trainer's settings.
      * @return The phase.
      */
-    private static Slot.Phase afterProof(TrainerSettings settings) {
+    private static Slot.Phase phaseAfterVerification(TrainerSettings settings) {
         return settings.scorer().isPresent() ? Slot.Phase.UNSCORED : Slot.Phase.FINISHED;
     }
 
     /**
-     * Settles the labels of a group that wait for a reading, and discards samples that have become stale.
+     * Resolves the labels of a group that wait for a reading, and discards stale samples.
      *
      * @param tick The current tick.
      * @param group The group.
@@ -233,13 +249,13 @@
             if (slot.sample().get().oldestVersion() < oldestAllowed) {
                 discard(tick, group.key(), index, DiscardReason.STALE);
             } else if (slot.phase() == Slot.Phase.VERIFYING) {
-                settle(tick, group.key(), index, slot, settings.get());
+                resolveLabel(tick, group.key(), index, slot, settings.get());
             }
         }
     }
 
     /**
-     * Settles a label that waits for a reading.
+     * Verifies a label that waits for a reading, or discards its sample after {@link #VERIFICATION_TIMEOUT}.
      *
      * @param tick The current tick.
      * @param key The identity of the group.
@@ -247,12 +263,12 @@
      * @param slot The sample.
      * @param settings The trainer's settings.
      */
-    private void settle(Tick tick, GroupKey key, int index, Slot slot, TrainerSettings settings) {
-        long newest = LabelCheck.newest(slot.sample().orElseThrow().segments());
+    private void resolveLabel(Tick tick, GroupKey key, int index, Slot slot, TrainerSettings settings) {
+        long newest = LabelCheck.newestVersion(slot.sample().orElseThrow().segments());
         long published = context.cursor(key.trainer()).progress().published();
         if (labels.confirmed(newest, slot.endpoint().orElseThrow(), settings.model(), published)) {
-            context.held.update(key, group -> group.withSlot(index, slot.withPhase(afterProof(settings))));
-        } else if (slot.notBefore().plus(VERIFY_PATIENCE).isBefore(tick.now())) {
+            context.held.update(key, group -> group.withSlot(index, slot.withPhase(phaseAfterVerification(settings))));
+        } else if (slot.notBefore().plus(VERIFICATION_TIMEOUT).isBefore(tick.now())) {
             boolean unpublished = published > 0 && newest > published;
             discard(
                     tick,
@@ -263,7 +279,7 @@
     }
 
     /**
-     * Discards a sample that was generated, and has it generated again.
+     * Discards a generated sample, and schedules its generation again.
      *
      * @param tick The current tick.
      * @param key The identity of the group.
@@ -276,53 +292,54 @@
             int tokens = slot.sample().map(Sample::tokens).orElse(0);
             context.statistics.discarded(key.trainer(), reason, 1, tokens);
             tick.decide(Decision.of("discard", key + "/" + index, "run again", reason.code()));
-            return group.withSlot(index, slot.withGenerationAgain(tick.now().plus(backoff(slot))));
+            return group.withSlot(index, slot.withGenerationRetry(tick.now().plus(backoff(slot))));
         });
     }
 
     /**
-     * Rejects a generation for its label, and has it run again.
+     * Rejects a generation because of its label, and schedules it again.
      *
      * @param tick The current tick.
-     * @param flight The generation's request.
+     * @param sampleRequest The generation's request.
      * @param reason The reason.
      * @param tokens The number of its tokens.
      */
-    private void reject(Tick tick, Flight flight, DiscardReason reason, int tokens) {
-        context.statistics.discarded(flight.key().trainer(), reason, 1, tokens);
-        tick.decide(Decision.of("discard", flight.key() + "/" + flight.index(), "run again", reason.code()));
-        again(tick, flight, BACKOFF);
+    private void reject(Tick tick, SampleRequest sampleRequest, DiscardReason reason, int tokens) {
+        context.statistics.discarded(sampleRequest.key().trainer(), reason, 1, tokens);
+        tick.decide(
+                Decision.of("discard", sampleRequest.key() + "/" + sampleRequest.index(), "run again", reason.code()));
+        retry(tick, sampleRequest, INITIAL_BACKOFF);
     }
 
     /**
-     * Has a sample generated again.
+     * Schedules the generation of a sample again.
      *
      * @param tick The current tick.
-     * @param flight The generation that gave no sample.
-     * @param pause The smallest pause before.
+     * @param sampleRequest The generation that yielded no sample.
+     * @param minimumDelay The minimum delay before the next generation.
      */
-    private void again(Tick tick, Flight flight, Duration pause) {
-        context.held.update(flight.key(), group -> {
-            Slot slot = group.slots().get(flight.index());
+    private void retry(Tick tick, SampleRequest sampleRequest, Duration minimumDelay) {
+        context.held.update(sampleRequest.key(), group -> {
+            Slot slot = group.slots().get(sampleRequest.index());
             Duration backoff = backoff(slot);
-            Duration longest = pause.compareTo(backoff) > 0 ? pause : backoff;
+            Duration delay = minimumDelay.compareTo(backoff) > 0 ? minimumDelay : backoff;
             return group.withSlot(
-                    flight.index(), slot.withGenerationAgain(tick.now().plus(longest)));
+                    sampleRequest.index(), slot.withGenerationRetry(tick.now().plus(delay)));
         });
     }
 
     /**
-     * Computes the pause before a sample is generated again, which doubles with each attempt.
+     * Computes the delay before a sample is generated again, which doubles with each attempt.
      *
      * @param slot The sample.
-     * @return The pause.
+     * @return The delay.
      */
     private static Duration backoff(Slot slot) {
-        Duration pause = BACKOFF;
-        for (int attempt = 1; attempt < slot.attempts() && pause.compareTo(MAXIMUM_BACKOFF) < 0; attempt++) {
-            pause = pause.multipliedBy(2);
+        Duration delay = INITIAL_BACKOFF;
+        for (int attempt = 1; attempt < slot.attempts() && delay.compareTo(MAXIMUM_BACKOFF) < 0; attempt++) {
+            delay = delay.multipliedBy(2);
         }
-        return pause.compareTo(MAXIMUM_BACKOFF) < 0 ? pause : MAXIMUM_BACKOFF;
+        return delay.compareTo(MAXIMUM_BACKOFF) < 0 ? delay : MAXIMUM_BACKOFF;
     }
 
     /**
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/GroupKey.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/GroupKey.java
@@ -4,8 +4,8 @@
 import java.util.Comparator;
 
 /**
- * The identity of a group of samples. With the index of a sample in its group it names a slot, which every retry fills
- * anew and which is delivered once.
+ * The identity of a group of samples. Together with the index of a sample it identifies a slot, which each retry fills
+ * again and which is delivered exactly once.
  *
  * @param trainer The trainer that the group is for.
  * @param step The step of the trainer, from zero.
@@ -13,10 +13,10 @@
  */
 public record GroupKey(TrainerName trainer, long step, int group) implements Comparable<GroupKey> {
 
-    /** The largest step. */
+    /** The maximum step. */
     public static final long MAXIMUM_STEP = 1L << 40;
 
-    /** The largest number of a group in its step. */
+    /** The maximum number of a group in its step. */
     public static final int MAXIMUM_GROUP = (1 << 20) - 1;
 
     /** The order of groups: by trainer, then by step, then by number. */
@@ -24,13 +24,13 @@
             .thenComparingLong(GroupKey::step)
             .thenComparingInt(GroupKey::group);
 
-    /** Checks the numbers. */
+    /** Validates the numbers. */
     public GroupKey {
         if (step < 0 || step > MAXIMUM_STEP) {
-            throw new IllegalArgumentException("Not a step: " + step);
+            throw new IllegalArgumentException("step is out of range: " + step);
         }
         if (group < 0 || group > MAXIMUM_GROUP) {
-            throw new IllegalArgumentException("Not the number of a group: " + group);
+            throw new IllegalArgumentException("group number is out of range: " + group);
         }
     }
 
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/HandOverSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/HandOverSystem.java
@@ -16,40 +16,41 @@
 import java.util.Optional;
 
 /**
- * Hands finished groups over at a keeper. Nothing is handed over that the cursor holds, that is past the staleness
- * bound for the version named in the pull, or before the other keeper knows what the trainer has taken.
+ * Hands finished groups over at a keeper. A group is not handed over if the cursor contains it or if it exceeds the
+ * staleness bound for the version in the pull, and not before the record of what the trainer has acknowledged is
+ * durable.
  */
 final class HandOverSystem implements SampleMessageHandler {
 
-    /** The largest number of characters of one hand-over, which always has at least one group. */
-    private static final long MAXIMUM_CHARACTERS = 4L << 20;
+    /** The maximum number of characters of one hand-over, which contains at least one group regardless of its size. */
+    private static final long MAXIMUM_BATCH_CHARACTERS = 4L << 20;
 
-    /** The time after which a trainer should pull again if its cursor is not known. */
-    private static final long RETRY_AFTER_MILLIS = 1000;
+    /** The time after which a trainer should retry a refused pull. */
+    private static final long RETRY_DELAY_MILLIS = 1000;
 
-    /** The interval at which the progress of a trainer is told again. */
+    /** The interval at which the progress of a trainer is announced again. */
     private static final Duration PROGRESS_INTERVAL = Duration.ofSeconds(5);
 
     /** The shared tables. */
     private final SampleContext context;
 
-    /** Knows what trainers have taken. */
+    /** Tracks which groups trainers have received. */
     private final CursorSystem cursors;
 
-    /** The pulls that wait. */
+    /** The waiting pulls. */
     private final EntityTable<PullKey, WaitingPull> waiting = new EntityTable<>();
 
-    /** When the progress of trainers was last told. */
-    private final EntityTable<TrainerName, Interval> progressTold = new EntityTable<>();
+    /** The schedules at which the progress of trainers is announced. */
+    private final EntityTable<TrainerName, Interval> progressAnnouncements = new EntityTable<>();
 
-    /** The time of the tick before. */
-    private Optional<MonotonicTime> before = Optional.empty();
+    /** The time of the previous tick, or empty before the first. */
+    private Optional<MonotonicTime> previousTick = Optional.empty();
 
     /**
      * Creates a new system.
      *
      * @param context The shared tables.
-     * @param cursors Knows what trainers have taken.
+     * @param cursors Tracks which groups trainers have received.
      */
     HandOverSystem(SampleContext context, CursorSystem cursors) {
         this.context = context;
@@ -76,16 +77,16 @@
     /** {@inheritDoc} */
     @Override
     public void run(Tick tick) {
-        Duration passed = before.map(time -> tick.now().since(time)).orElse(Duration.ZERO);
-        before = Optional.of(tick.now());
+        Duration elapsed = previousTick.map(time -> tick.now().since(time)).orElse(Duration.ZERO);
+        previousTick = Optional.of(tick.now());
         for (WaitingPull row : waiting.rows()) {
-            row.cause().ifPresent(cause -> context.statistics.waited(row.pull().trainer(), cause, passed));
+            row.cause().ifPresent(cause -> context.statistics.waited(row.pull().trainer(), cause, elapsed));
             serve(tick, row);
         }
     }
 
     /**
-     * Answers a pull if it can be answered.
+     * Answers a pull, or lets it wait.
      *
      * @param tick The current tick.
      * @param row The pull.
@@ -99,15 +100,20 @@
         }
         Inquiry.Certainty certainty = certainty(tick, row);
         if (certainty == Inquiry.Certainty.UNKNOWN) {
-            refuse(tick, row, "cursor-unknown", "What the trainer has taken can't be known now.", RETRY_AFTER_MILLIS);
+            refuse(
+                    tick,
+                    row,
+                    "cursor-unknown",
+                    "The groups that the trainer has received can't be determined at present.",
+                    RETRY_DELAY_MILLIS);
             return;
         }
         if (certainty == Inquiry.Certainty.PENDING) {
             keepWaiting(tick, row, SampleReport.IdleCause.CURSOR_UNKNOWN);
             return;
         }
-        progress(tick, pull);
-        if (!cursors.safe(pull.trainer())) {
+        announceProgress(tick, pull);
+        if (!cursors.isDurable(pull.trainer())) {
             keepWaiting(tick, row, SampleReport.IdleCause.ACKNOWLEDGEMENT);
             return;
         }
@@ -121,8 +127,8 @@
     }
 
     /**
-     * Refuses a pull of a trainer whose settings are not known. A node that has just started knows none yet, which must
-     * not be taken for good.
+     * Refuses a pull of a trainer without settings. A node that has just started has no configuration yet, so its
+     * refusal must be temporary.
      *
      * @param tick The current tick.
      * @param row The pull.
@@ -131,26 +137,27 @@
         if (context.isConfigured()) {
             refuse(tick, row, "trainer-unknown", "The trainer is not configured.", 0);
         } else {
-            refuse(tick, row, "not-ready", "The node has no configuration yet.", RETRY_AFTER_MILLIS);
+            refuse(tick, row, "not-ready", "The node has not received a configuration yet.", RETRY_DELAY_MILLIS);
         }
     }
 
     /**
-     * Returns whether it is known what the trainer of a pull has taken. A trainer that presents a cursor says it
-     * itself; a keeper that has not followed the trainer asks around first, as the cursor may be an old one.
+     * Returns whether the groups that the trainer of a pull has received are determined. A presented cursor determines
+     * them, but a keeper without a complete cursor of the trainer starts an inquiry first, as the presented one may be
+     * outdated.
      *
      * @param tick The current tick.
      * @param row The pull.
-     * @return What is known.
+     * @return The certainty of the trainer's cursor at this node.
      */
     private Inquiry.Certainty certainty(Tick tick, WaitingPull row) {
         SampleMessage.Pull pull = row.pull();
-        if (row.cursorTaken()) {
+        if (row.cursorApplied()) {
             return Inquiry.Certainty.CERTAIN;
         }
         boolean presented = !pull.cursor().isEmpty();
         boolean trusted = presented && !cursors.inMinority();
-        if (trusted && context.cursor(pull.trainer()).sure()) {
+        if (trusted && context.cursor(pull.trainer()).complete()) {
             if (!cursors.confirmed(tick, pull.trainer(), row.arrivedAt())) {
                 return Inquiry.Certainty.PENDING;
             }
@@ -161,30 +168,31 @@
             }
         }
         if (presented) {
-            cursors.present(tick, CursorCodec.decodeOrStart(pull.trainer(), pull.cursor()));
+            cursors.processPresented(tick, CursorCodec.decodeOrStart(pull.trainer(), pull.cursor()));
         }
-        waiting.put(row.key(), row.withCursorTaken());
+        waiting.put(row.key(), row.withCursorApplied());
         return Inquiry.Certainty.CERTAIN;
     }
 
     /**
-     * Takes in how far a trainer has come, and tells the other nodes.
+     * Records the progress of a trainer, and announces it to the other nodes.
      *
      * @param tick The current tick.
      * @param pull The pull.
      */
-    private void progress(Tick tick, SampleMessage.Pull pull) {
+    private void announceProgress(Tick tick, SampleMessage.Pull pull) {
         TrainerName trainer = pull.trainer();
-        TrainerProgress known = context.cursor(trainer).progress();
+        TrainerProgress recorded = context.cursor(trainer).progress();
         boolean anyStep = pull.step() == SampleMessage.ANY_STEP;
-        boolean news =
-                pull.step() > known.step() || pull.useVersion() > known.useVersion() || anyStep != known.anyStep();
-        if (news) {
+        boolean advanced = pull.step() > recorded.step()
+                || pull.useVersion() > recorded.useVersion()
+                || anyStep != recorded.anyStep();
+        if (advanced) {
             cursors.progress(trainer, pull.step(), pull.useVersion());
         }
-        Interval interval = progressTold.find(trainer).orElseGet(() -> new Interval(PROGRESS_INTERVAL));
-        progressTold.put(trainer, interval);
-        if (interval.due(tick.now()) || news) {
+        Interval interval = progressAnnouncements.find(trainer).orElseGet(() -> new Interval(PROGRESS_INTERVAL));
+        progressAnnouncements.put(trainer, interval);
+        if (interval.due(tick.now()) || advanced) {
             SampleMessage message = new SampleMessage.Progress(trainer, pull.step(), pull.useVersion());
             for (Member member : context.roles.others(context.roles.working())) {
                 context.outbox.send(tick, member, message);
@@ -193,11 +201,12 @@
     }
 
     /**
-     * Discards the groups of a trainer that are past the staleness bound. As versions only grow, they stay so.
+     * Discards the groups of a trainer that exceed the staleness bound. Versions only increase, so such a group can
+     * never be used.
      *
      * @param tick The current tick.
      * @param pull The pull.
-     * @param bound The largest number of versions that a sample may be behind.
+     * @param bound The maximum number of versions that a sample may lag behind.
      */
     private void discardStale(Tick tick, SampleMessage.Pull pull, int bound) {
         for (KeptGroup kept : context.kept.rows()) {
@@ -214,21 +223,22 @@
                     "discard",
                     key.toString(),
                     "run again",
-                    "version " + group.oldestVersion() + " is used at " + pull.useVersion()));
+                    "version " + group.oldestVersion() + " would be used at version " + pull.useVersion()));
             SampleMessage message = new SampleMessage.Discarded(key, group.run(), DiscardReason.STALE.code());
             context.roles.holders(key).forEach(member -> context.outbox.send(tick, member, message));
         }
     }
 
     /**
-     * Picks the groups to hand over. The same cursor gives the same groups again while they are all here.
+     * Selects the groups to hand over. A repeated pull with the same cursor and step returns the same groups while this
+     * node keeps all of them.
      *
      * @param pull The pull.
      * @return The groups.
      */
     private List<FinishedGroup> batch(SampleMessage.Pull pull) {
         CursorState state = context.cursor(pull.trainer());
-        Optional<List<FinishedGroup>> again = state.lastBatch()
+        Optional<List<FinishedGroup>> repeated = state.lastBatch()
                 .filter(batch -> batch.base().equals(state.acknowledged()) && batch.step() == pull.step())
                 .map(batch -> batch.result().without(state.acknowledged()))
                 .filter(keys -> keys.size() <= pull.maximumGroups())
@@ -236,38 +246,38 @@
                 .map(keys -> keys.stream()
                         .map(key -> context.kept.find(key).orElseThrow().group())
                         .toList());
-        return again.orElseGet(() -> fresh(pull, state.acknowledged()));
+        return repeated.orElseGet(() -> newBatch(pull, state.acknowledged()));
     }
 
     /**
-     * Picks groups that were not handed over upon this cursor before.
+     * Selects groups for a first hand-over based on the acknowledged cursor.
      *
      * @param pull The pull.
-     * @param acknowledged What the trainer has taken.
+     * @param acknowledged The groups that the trainer has acknowledged.
      * @return The groups, earlier steps first.
      */
-    private List<FinishedGroup> fresh(SampleMessage.Pull pull, Cursor acknowledged) {
-        List<FinishedGroup> picked = new ArrayList<>();
+    private List<FinishedGroup> newBatch(SampleMessage.Pull pull, Cursor acknowledged) {
+        List<FinishedGroup> selected = new ArrayList<>();
         long characters = 0;
-        for (FinishedGroup group : ready(pull, acknowledged)) {
+        for (FinishedGroup group : readyGroups(pull, acknowledged)) {
             characters += group.characters();
-            boolean full = picked.size() >= pull.maximumGroups() || characters > MAXIMUM_CHARACTERS;
-            if (full && !picked.isEmpty()) {
+            boolean full = selected.size() >= pull.maximumGroups() || characters > MAXIMUM_BATCH_CHARACTERS;
+            if (full && !selected.isEmpty()) {
                 break;
             }
-            picked.add(group);
+            selected.add(group);
         }
-        return picked;
+        return selected;
     }
 
     /**
      * Lists the groups that may be handed over.
      *
      * @param pull The pull.
-     * @param acknowledged What the trainer has taken.
+     * @param acknowledged The groups that the trainer has acknowledged.
      * @return The groups, earlier steps first.
      */
-    private List<FinishedGroup> ready(SampleMessage.Pull pull, Cursor acknowledged) {
+    private List<FinishedGroup> readyGroups(SampleMessage.Pull pull, Cursor acknowledged) {
         return context.kept.view().stream()
                 .map(KeptGroup::group)
                 .filter(group -> group.key().trainer().equals(pull.trainer()))
@@ -293,7 +303,7 @@
         context.cursors.put(
                 pull.trainer(),
                 state.withBatch(new CursorState.Batch(state.acknowledged(), pull.step(), pull.useVersion(), result)));
-        int remaining = ready(pull, result).size();
+        int remaining = readyGroups(pull, result).size();
         tick.decide(Decision.of(
                 "hand-over",
                 pull.trainer().toString(),
@@ -303,11 +313,12 @@
     }
 
     /**
-     * Lets a pull wait, or answers it without groups if its time is over.
+     * Lets a pull wait, or answers it without groups or refuses it after its deadline. A pull whose cursor is not
+     * determined waits for the end of the inquiry.
      *
      * @param tick The current tick.
      * @param row The pull.
-     * @param cause What is missing.
+     * @param cause The cause for which it waits.
      */
     private void keepWaiting(Tick tick, WaitingPull row, SampleReport.IdleCause cause) {
         if (tick.now().isBefore(row.deadline()) || cause == SampleReport.IdleCause.CURSOR_UNKNOWN) {
@@ -315,7 +326,12 @@
             return;
         }
         if (cause == SampleReport.IdleCause.ACKNOWLEDGEMENT) {
-            refuse(tick, row, "cursor-unsafe", "What the trainer has taken is not yet safe.", RETRY_AFTER_MILLIS);
+            refuse(
+                    tick,
+                    row,
+                    "cursor-unsafe",
+                    "The record of the groups that the trainer has received is not yet durable.",
+                    RETRY_DELAY_MILLIS);
             return;
         }
         String cursor = CursorCodec.encode(context.cursor(row.pull().trainer()).acknowledged());
@@ -329,7 +345,7 @@
      * @param row The pull.
      * @param code The code of the reason.
      * @param message The explanation for the trainer.
-     * @param retryAfterMillis The time after which it is worth to ask again, or zero if it never is.
+     * @param retryAfterMillis The time after which the trainer may retry, or zero if a retry is useless.
      */
     private void refuse(Tick tick, WaitingPull row, String code, String message, long retryAfterMillis) {
         tick.decide(Decision.of("hand-over", row.pull().trainer().toString(), Decision.NO_CHOICE, code));
@@ -351,7 +367,7 @@
     /**
      * The key of a waiting pull.
      *
-     * @param origin The node that passed the pull on.
+     * @param origin The node that forwarded the pull.
      * @param token The token of the pull at that node.
      */
     private record PullKey(NodeName origin, long token) {}
@@ -362,35 +378,35 @@
      * @param key The key of this row.
      * @param pull The pull.
      * @param arrivedAt The time at which it arrived.
-     * @param deadline The time by which it is answered.
-     * @param cursorTaken {@code true} once its cursor was taken in, or was found without it.
-     * @param cause What was missing when it was last looked at, or empty before.
+     * @param deadline The time until which it may wait for groups.
+     * @param cursorApplied {@code true} once its cursor was applied, or was determined by an inquiry.
+     * @param cause The cause for which it last waited, or empty if it has not waited yet.
      */
     private record WaitingPull(
             PullKey key,
             SampleMessage.Pull pull,
             MonotonicTime arrivedAt,
             MonotonicTime deadline,
-            boolean cursorTaken,
+            boolean cursorApplied,
             Optional<SampleReport.IdleCause> cause) {
 
         /**
-         * Returns this pull after its cursor was taken in.
+         * Returns this pull after its cursor was applied.
          *
          * @return The changed pull.
          */
-        private WaitingPull withCursorTaken() {
+        private WaitingPull withCursorApplied() {
             return new WaitingPull(key, pull, arrivedAt, deadline, true, cause);
         }
 
         /**
-         * Returns this pull with what is missing.
+         * Returns this pull with the cause for which it waits.
          *
-         * @param missing What is missing.
+         * @param waitCause The cause.
          * @return The changed pull.
          */
-        private WaitingPull withCause(SampleReport.IdleCause missing) {
-            return new WaitingPull(key, pull, arrivedAt, deadline, cursorTaken, Optional.of(missing));
+        private WaitingPull withCause(SampleReport.IdleCause waitCause) {
+            return new WaitingPull(key, pull, arrivedAt, deadline, cursorApplied, Optional.of(waitCause));
         }
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/HeldGroup.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/HeldGroup.java
@@ -12,18 +12,18 @@
 
 /**
  * A row of the table of groups that this node holds as their driver or backup, from their acceptance until their
- * trainer has taken them.
+ * trainer has acknowledged them.
  *
  * @param specification The group as it was submitted.
- * @param stage What this node does for the group.
- * @param run The number of the run, from one.
- * @param acceptedAt The time at which this node began to hold the group.
+ * @param stage The stage of the group at this node.
+ * @param run The number of the run, starting at one.
+ * @param acceptedAt The time at which this node accepted the group.
  * @param slots The samples of the run.
- * @param finished The finished group while its keepers have not confirmed it, or empty.
+ * @param finished The finished group until its keepers have confirmed it, or empty.
  * @param storedAt The other nodes that confirmed to hold the group.
  * @param keptAt The keepers that confirmed to keep the finished group.
- * @param missingAt The keepers that lately said that they do not keep the group.
- * @param missingSince The time since when some keeper said so.
+ * @param missingAt The keepers that last reported that they do not keep the group.
+ * @param missingSince The time since which at least one keeper has reported the group missing.
  */
 record HeldGroup(
         GroupSpecification specification,
@@ -37,17 +37,17 @@
         Set<NodeName> missingAt,
         MonotonicTime missingSince) {
 
-    /** What a node does for a group. */
+    /** The stage of a group at a node. */
     enum Stage {
-        /** The node holds the group while another one drives it. */
+        /** The node holds a copy of the group while another node drives it. */
         BACKUP,
-        /** The node took the group over and asks the keepers whether it is finished. */
+        /** The node took over the group and queries the keepers whether it is finished. */
         CHECKING,
-        /** The node has the samples generated and scored. */
+        /** The node generates and scores the samples. */
         RUNNING,
-        /** The samples are finished and not yet safe at both keepers. */
+        /** The samples are finished, but not yet confirmed by both keepers. */
         FINISHED,
-        /** The keepers have the finished group. */
+        /** The keepers store the finished group. */
         KEPT
     }
 
@@ -60,10 +60,10 @@
     }
 
     /**
-     * Creates the row of a group that was just stored.
+     * Creates the row of a newly stored group.
      *
      * @param specification The group.
-     * @param stage What this node does for the group.
+     * @param stage The stage of the group at this node.
      * @param now The current time.
      * @return The row.
      */
@@ -102,11 +102,11 @@
     }
 
     /**
-     * Returns whether any sample was begun in this run.
+     * Returns whether the generation of any sample has started in this run.
      *
-     * @return {@code true} if any sample was begun.
+     * @return {@code true} if any generation has started.
      */
-    boolean begun() {
+    boolean hasStarted() {
         return slots.stream().anyMatch(slot -> slot.phase() != Slot.Phase.WAITING || slot.attempts() > 0);
     }
 
@@ -142,14 +142,14 @@
      * @return The changed group.
      */
     HeldGroup withFinished(List<Sample> samples) {
-        FinishedGroup whole = new FinishedGroup(key(), run, samples);
+        FinishedGroup finishedGroup = new FinishedGroup(key(), run, samples);
         return new HeldGroup(
                 specification,
                 Stage.FINISHED,
                 run,
                 acceptedAt,
                 List.of(),
-                Optional.of(whole),
+                Optional.of(finishedGroup),
                 storedAt,
                 Set.of(),
                 Set.of(),
@@ -157,7 +157,7 @@
     }
 
     /**
-     * Returns this group as its keepers have it, without the finished samples.
+     * Returns this group after its keepers confirmed it, without the finished samples.
      *
      * @return The changed group.
      */
@@ -176,7 +176,7 @@
     }
 
     /**
-     * Returns this group as it begins another run.
+     * Returns this group at the start of its next run.
      *
      * @return The changed group.
      */
@@ -235,7 +235,7 @@
     }
 
     /**
-     * Returns this group after a keeper said whether it keeps it.
+     * Returns this group after a keeper reported whether it keeps it.
      *
      * @param node The keeper.
      * @param missing {@code true} if the keeper does not keep the group.
@@ -267,7 +267,7 @@
      *
      * @param nodes The set.
      * @param node The element to add.
-     * @return The larger set.
+     * @return The extended set.
      */
     private static Set<NodeIdentity> plus(Set<NodeIdentity> nodes, NodeIdentity node) {
         Set<NodeIdentity> changed = new HashSet<>(nodes);
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/HolderSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/HolderSystem.java
@@ -16,50 +16,54 @@
 import java.util.stream.Collectors;
 
 /**
- * Holds accepted groups at their driver and backup until their trainer has taken them, and passes them on when members
- * come or go. All messages are repeated until they are confirmed, so that none needs to arrive.
+ * Holds accepted groups at their driver and backup until their trainer has acknowledged them, and transfers them when
+ * members join or leave. All messages are repeated until they are confirmed, so the loss of any single message is
+ * harmless.
  */
 final class HolderSystem implements SampleMessageHandler {
 
-    /** The interval at which what is not confirmed is sent again. */
+    /** The interval at which unconfirmed groups are sent again. */
     private static final Duration SWEEP_INTERVAL = Duration.ofMillis(500);
 
-    /** The interval at which keepers are asked for the groups that they should have. */
+    /** The interval at which keepers are queried for the groups that they should keep. */
     private static final Duration RECONCILE_INTERVAL = Duration.ofSeconds(3);
 
-    /** The time for which a single keeper may lack a group before the group runs again. */
-    private static final Duration MISSING_PATIENCE = Duration.ofSeconds(15);
+    /** The time for which a single keeper may lack a group before the group is run again. */
+    private static final Duration MISSING_GROUP_TIMEOUT = Duration.ofSeconds(15);
 
-    /** The largest number of groups that are sent in one sweep. */
-    private static final int MAXIMUM_PER_SWEEP = 64;
+    /** The maximum number of groups that are sent in one sweep. */
+    private static final int MAXIMUM_GROUPS_PER_SWEEP = 64;
 
-    /** The time after which a trainer should submit again what is refused for lack of room. */
-    private static final long RETRY_AFTER_MILLIS = 1000;
+    /**
+     * The time after which a trainer should resubmit a group that was refused because of the limit of groups in
+     * progress.
+     */
+    private static final long RETRY_DELAY_MILLIS = 1000;
 
     /** The shared tables. */
     private final SampleContext context;
 
     /** The requests in progress. */
-    private final FlightTable flights;
+    private final SampleRequestTable sampleRequests;
 
-    /** When unconfirmed messages are sent again. */
+    /** The schedule at which unconfirmed groups are sent again. */
     private final Interval sweep = new Interval(SWEEP_INTERVAL);
 
-    /** When keepers are asked. */
+    /** The schedule at which keepers are queried. */
     private final Interval reconcile = new Interval(RECONCILE_INTERVAL);
 
-    /** The number of groups that may still be sent in this sweep. */
-    private int budget;
+    /** The number of groups that may still be sent in the current sweep. */
+    private int remainingGroups;
 
     /**
      * Creates a new system.
      *
      * @param context The shared tables.
-     * @param flights The requests in progress.
+     * @param sampleRequests The requests in progress.
      */
-    HolderSystem(SampleContext context, FlightTable flights) {
+    HolderSystem(SampleContext context, SampleRequestTable sampleRequests) {
         this.context = context;
-        this.flights = flights;
+        this.sampleRequests = sampleRequests;
     }
 
     /** {@inheritDoc} */
@@ -85,11 +89,11 @@
     public void run(Tick tick) {
         boolean rolesChanged = context.rolesChanged();
         if (rolesChanged || sweep.due(tick.now())) {
-            budget = MAXIMUM_PER_SWEEP;
+            remainingGroups = MAXIMUM_GROUPS_PER_SWEEP;
             context.held.rows().forEach(group -> sweep(tick, group));
         }
         if (rolesChanged || reconcile.due(tick.now())) {
-            askKeepers(tick);
+            queryKeepers(tick);
         }
     }
 
@@ -110,7 +114,7 @@
     }
 
     /**
-     * Takes a group to hold.
+     * Stores a group, or refuses to hold it.
      *
      * @param tick The current tick.
      * @param sender The node that sent the group.
@@ -125,14 +129,14 @@
             return;
         }
         if (!context.held.contains(key) && !context.delivered(key)) {
-            if (message.submitted() && drives && full(key.trainer())) {
+            if (message.submitted() && drives && isAtLimit(key.trainer())) {
                 context.outbox.send(
                         tick,
                         sender.name(),
-                        new SampleMessage.StoreRefused(key, "groups-in-progress", RETRY_AFTER_MILLIS));
+                        new SampleMessage.StoreRefused(key, "groups-in-progress", RETRY_DELAY_MILLIS));
                 return;
             }
-            context.held.put(key, HeldGroup.of(message.specification(), firstStage(message, drives), tick.now()));
+            context.held.put(key, HeldGroup.of(message.specification(), initialStage(message, drives), tick.now()));
         }
         if (!message.submitted()) {
             context.held.update(key, group -> group.withStoredAt(sender));
@@ -141,13 +145,13 @@
     }
 
     /**
-     * Returns what this node does for a group that it begins to hold.
+     * Returns the initial stage of a group that this node begins to hold.
      *
      * @param message The message with the group.
      * @param drives {@code true} if this node is the group's driver.
      * @return The stage.
      */
-    private static HeldGroup.Stage firstStage(SampleMessage.Store message, boolean drives) {
+    private static HeldGroup.Stage initialStage(SampleMessage.Store message, boolean drives) {
         if (!drives) {
             return HeldGroup.Stage.BACKUP;
         }
@@ -155,12 +159,13 @@
     }
 
     /**
-     * Returns whether this node drives as many groups of a trainer as its share of the trainer's limit allows.
+     * Returns whether this node drives the maximum number of groups of a trainer, which is its share of the trainer's
+     * limit.
      *
      * @param trainer The trainer.
-     * @return {@code true} if no further group may be taken.
+     * @return {@code true} if no further group may be accepted.
      */
-    private boolean full(TrainerName trainer) {
+    private boolean isAtLimit(TrainerName trainer) {
         int limit =
                 context.trainer(trainer).map(TrainerSettings::groupsInProgress).orElse(0);
         long driven = context.held.view().stream()
@@ -171,23 +176,24 @@
     }
 
     /**
-     * Brings one group nearer to where it belongs.
+     * Sends a group to the nodes that should have it and have not confirmed it, and removes the group if this node need
+     * no longer hold it.
      *
      * @param tick The current tick.
      * @param group The group.
      */
     private void sweep(Tick tick, HeldGroup group) {
         List<Member> pair = context.roles.holders(group.key());
-        HeldGroup changed = takeRole(tick, group);
+        HeldGroup changed = updateStage(tick, group);
         List<Member> unconfirmed = context.roles.others(pair).stream()
                 .filter(member -> !changed.storedAt().contains(member.identity()))
                 .toList();
         for (Member member : unconfirmed) {
-            if (budget-- > 0) {
+            if (remainingGroups-- > 0) {
                 context.outbox.send(tick, member, new SampleMessage.Store(changed.specification(), false));
             }
         }
-        if (changed.stage() == HeldGroup.Stage.FINISHED && budget-- > 0) {
+        if (changed.stage() == HeldGroup.Stage.FINISHED && remainingGroups-- > 0) {
             sendFinished(tick, changed);
             releaseIfKept(changed);
         }
@@ -199,22 +205,23 @@
     }
 
     /**
-     * Takes over a group whose driver is gone, or leaves a group that was not begun to its new driver.
+     * Takes over a group whose driver is gone, or becomes the backup of a group whose generation has not started if
+     * another node drives it now.
      *
      * @param tick The current tick.
      * @param group The group.
-     * @return The group as it is then.
+     * @return The group with its updated stage.
      */
-    private HeldGroup takeRole(Tick tick, HeldGroup group) {
+    private HeldGroup updateStage(Tick tick, HeldGroup group) {
         boolean drives = context.roles.drives(group.key());
         HeldGroup changed = group;
         if (drives && group.stage() == HeldGroup.Stage.BACKUP) {
             tick.decide(Decision.of(
-                    "drive", group.key().toString(), context.self().toString(), "the driver before is gone"));
+                    "drive", group.key().toString(), context.self().toString(), "the previous driver is gone"));
             changed = group.withStage(HeldGroup.Stage.CHECKING);
         } else if (!drives && group.stage() == HeldGroup.Stage.CHECKING) {
             changed = group.withStage(HeldGroup.Stage.BACKUP);
-        } else if (!drives && group.stage() == HeldGroup.Stage.RUNNING && !group.begun()) {
+        } else if (!drives && group.stage() == HeldGroup.Stage.RUNNING && !group.hasStarted()) {
             changed = group.withStage(HeldGroup.Stage.BACKUP);
         }
         context.held.put(group.key(), changed);
@@ -222,7 +229,7 @@
     }
 
     /**
-     * Drops the samples of a group that both keepers have.
+     * Drops the finished samples of a group that all of its keepers have confirmed.
      *
      * @param group The group.
      */
@@ -238,11 +245,11 @@
     }
 
     /**
-     * Asks the keepers for the groups that they should have.
+     * Queries the keepers for the groups that they should keep.
      *
      * @param tick The current tick.
      */
-    private void askKeepers(Tick tick) {
+    private void queryKeepers(Tick tick) {
         Map<TrainerName, List<GroupKey>> keys = new HashMap<>();
         for (HeldGroup group : context.held.view()) {
             if (group.stage() == HeldGroup.Stage.KEPT || group.stage() == HeldGroup.Stage.CHECKING) {
@@ -256,7 +263,7 @@
     }
 
     /**
-     * Takes a keeper's word on a group.
+     * Applies a keeper's report of whether it keeps a group.
      *
      * @param tick The current tick.
      * @param keeper The keeper.
@@ -272,35 +279,35 @@
         }
         HeldGroup group = found.get().withMissing(keeper.name(), missing, tick.now());
         context.held.put(key, group);
-        boolean everywhere = context.roles.keepers(key.trainer()).stream()
+        boolean missingEverywhere = context.roles.keepers(key.trainer()).stream()
                 .allMatch(member -> group.missingAt().contains(member.identity().name()));
         boolean checking = group.stage() == HeldGroup.Stage.CHECKING;
-        if (checking && everywhere) {
+        if (checking && missingEverywhere) {
             context.held.put(key, group.withStage(HeldGroup.Stage.RUNNING));
         } else if (checking && !missing) {
             context.held.put(key, group.withKept());
-        } else if (!checking && (everywhere || longMissing(tick, group))) {
+        } else if (!checking && (missingEverywhere || isOverdue(tick, group))) {
             runAgain(tick, group, DiscardReason.KEEPERS_LOST);
         }
     }
 
     /**
-     * Returns whether a keeper lacks a group for a long time.
+     * Returns whether a keeper has lacked a group for longer than {@link #MISSING_GROUP_TIMEOUT}.
      *
      * @param tick The current tick.
      * @param group The group.
-     * @return {@code true} if the group should run again.
+     * @return {@code true} if the group should be run again.
      */
-    private static boolean longMissing(Tick tick, HeldGroup group) {
+    private static boolean isOverdue(Tick tick, HeldGroup group) {
         return !group.missingAt().isEmpty()
-                && tick.now().since(group.missingSince()).compareTo(MISSING_PATIENCE) > 0;
+                && tick.now().since(group.missingSince()).compareTo(MISSING_GROUP_TIMEOUT) > 0;
     }
 
     /**
-     * Takes the news that a keeper discarded a group.
+     * Applies a keeper's report that it discarded a group.
      *
      * @param tick The current tick.
-     * @param message The news.
+     * @param message The report.
      */
     private void discarded(Tick tick, SampleMessage.Discarded message) {
         context.held
@@ -311,7 +318,7 @@
     }
 
     /**
-     * Begins another run of a group.
+     * Starts another run of a group.
      *
      * @param tick The current tick.
      * @param group The group.
@@ -319,7 +326,7 @@
      */
     private void runAgain(Tick tick, HeldGroup group, DiscardReason reason) {
         tick.decide(Decision.of("run-again", group.key().toString(), "run " + (group.run() + 1), reason.code()));
-        flights.cancel(group.key());
+        sampleRequests.cancel(group.key());
         context.held.put(group.key(), group.withNextRun());
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/Inquiry.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/Inquiry.java
@@ -7,15 +7,16 @@
 import java.util.Set;
 
 /**
- * Finds out what a trainer has taken, by asking the platform and all members that take work.
+ * The state of a query to the platform and to all members that take work, which determines the groups that a trainer
+ * has received.
  *
  * @param trainer The trainer.
- * @param startedAt The time at which the inquiry began.
- * @param readAt The time at which the platform is asked.
+ * @param startedAt The time at which the inquiry started.
+ * @param readAt The time at which the platform is queried.
  * @param token The token of the call to the platform.
- * @param platform What the platform answered.
+ * @param platform The state of the query to the platform.
  * @param answered The nodes that answered.
- * @param sure {@code true} if any node was sure of what the trainer has taken.
+ * @param complete {@code true} if any node reported a complete cursor of the trainer.
  */
 record Inquiry(
         TrainerName trainer,
@@ -24,27 +25,27 @@
         long token,
         Platform platform,
         Set<NodeIdentity> answered,
-        boolean sure) {
+        boolean complete) {
 
-    /** What the platform answered. */
+    /** The state of the query to the platform. */
     enum Platform {
-        /** The platform is to be asked later. */
+        /** The platform was not queried yet. */
         DUE,
-        /** The platform has not answered yet. */
-        ASKED,
-        /** The platform answered with what it has. */
+        /** The platform was queried, and its answer is pending. */
+        REQUESTED,
+        /** The platform answered with its stored cursor, if any. */
         ANSWERED,
-        /** The platform gave no answer. */
+        /** The platform did not answer. */
         UNAVAILABLE
     }
 
-    /** What an inquiry found. */
+    /** The result of an inquiry. */
     enum Certainty {
-        /** Answers are missing. */
+        /** Answers are pending. */
         PENDING,
-        /** All that the trainer has taken is known. */
+        /** All groups that the trainer has received are determined. */
         CERTAIN,
-        /** It can't be known. */
+        /** The groups that the trainer has received can't be determined. */
         UNKNOWN
     }
 
@@ -54,25 +55,25 @@
     }
 
     /**
-     * Returns this inquiry after the platform answered.
+     * Returns this inquiry with another state of the query to the platform.
      *
-     * @param answer What the platform answered.
+     * @param answer The changed state of the query to the platform.
      * @return The changed inquiry.
      */
     Inquiry withPlatform(Platform answer) {
-        return new Inquiry(trainer, startedAt, readAt, token, answer, answered, sure);
+        return new Inquiry(trainer, startedAt, readAt, token, answer, answered, complete);
     }
 
     /**
      * Returns this inquiry after a node answered.
      *
      * @param node The node.
-     * @param nodeSure {@code true} if the node was sure of what the trainer has taken.
+     * @param nodeComplete {@code true} if the node reported a complete cursor of the trainer.
      * @return The changed inquiry.
      */
-    Inquiry withAnswer(NodeIdentity node, boolean nodeSure) {
+    Inquiry withAnswer(NodeIdentity node, boolean nodeComplete) {
         Set<NodeIdentity> nodes = new HashSet<>(answered);
         nodes.add(node);
-        return new Inquiry(trainer, startedAt, readAt, token, platform, nodes, sure || nodeSure);
+        return new Inquiry(trainer, startedAt, readAt, token, platform, nodes, complete || nodeComplete);
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/Interval.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/Interval.java
@@ -3,7 +3,7 @@
 import io.yuccaswitch.core.time.MonotonicTime;
 import java.time.Duration;
 
-/** Says when work that is done at intervals is due. */
+/** The schedule of work that runs at a fixed minimum interval. */
 final class Interval {
 
     /** The time between two runs. */
@@ -13,7 +13,7 @@
     private MonotonicTime next = new MonotonicTime(Long.MIN_VALUE);
 
     /**
-     * Creates a new interval whose first run is due at once.
+     * Creates a new interval whose first run is due immediately.
      *
      * @param length The time between two runs.
      */
@@ -22,7 +22,7 @@
     }
 
     /**
-     * Returns whether a run is due, and if so counts from now to the next.
+     * Returns whether a run is due, and if so schedules the next run relative to the current time.
      *
      * @param now The current time.
      * @return {@code true} if a run is due.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/KeeperSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/KeeperSystem.java
@@ -11,22 +11,28 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Keeps finished groups at two keepers until their trainer has taken them, and passes them on when keepers change. */
+/**
+ * Stores finished groups at two keepers until their trainer has acknowledged them, and transfers them when the keepers
+ * change.
+ */
 final class KeeperSystem implements SampleMessageHandler {
 
-    /** The interval at which keepers compare what they keep. */
+    /** The interval at which keepers reconcile the groups that they keep. */
     private static final Duration SWEEP_INTERVAL = Duration.ofSeconds(1);
 
-    /** The time for which the driver is left to bring a group to both keepers. */
-    private static final Duration DRIVER_PATIENCE = Duration.ofSeconds(2);
+    /**
+     * The time within which the driver of a group is expected to send it to both keepers. Only later does a keeper send
+     * it to the other one.
+     */
+    private static final Duration DRIVER_REPLICATION_TIMEOUT = Duration.ofSeconds(2);
 
-    /** The largest number of groups that are sent to one node in a sweep. */
-    private static final int MAXIMUM_PER_SWEEP = 64;
+    /** The maximum number of groups that are sent to one node in a sweep. */
+    private static final int MAXIMUM_GROUPS_PER_SWEEP = 64;
 
     /** The shared tables. */
     private final SampleContext context;
 
-    /** When keepers compare what they keep. */
+    /** The schedule at which keepers reconcile the groups that they keep. */
     private final Interval sweep = new Interval(SWEEP_INTERVAL);
 
     /**
@@ -45,10 +51,10 @@
             keep(tick, sender, keep.group());
         } else if (message instanceof SampleMessage.Kept kept) {
             context.kept.update(kept.key(), group -> group.withKeptAt(sender));
-        } else if (message instanceof SampleMessage.Reconcile question) {
-            answer(tick, sender, question);
+        } else if (message instanceof SampleMessage.Reconcile query) {
+            answer(tick, sender, query);
         } else if (message instanceof SampleMessage.Reconciled answer) {
-            compared(tick, sender, answer);
+            reconciled(tick, sender, answer);
         }
     }
 
@@ -56,7 +62,7 @@
     @Override
     public void run(Tick tick) {
         if (context.rolesChanged() || sweep.due(tick.now())) {
-            compare(tick);
+            reconcile(tick);
         }
     }
 
@@ -79,59 +85,61 @@
     }
 
     /**
-     * Says which of some groups this node keeps.
+     * Answers which of the queried groups this node keeps.
      *
      * @param tick The current tick.
-     * @param sender The node that asks.
-     * @param question The groups.
+     * @param sender The node that sent the query.
+     * @param query The query.
      */
-    private void answer(Tick tick, NodeIdentity sender, SampleMessage.Reconcile question) {
+    private void answer(Tick tick, NodeIdentity sender, SampleMessage.Reconcile query) {
         List<GroupKey> present = new ArrayList<>();
         List<GroupKey> missing = new ArrayList<>();
-        for (GroupKey key : question.keys()) {
+        for (GroupKey key : query.keys()) {
             if (context.kept.contains(key)) {
                 present.add(key);
             } else if (!context.delivered(key)) {
                 missing.add(key);
             }
         }
-        String cursor = CursorCodec.encode(context.cursor(question.trainer()).acknowledged());
+        String cursor = CursorCodec.encode(context.cursor(query.trainer()).acknowledged());
         context.outbox.send(
-                tick, sender.name(), new SampleMessage.Reconciled(question.trainer(), present, missing, cursor));
+                tick, sender.name(), new SampleMessage.Reconciled(query.trainer(), present, missing, cursor));
     }
 
     /**
-     * Asks the other keepers for the groups that they are not known to keep.
+     * Queries the other keepers for the groups that they have not confirmed, and removes confirmed groups that this
+     * node need no longer keep.
      *
      * @param tick The current tick.
      */
-    private void compare(Tick tick) {
+    private void reconcile(Tick tick) {
         Map<TrainerName, List<KeptGroup>> groups = new HashMap<>();
         for (KeptGroup kept : context.kept.rows()) {
             TrainerName trainer = kept.group().key().trainer();
             List<Member> keepers = context.roles.keepers(trainer);
             List<Member> others = context.roles.others(keepers);
-            boolean safe = others.stream().allMatch(member -> kept.keptAt().contains(member.identity()));
-            if (safe && others.size() == keepers.size() && !keepers.isEmpty()) {
+            boolean confirmedByOthers =
+                    others.stream().allMatch(member -> kept.keptAt().contains(member.identity()));
+            if (confirmedByOthers && others.size() == keepers.size() && !keepers.isEmpty()) {
                 context.kept.remove(kept.group().key());
-            } else if (!safe) {
+            } else if (!confirmedByOthers) {
                 groups.computeIfAbsent(trainer, _trainer -> new ArrayList<>()).add(kept);
             }
         }
         groups.forEach((trainer, rows) -> context.roles
                 .others(context.roles.keepers(trainer))
-                .forEach(member -> ask(tick, member, trainer, rows)));
+                .forEach(member -> queryKeeper(tick, member, trainer, rows)));
     }
 
     /**
-     * Asks another keeper for groups that it is not known to keep.
+     * Queries another keeper for groups that it has not confirmed.
      *
      * @param tick The current tick.
-     * @param member The other keeper.
+     * @param member The other node.
      * @param trainer The trainer.
-     * @param rows The groups of the trainer that some keeper is not known to keep.
+     * @param rows The groups of the trainer that at least one keeper has not confirmed.
      */
-    private void ask(Tick tick, Member member, TrainerName trainer, List<KeptGroup> rows) {
+    private void queryKeeper(Tick tick, Member member, TrainerName trainer, List<KeptGroup> rows) {
         List<GroupKey> keys = rows.stream()
                 .filter(kept -> !kept.keptAt().contains(member.identity()))
                 .map(kept -> kept.group().key())
@@ -142,13 +150,13 @@
     }
 
     /**
-     * Sends another keeper the groups that it lacks.
+     * Records the groups that another node keeps, and sends it the missing ones if it is a keeper.
      *
      * @param tick The current tick.
-     * @param sender The other keeper.
-     * @param answer What the other keeper has.
+     * @param sender The other node.
+     * @param answer The answer of the other node.
      */
-    private void compared(Tick tick, NodeIdentity sender, SampleMessage.Reconciled answer) {
+    private void reconciled(Tick tick, NodeIdentity sender, SampleMessage.Reconciled answer) {
         answer.present().forEach(key -> context.kept.update(key, group -> group.withKeptAt(sender)));
         boolean keeper = context.roles.keepers(answer.trainer()).stream()
                 .anyMatch(member -> member.identity().equals(sender));
@@ -157,8 +165,8 @@
         }
         answer.missing().stream()
                 .flatMap(key -> context.kept.find(key).stream())
-                .filter(kept -> tick.now().since(kept.since()).compareTo(DRIVER_PATIENCE) > 0)
-                .limit(MAXIMUM_PER_SWEEP)
+                .filter(kept -> tick.now().since(kept.since()).compareTo(DRIVER_REPLICATION_TIMEOUT) > 0)
+                .limit(MAXIMUM_GROUPS_PER_SWEEP)
                 .forEach(kept -> context.outbox.send(tick, sender.name(), new SampleMessage.Keep(kept.group())));
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/KeptGroup.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/KeptGroup.java
@@ -6,10 +6,10 @@
 import java.util.Set;
 
 /**
- * A row of the table of finished groups that this node keeps for their trainers.
+ * A row of the table of finished groups that this node keeps until their trainers have acknowledged them.
  *
  * @param group The finished group.
- * @param since The time since when this node keeps it.
+ * @param since The time since which this node keeps it.
  * @param keptAt The other nodes that confirmed to keep the group too.
  */
 record KeptGroup(FinishedGroup group, MonotonicTime since, Set<NodeIdentity> keptAt) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/LabelCheck.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/LabelCheck.java
@@ -6,8 +6,8 @@
 import java.util.OptionalLong;
 
 /**
- * Judges whether the versions that an engine reported for a generation may label a sample. A label is never guessed: a
- * generation whose versions are not proven runs again.
+ * Checks whether the versions that an engine reported for a generation may label a sample. A label is never guessed: a
+ * generation whose versions can't be verified is run again.
  */
 final class LabelCheck {
 
@@ -23,47 +23,50 @@
         this.readings = readings;
     }
 
-    /** What a check found. */
+    /** The result of a check. */
     enum Verdict {
-        /** The label is proven. */
-        PROVEN,
-        /** The engine did not say which versions it used. */
+        /** The label is verified. */
+        VERIFIED,
+        /** The engine did not report which versions it used. */
         UNREPORTED,
-        /** The engine named a newer version than its latest reading or the latest publication, which lag behind. */
+        /**
+         * The label is newer than the latest reading of the engine or the latest publication, either of which may lag
+         * behind.
+         */
         UNCONFIRMED
     }
 
     /**
-     * Judges a generation.
+     * Checks the label of a generation.
      *
-     * @param generation What the engine generated, with its versions.
+     * @param generation The generation, with the versions that the engine reported.
      * @param engine The engine.
      * @param model The model.
-     * @param published The highest version that the trainer is known to have published, or zero if none is.
-     * @return What the check found.
+     * @param published The highest recorded version that the trainer has published, or zero if there is none.
+     * @return The result of the check.
      */
-    Verdict judge(Generation generation, EndpointName engine, String model, long published) {
+    Verdict check(Generation generation, EndpointName engine, String model, long published) {
         List<Generation.Segment> segments = generation.segments();
         if (segments.isEmpty() || segments.stream().anyMatch(segment -> segment.version() < 0)) {
             return Verdict.UNREPORTED;
         }
-        return confirmed(newest(segments), engine, model, published) ? Verdict.PROVEN : Verdict.UNCONFIRMED;
+        return confirmed(newestVersion(segments), engine, model, published) ? Verdict.VERIFIED : Verdict.UNCONFIRMED;
     }
 
     /**
-     * Returns whether the latest reading of an engine and the latest publication agree with a label.
+     * Returns whether the latest reading of an engine and the latest publication confirm a label.
      *
-     * @param newest The newest version of the label.
+     * @param newestVersion The newest version of the label.
      * @param engine The engine.
      * @param model The model.
-     * @param published The highest version that the trainer is known to have published, or zero if none is.
-     * @return {@code true} if the version was published, and the engine was not read yet or was read to hold this
-     *     version or a newer one.
+     * @param published The highest recorded version that the trainer has published, or zero if there is none.
+     * @return {@code true} if the version was published or no publication is recorded, and the engine reported this
+     *     version or a newer one at its latest reading or was not read yet.
      */
-    boolean confirmed(long newest, EndpointName engine, String model, long published) {
+    boolean confirmed(long newestVersion, EndpointName engine, String model, long published) {
         OptionalLong reading = readings.version(engine, model);
-        boolean read = reading.isEmpty() || reading.getAsLong() >= newest;
-        return read && (published == 0 || newest <= published);
+        boolean confirmedByReading = reading.isEmpty() || reading.getAsLong() >= newestVersion;
+        return confirmedByReading && (published == 0 || newestVersion <= published);
     }
 
     /**
@@ -72,7 +75,7 @@
      * @param segments The segments of the label.
      * @return The newest version.
      */
-    static long newest(List<Generation.Segment> segments) {
+    static long newestVersion(List<Generation.Segment> segments) {
         return segments.stream().mapToLong(Generation.Segment::version).max().orElse(0);
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/LengthEstimate.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/LengthEstimate.java
@@ -5,19 +5,22 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Expects the length of samples from the lengths of earlier samples of the same prompt. */
+/** Estimates the length of samples from the lengths of earlier samples of the same prompt. */
 final class LengthEstimate {
 
-    /** The largest number of prompts that are remembered. */
+    /** The maximum number of prompts whose mean length is retained. */
     private static final int MAXIMUM_PROMPTS = 8192;
 
-    /** The share of the newest observation. */
-    private static final double SMOOTHING = 0.3;
+    /** The weight of the newest observation in the mean. */
+    private static final double SMOOTHING_FACTOR = 0.3;
 
-    /** The usual share of the largest number of tokens that a sample has, before any is known. */
-    private static final double USUAL_SHARE = 0.25;
+    /**
+     * The estimated length of a sample as a share of the maximum number of tokens, before any sample of its prompt was
+     * observed.
+     */
+    private static final double DEFAULT_LENGTH_SHARE = 0.25;
 
-    /** The mean number of tokens by the hash of the prompt, the least recently used first. */
+    /** The mean number of tokens by the hash of the prompt, least recently used first. */
     private final Map<Long, Double> means = new LinkedHashMap<>(16, 0.75f, true) {
 
         /** {@inheritDoc} */
@@ -28,24 +31,24 @@
     };
 
     /**
-     * Learns from a sample.
+     * Records the length of a sample.
      *
      * @param prompt The prompt.
      * @param tokens The number of tokens of the sample.
      */
     void observe(String prompt, int tokens) {
-        means.merge(hash(prompt), (double) tokens, (mean, latest) -> mean + SMOOTHING * (latest - mean));
+        means.merge(hash(prompt), (double) tokens, (mean, latest) -> mean + SMOOTHING_FACTOR * (latest - mean));
     }
 
     /**
-     * Expects the length of a sample.
+     * Estimates the length of a sample.
      *
      * @param specification The group of the sample.
      * @return The expected number of tokens.
      */
-    int expect(GroupSpecification specification) {
+    int estimate(GroupSpecification specification) {
         Double mean = means.get(hash(specification.prompt()));
-        double expected = mean == null ? specification.maximumTokens() * USUAL_SHARE : mean;
+        double expected = mean == null ? specification.maximumTokens() * DEFAULT_LENGTH_SHARE : mean;
         return (int) Math.max(1, Math.min(specification.maximumTokens(), Math.round(expected)));
     }
 
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/Outbox.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/Outbox.java
@@ -9,10 +9,10 @@
 import java.util.Optional;
 import java.util.Queue;
 
-/** Sends messages to nodes. Messages to this node itself wait here until they are taken in the same tick. */
+/** Sends messages to nodes. Messages to this node itself are queued and processed within the same tick. */
 final class Outbox {
 
-    /** The members, for this node's own name. */
+    /** The members, which provide this node's name. */
     private final MembershipView membership;
 
     /** The messages to this node itself. */
@@ -54,11 +54,11 @@
     }
 
     /**
-     * Takes the oldest message to this node itself.
+     * Removes and returns the oldest message to this node itself.
      *
      * @return The message, or empty if there is none.
      */
-    Optional<SampleMessage> takeLocal() {
+    Optional<SampleMessage> pollLocal() {
         return Optional.ofNullable(local.poll());
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/PoolWindow.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/PoolWindow.java
@@ -6,27 +6,27 @@
 import java.util.Map;
 
 /**
- * Bounds the generations that this node has in progress in a pool: its part of the pool's capacity, cut down while the
- * request path refuses work. What waits beyond it waits in this package, where it is ordered.
+ * Limits the generations that this node has in progress in a pool to its share of the pool's capacity, which is reduced
+ * while the request path refuses work. Samples beyond the limit wait in this package, where the schedule orders them.
  */
 final class PoolWindow {
 
-    /** How much more than its part of the capacity a node may use, as the groups are not spread evenly. */
-    private static final double OVERCOMMIT = 1.5;
+    /** The factor by which a node may exceed its share of the capacity, as the groups are not distributed evenly. */
+    private static final double OVERCOMMIT_FACTOR = 1.5;
 
-    /** The factor by which a refusal cuts the window. */
-    private static final double CUT = 0.7;
+    /** The factor by which a refusal reduces the window. */
+    private static final double REFUSAL_FACTOR = 0.7;
 
-    /** The smallest factor. */
-    private static final double SMALLEST_FACTOR = 0.05;
+    /** The minimum factor of a window. */
+    private static final double MINIMUM_FACTOR = 0.05;
 
-    /** The amount by which an answer widens the window. */
-    private static final double WIDENING = 0.05;
+    /** The amount by which an answer increases the factor of a window. */
+    private static final double ANSWER_INCREMENT = 0.05;
 
     /** The shared tables. */
     private final SampleContext context;
 
-    /** The factors by pool, one if a pool has none. */
+    /** The factors by which windows are reduced, by pool. The factor of an absent pool is one. */
     private final Map<PoolName, Double> factors = new HashMap<>();
 
     /**
@@ -39,31 +39,31 @@
     }
 
     /**
-     * Returns the largest number of generations in progress.
+     * Returns the maximum number of generations in progress.
      *
      * @param name The pool.
-     * @return The number, at least one if the pool is configured.
+     * @return The maximum number, at least one if the pool is configured and zero otherwise.
      */
     int size(PoolName name) {
         return context.pool(name).map(pool -> size(name, pool)).orElse(0);
     }
 
     /**
-     * Takes in that the request path refused a generation.
+     * Reduces the window after the request path refused a generation.
      *
      * @param pool The pool.
      */
     void refused(PoolName pool) {
-        factors.merge(pool, CUT, (factor, cut) -> Math.max(SMALLEST_FACTOR, factor * cut));
+        factors.merge(pool, REFUSAL_FACTOR, (factor, reduction) -> Math.max(MINIMUM_FACTOR, factor * reduction));
     }
 
     /**
-     * Takes in that a generation was answered.
+     * Increases the window after a generation was answered.
      *
      * @param pool The pool.
      */
     void answered(PoolName pool) {
-        factors.computeIfPresent(pool, (_pool, factor) -> Math.min(1, factor + WIDENING));
+        factors.computeIfPresent(pool, (_pool, factor) -> Math.min(1, factor + ANSWER_INCREMENT));
     }
 
     /**
@@ -71,7 +71,7 @@
      *
      * @param name The pool.
      * @param pool The pool's settings.
-     * @return The largest number of generations in progress.
+     * @return The maximum number of generations in progress.
      */
     private int size(PoolName name, PoolSettings pool) {
         int initial = pool.limits().initialConcurrency();
@@ -79,7 +79,7 @@
                 .mapToInt(engine -> context.readings.capacity(name, engine, initial))
                 .sum();
         int nodes = Math.max(1, context.roles.working().size());
-        double share = nodes == 1 ? capacity : Math.min(capacity, capacity * OVERCOMMIT / nodes);
+        double share = nodes == 1 ? capacity : Math.min(capacity, capacity * OVERCOMMIT_FACTOR / nodes);
         return (int) Math.max(1, Math.ceil(share * factors.getOrDefault(name, 1.0)));
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/PublicationEffect.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/PublicationEffect.java
@@ -3,7 +3,7 @@
 import io.yuccaswitch.core.decision.Effect;
 import io.yuccaswitch.core.identity.TrainerName;
 
-/** What became of a trainer's publication of weights at this node. */
+/** The result of a trainer's publication of weights at this node. */
 public sealed interface PublicationEffect extends Effect {
 
     /**
@@ -21,7 +21,7 @@
     long version();
 
     /**
-     * The publication is known to another node or to the platform, and may be answered.
+     * The publication is recorded at another node or on the platform, and may be acknowledged to the trainer.
      *
      * @param trainer The trainer.
      * @param version The version.
@@ -29,11 +29,11 @@
     record Safe(TrainerName trainer, long version) implements PublicationEffect {}
 
     /**
-     * The publication does not count.
+     * The publication is rejected.
      *
      * @param trainer The trainer.
      * @param version The version.
-     * @param newestVersion The newest version that is known.
+     * @param newestVersion The newest version that this node has recorded.
      */
     record Refused(TrainerName trainer, long version, long newestVersion) implements PublicationEffect {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/PullResult.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/PullResult.java
@@ -8,7 +8,7 @@
 public sealed interface PullResult {
 
     /**
-     * Groups are handed over, or none were ready in time.
+     * Groups are handed over, or no group became ready in time.
      *
      * @param cursor The cursor to present with the next pull, which then acknowledges these groups.
      * @param groups The groups.
@@ -21,7 +21,7 @@
      *
      * @param code The code of the reason.
      * @param message The explanation for the trainer.
-     * @param retryAfter The time after which it is worth to ask again, or empty if it never is.
+     * @param retryAfter The time after which the trainer may retry, or empty if a retry is useless.
      */
     record Refused(String code, String message, Optional<Duration> retryAfter) implements PullResult {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/PullSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/PullSystem.java
@@ -12,29 +12,29 @@
 import java.util.Optional;
 
 /**
- * Takes pulls from trainers and passes them on to a keeper: the primary, or the secondary if the primary does not
- * answer. That both may serve the same pull does no harm, as the trainer takes only one answer and its cursor says
- * which.
+ * Accepts pulls from trainers and forwards them to a keeper: the primary, or the secondary if the primary does not
+ * answer. It is harmless if both keepers serve the same pull, as the trainer processes only one answer and its next
+ * cursor identifies which.
  */
 final class PullSystem implements SampleMessageHandler {
 
-    /** The longest time that a pull may wait for groups. */
+    /** The maximum time that a pull may wait for groups. */
     private static final Duration MAXIMUM_WAIT = Duration.ofSeconds(60);
 
-    /** The time beyond the trainer's own that a keeper has for its answer. */
-    private static final Duration KEEPER_PATIENCE = Duration.ofMillis(2500);
+    /** The time that a keeper has for its answer in addition to the time that the trainer waits for groups. */
+    private static final Duration KEEPER_TIMEOUT_MARGIN = Duration.ofMillis(2500);
 
-    /** The largest number of keepers that are tried for a pull. */
+    /** The maximum number of attempts to forward a pull to a keeper. */
     private static final int MAXIMUM_ATTEMPTS = 4;
 
     /** The time after which a trainer should pull again if no keeper answers. */
-    private static final Duration RETRY_AFTER = Duration.ofMillis(500);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(500);
 
     /** The shared tables. */
     private final SampleContext context;
 
-    /** The pulls that are not answered yet. */
-    private final EntityTable<Long, Route> routes = new EntityTable<>();
+    /** The unanswered pulls by token. */
+    private final EntityTable<Long, ForwardedPull> forwardedPulls = new EntityTable<>();
 
     /**
      * Creates a new system.
@@ -61,31 +61,32 @@
     /** {@inheritDoc} */
     @Override
     public void run(Tick tick) {
-        tick.events(SampleEvent.PullRequested.class).forEach(event -> begin(tick, event));
-        tick.events(SampleEvent.PullAbandoned.class).forEach(event -> routes.remove(event.token()));
+        tick.events(SampleEvent.PullRequested.class).forEach(event -> start(tick, event));
+        tick.events(SampleEvent.PullAbandoned.class).forEach(event -> forwardedPulls.remove(event.token()));
         for (PeerEvent.Undeliverable event : tick.events(PeerEvent.Undeliverable.class)) {
             if (event.message() instanceof SampleMessage.Pull pull) {
-                routes.find(pull.token())
-                        .filter(route -> route.keeper().name().equals(event.target()))
-                        .ifPresent(route -> pass(tick, route.event(), Optional.of(route)));
+                forwardedPulls
+                        .find(pull.token())
+                        .filter(forwardedPull -> forwardedPull.keeper().name().equals(event.target()))
+                        .ifPresent(forwardedPull -> forward(tick, forwardedPull.event(), Optional.of(forwardedPull)));
             }
         }
-        for (Route route : routes.rows()) {
+        for (ForwardedPull forwardedPull : forwardedPulls.rows()) {
             boolean working = context.roles.working().stream()
-                    .anyMatch(member -> member.identity().equals(route.keeper()));
-            if (!working || route.patienceEnds().isBefore(tick.now())) {
-                pass(tick, route.event(), Optional.of(route));
+                    .anyMatch(member -> member.identity().equals(forwardedPull.keeper()));
+            if (!working || forwardedPull.keeperDeadline().isBefore(tick.now())) {
+                forward(tick, forwardedPull.event(), Optional.of(forwardedPull));
             }
         }
     }
 
     /**
-     * Begins a pull, or refuses it at once if its cursor is not the trainer's.
+     * Starts a pull, or refuses it immediately if the trainer is not configured or the cursor is not valid for it.
      *
      * @param tick The current tick.
      * @param event The pull.
      */
-    private void begin(Tick tick, SampleEvent.PullRequested event) {
+    private void start(Tick tick, SampleEvent.PullRequested event) {
         Optional<CursorCodec.Reading> reading = event.cursor().map(text -> CursorCodec.decode(event.trainer(), text));
         if (context.trainer(event.trainer()).isEmpty()) {
             refuse(tick, event, "trainer-unknown", "The trainer is not configured.", Optional.empty());
@@ -99,34 +100,35 @@
                     "The cursor belongs to the trainer " + foreign.owner() + ".",
                     Optional.empty());
         } else {
-            pass(tick, event, Optional.empty());
+            forward(tick, event, Optional.empty());
         }
     }
 
     /**
-     * Passes a pull on to the next keeper.
+     * Forwards a pull to the next keeper, or refuses it if there is none.
      *
      * @param tick The current tick.
      * @param event The pull.
-     * @param before The attempt before, or empty for the first.
+     * @param previous The previous attempt, or empty for the first.
      */
-    private void pass(Tick tick, SampleEvent.PullRequested event, Optional<Route> before) {
-        int attempt = before.map(Route::attempt).orElse(0) + 1;
+    private void forward(Tick tick, SampleEvent.PullRequested event, Optional<ForwardedPull> previous) {
+        int attempt = previous.map(ForwardedPull::attempt).orElse(0) + 1;
         List<Member> keepers = context.roles.keepers(event.trainer());
         if (attempt > MAXIMUM_ATTEMPTS || keepers.isEmpty()) {
-            refuse(tick, event, "keepers-unreachable", "No keeper answers.", Optional.of(RETRY_AFTER));
+            refuse(tick, event, "keepers-unreachable", "No keeper answered.", Optional.of(RETRY_DELAY));
             return;
         }
         Member keeper = keepers.stream()
-                .filter(member -> before.isEmpty()
-                        || !member.identity().equals(before.get().keeper()))
+                .filter(member -> previous.isEmpty()
+                        || !member.identity().equals(previous.get().keeper()))
                 .findFirst()
                 .orElseGet(() -> keepers.get(0));
         MonotonicTime deadline =
-                before.map(Route::deadline).orElseGet(() -> tick.now().plus(bounded(event.patience())));
-        Duration left = tick.now().isBefore(deadline) ? deadline.since(tick.now()) : Duration.ZERO;
-        MonotonicTime patienceEnds = tick.now().plus(left).plus(KEEPER_PATIENCE);
-        routes.put(event.token(), new Route(event, keeper.identity(), attempt, deadline, patienceEnds));
+                previous.map(ForwardedPull::deadline).orElseGet(() -> tick.now().plus(limitedWait(event.patience())));
+        Duration remainingWait = tick.now().isBefore(deadline) ? deadline.since(tick.now()) : Duration.ZERO;
+        MonotonicTime keeperDeadline = tick.now().plus(remainingWait).plus(KEEPER_TIMEOUT_MARGIN);
+        forwardedPulls.put(
+                event.token(), new ForwardedPull(event, keeper.identity(), attempt, deadline, keeperDeadline));
         SampleMessage.Pull message = new SampleMessage.Pull(
                 event.token(),
                 event.trainer(),
@@ -134,18 +136,18 @@
                 event.useVersion(),
                 event.step().orElse(SampleMessage.ANY_STEP),
                 event.maximumGroups(),
-                left.toMillis());
+                remainingWait.toMillis());
         context.outbox.send(tick, keeper, message);
     }
 
     /**
-     * Bounds the time that a pull may wait.
+     * Limits the time that a pull may wait.
      *
-     * @param patience The time that the trainer asked for.
-     * @return The time.
+     * @param requestedWait The time that the trainer requested.
+     * @return The limited time.
      */
-    private static Duration bounded(Duration patience) {
-        return patience.compareTo(MAXIMUM_WAIT) < 0 ? patience : MAXIMUM_WAIT;
+    private static Duration limitedWait(Duration requestedWait) {
+        return requestedWait.compareTo(MAXIMUM_WAIT) < 0 ? requestedWait : MAXIMUM_WAIT;
     }
 
     /**
@@ -155,11 +157,11 @@
      * @param event The pull.
      * @param code The code of the reason.
      * @param message The explanation for the trainer.
-     * @param retryAfter The time after which it is worth to ask again, or empty if it never is.
+     * @param retryAfter The time after which the trainer may retry, or empty if a retry is useless.
      */
     private void refuse(
             Tick tick, SampleEvent.PullRequested event, String code, String message, Optional<Duration> retryAfter) {
-        routes.remove(event.token());
+        forwardedPulls.remove(event.token());
         tick.decide(Decision.of("pull", event.trainer().toString(), Decision.NO_CHOICE, code));
         tick.emit(new SampleEffect.AnswerPull(event.token(), new PullResult.Refused(code, message, retryAfter)));
     }
@@ -172,22 +174,22 @@
      * @param result The result.
      */
     private void conclude(Tick tick, long token, PullResult result) {
-        routes.remove(token).ifPresent(_route -> tick.emit(new SampleEffect.AnswerPull(token, result)));
+        forwardedPulls.remove(token).ifPresent(_forwardedPull -> tick.emit(new SampleEffect.AnswerPull(token, result)));
     }
 
     /**
-     * A pull that is not answered yet.
+     * An unanswered pull, as it was forwarded to a keeper.
      *
      * @param event The pull.
-     * @param keeper The keeper that it was passed on to.
-     * @param attempt The number of the attempt, from one.
+     * @param keeper The keeper that it was forwarded to.
+     * @param attempt The number of the attempt, starting at one.
      * @param deadline The time until which the trainer wants to wait for groups.
-     * @param patienceEnds The time at which another keeper is tried.
+     * @param keeperDeadline The time at which another keeper is tried.
      */
-    private record Route(
+    private record ForwardedPull(
             SampleEvent.PullRequested event,
             NodeIdentity keeper,
             int attempt,
             MonotonicTime deadline,
-            MonotonicTime patienceEnds) {}
+            MonotonicTime keeperDeadline) {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/RoleTable.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/RoleTable.java
@@ -8,16 +8,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** Says which nodes drive, back up and keep what, by rendezvous among the members that take work. */
+/**
+ * Assigns the drivers and backups of groups and the keepers of trainers by rendezvous hashing among the members that
+ * take work.
+ */
 final class RoleTable {
 
     /** The members. */
     private final MembershipView membership;
 
-    /** The members that take work, as they were when the pairs were computed. */
+    /** The members that take work, as of the latest refresh. */
     private List<Member> working = List.of();
 
-    /** The pairs that were computed, by their keys. */
+    /** The cached pairs by their keys. */
     private final Map<String, List<Member>> pairs = new HashMap<>();
 
     /**
@@ -30,7 +33,7 @@
     }
 
     /**
-     * Forgets the pairs if the members that take work have changed.
+     * Updates the members that take work, and clears the cached pairs if they have changed.
      *
      * @return {@code true} if they have changed.
      */
@@ -95,12 +98,12 @@
     }
 
     /**
-     * Returns the members of a pair without this node.
+     * Returns the members of a list other than this node.
      *
-     * @param pair The pair.
+     * @param members The members.
      * @return The other members.
      */
-    List<Member> others(List<Member> pair) {
-        return pair.stream().filter(member -> !isSelf(member)).toList();
+    List<Member> others(List<Member> members) {
+        return members.stream().filter(member -> !isSelf(member)).toList();
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/Sample.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/Sample.java
@@ -9,7 +9,7 @@
  * @param index The index of the sample in its group.
  * @param text The generated text.
  * @param segments The segments of tokens with the weight versions that the engine reported for them.
- * @param score The score, or zero if the trainer has no scorer.
+ * @param score The score, or zero if the sample is not scored.
  * @param scored {@code true} if a scorer gave the score.
  */
 public record Sample(int index, String text, List<Generation.Segment> segments, double score, boolean scored) {
@@ -22,7 +22,7 @@
     /**
      * Returns the oldest weight version that produced a part of this sample.
      *
-     * @return The smallest version of all segments.
+     * @return The minimum version of all segments.
      */
     public long oldestVersion() {
         return segments.stream()
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleContext.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleContext.java
@@ -16,19 +16,19 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The tables that the systems of this package share, and what they know of the rest of the node. */
+/** The tables that the systems of this package share, and their view of the rest of the node. */
 final class SampleContext {
 
     /** The members. */
     final MembershipView membership;
 
-    /** Who drives and keeps what. */
+    /** Assigns drivers, backups and keepers. */
     final RoleTable roles;
 
     /** Sends messages. */
     final Outbox outbox;
 
-    /** Hands out the tokens of calls to the platform. */
+    /** Allocates the tokens of calls to the platform. */
     final PlatformTokens tokens;
 
     /** The groups that this node holds as driver or backup. */
@@ -37,26 +37,26 @@
     /** The finished groups that this node keeps. */
     final EntityTable<GroupKey, KeptGroup> kept = new EntityTable<>();
 
-    /** What this node knows of trainers' cursors. */
+    /** The state of trainers' cursors at this node. */
     final EntityTable<TrainerName, CursorState> cursors = new EntityTable<>();
 
-    /** The versions that engines reported to hold. */
+    /** The latest weight versions and capacities that engines reported. */
     final VersionReadings readings = new VersionReadings();
 
-    /** What was counted. */
+    /** The counters of samples by trainer. */
     final SampleStatistics statistics = new SampleStatistics();
 
-    /** Whether the members that take work changed since the tick before. */
+    /** Whether the members that take work changed since the previous tick. */
     private boolean rolesChanged;
 
-    /** The configuration in force, or empty before the first one. */
+    /** The active configuration, or empty before the first one. */
     private Optional<FleetConfiguration> configuration = Optional.empty();
 
     /**
      * Creates a new context.
      *
      * @param membership The members.
-     * @param tokens Hands out the tokens of calls to the platform.
+     * @param tokens Allocates the tokens of calls to the platform.
      */
     SampleContext(MembershipView membership, PlatformTokens tokens) {
         this.membership = membership;
@@ -66,7 +66,7 @@
     }
 
     /**
-     * Takes in what the tick's events say of configuration and versions.
+     * Applies the tick's events about configuration, publications, engine reports and members.
      *
      * @param tick The current tick.
      */
@@ -83,7 +83,7 @@
     }
 
     /**
-     * Returns whether the members that take work changed since the tick before.
+     * Returns whether the members that take work changed since the previous tick.
      *
      * @return {@code true} if they changed.
      */
@@ -101,9 +101,9 @@
     }
 
     /**
-     * Returns whether a configuration is in force.
+     * Returns whether a configuration is active.
      *
-     * @return {@code true} if a configuration is in force.
+     * @return {@code true} if a configuration is active.
      */
     boolean isConfigured() {
         return configuration.isPresent();
@@ -130,30 +130,31 @@
     }
 
     /**
-     * Returns whether a pair lies in two availability zones, or the site has only one.
+     * Returns whether the members of a pair are in two availability zones, or the site has only one.
      *
      * @param pair The members of the pair.
-     * @return {@code true} if what the pair holds survives the loss of an availability zone, as far as the site can.
+     * @return {@code true} if the data of the pair survives the loss of an availability zone, as far as the site
+     *     allows.
      */
     boolean inTwoZones(List<Member> pair) {
-        return singleZone()
+        return hasSingleZone()
                 || (pair.size() == 2
                         && !pair.get(0).availabilityZone().equals(pair.get(1).availabilityZone()));
     }
 
     /**
-     * Returns whether the site has a single availability zone, such that no second one can hold a copy.
+     * Returns whether the site has a single availability zone, so that no second one can hold a copy.
      *
-     * @return {@code true} if the configuration in force names at most one availability zone.
+     * @return {@code true} if the active configuration contains at most one availability zone.
      */
-    private boolean singleZone() {
+    private boolean hasSingleZone() {
         return configuration
                 .map(current -> current.availabilityZones().size() <= 1)
                 .orElse(false);
     }
 
     /**
-     * Returns what this node knows of a trainer's cursor.
+     * Returns the state of a trainer's cursor at this node.
      *
      * @param trainer The trainer.
      * @return The state.
@@ -163,10 +164,10 @@
     }
 
     /**
-     * Returns whether a group is known to be delivered.
+     * Returns whether a group is recorded as delivered.
      *
      * @param key The identity of the group.
-     * @return {@code true} if the trainer is known to have taken the group.
+     * @return {@code true} if the recorded cursor of the trainer contains the group.
      */
     boolean delivered(GroupKey key) {
         return cursors.find(key.trainer())
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleEffect.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleEffect.java
@@ -9,7 +9,7 @@
 public sealed interface SampleEffect extends Effect {
 
     /**
-     * Returns the token of what is answered.
+     * Returns the token of the event that is answered.
      *
      * @return The token.
      */
@@ -19,8 +19,8 @@
      * Answers {@link SampleEvent.Submitted}.
      *
      * @param token The token of the submission.
-     * @param accepted The identities of the groups that are safe.
-     * @param refused The groups that are not, with the reasons.
+     * @param accepted The identities of the accepted groups, which all of their holders have confirmed.
+     * @param refused The refused groups with their reasons.
      */
     record AnswerSubmission(long token, List<GroupKey> accepted, List<RefusedGroup> refused) implements SampleEffect {}
 
@@ -37,8 +37,8 @@
      *
      * @param key The identity of the group.
      * @param code The code of the reason.
-     * @param surelyNotRun {@code true} if no node took the group, {@code false} if one may have.
-     * @param retryAfter The time after which it is worth to ask again, or empty if it never is.
+     * @param surelyNotRun {@code true} if no node holds the group, {@code false} if one may.
+     * @param retryAfter The time after which the trainer may retry, or empty if a retry is useless.
      */
     record RefusedGroup(GroupKey key, String code, boolean surelyNotRun, Optional<Duration> retryAfter) {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleEvent.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleEvent.java
@@ -7,13 +7,13 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** Something that a trainer asked of this node. */
+/** A request of a trainer to this node. */
 public sealed interface SampleEvent extends Event {
 
     /**
      * A trainer submitted groups, to be answered by one {@link SampleEffect.AnswerSubmission}.
      *
-     * @param token The token that the answer bears, unique within the process.
+     * @param token The token of the answer, unique within the process.
      * @param trainer The trainer.
      * @param groups The groups, all of this trainer.
      */
@@ -22,13 +22,13 @@
     /**
      * A trainer pulls finished groups, to be answered by one {@link SampleEffect.AnswerPull}.
      *
-     * @param token The token that the answer bears, unique within the process.
+     * @param token The token of the answer, unique within the process.
      * @param trainer The trainer.
-     * @param cursor The cursor of what the trainer has taken, or empty if the trainer lost it.
+     * @param cursor The cursor of the groups that the trainer has received, or empty if the trainer lost it.
      * @param useVersion The weight version with which the trainer will use the samples.
-     * @param step The only step to hand over, or empty for any.
-     * @param maximumGroups The largest number of groups to hand over.
-     * @param patience The time to wait for groups.
+     * @param step The step whose groups are handed over, or empty for any step.
+     * @param maximumGroups The maximum number of groups to hand over.
+     * @param patience The maximum time to wait for groups.
      */
     record PullRequested(
             long token,
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleMessage.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleMessage.java
@@ -4,52 +4,55 @@
 import io.yuccaswitch.core.peer.PeerMessage;
 import java.util.List;
 
-/** A message between nodes about samples. Cursors travel as their texts, and an empty text stands for none. */
+/**
+ * A message between nodes about samples. Cursors are transferred in their text encoding, where an empty text means that
+ * there is no cursor.
+ */
 public sealed interface SampleMessage extends PeerMessage {
 
-    /** The step of a message that names no step. */
+    /** The step of a message that is not restricted to a step. */
     long ANY_STEP = -1;
 
     /**
-     * Asks a node to hold a group that is to be generated, as its driver or its backup.
+     * Requests that a node holds a group as its driver or backup.
      *
      * @param specification The group.
-     * @param submitted {@code true} if a trainer has just submitted the group, {@code false} if a holder passes it on.
+     * @param submitted {@code true} if a trainer submitted the group, {@code false} if a holder transfers it.
      */
     record Store(GroupSpecification specification, boolean submitted) implements SampleMessage {}
 
     /**
-     * Says that a node holds a group or knows that it was delivered.
+     * Confirms that a node holds a group or has recorded its delivery.
      *
      * @param key The identity of the group.
      */
     record Stored(GroupKey key) implements SampleMessage {}
 
     /**
-     * Says that a node does not hold a group and won't.
+     * Reports that a node refuses to hold a group.
      *
      * @param key The identity of the group.
      * @param code The code of the reason.
-     * @param retryAfterMillis The time after which it is worth to ask again, or zero if it never is.
+     * @param retryAfterMillis The time after which the trainer may retry, or zero if a retry is useless.
      */
     record StoreRefused(GroupKey key, String code, long retryAfterMillis) implements SampleMessage {}
 
     /**
-     * Asks a node to keep a finished group for its trainer.
+     * Requests that a node keeps a finished group for its trainer.
      *
      * @param group The finished group.
      */
     record Keep(FinishedGroup group) implements SampleMessage {}
 
     /**
-     * Says that a node keeps a finished group or knows that it was delivered.
+     * Confirms that a node keeps a finished group or has recorded its delivery.
      *
      * @param key The identity of the group.
      */
     record Kept(GroupKey key) implements SampleMessage {}
 
     /**
-     * Asks a keeper which of some groups it neither keeps nor knows to be delivered.
+     * Queries a keeper which of the given groups it keeps, and which are missing there.
      *
      * @param trainer The trainer of the groups.
      * @param keys The identities of the groups.
@@ -61,14 +64,14 @@
      *
      * @param trainer The trainer of the groups.
      * @param present The identities of the groups that the keeper keeps.
-     * @param missing The identities of the groups that the keeper neither keeps nor knows to be delivered.
-     * @param cursor What the keeper knows to be delivered.
+     * @param missing The identities of the groups that the keeper neither keeps nor has recorded as delivered.
+     * @param cursor The encoded cursor that the keeper has recorded.
      */
     record Reconciled(TrainerName trainer, List<GroupKey> present, List<GroupKey> missing, String cursor)
             implements SampleMessage {}
 
     /**
-     * Tells the holders of a group that a keeper discarded it, such that it has to run again.
+     * Notifies the holders of a group that a keeper discarded it, so that it must be run again.
      *
      * @param key The identity of the group.
      * @param run The run that was discarded.
@@ -77,15 +80,15 @@
     record Discarded(GroupKey key, int run, String reason) implements SampleMessage {}
 
     /**
-     * Passes a trainer's pull on to a keeper.
+     * Forwards a trainer's pull to a keeper.
      *
-     * @param token The token that the answer bears.
+     * @param token The token of the answer.
      * @param trainer The trainer.
      * @param cursor The cursor of the trainer, or an empty text if it has none.
      * @param useVersion The weight version with which the trainer will use the samples.
-     * @param step The only step to hand over, or {@link #ANY_STEP}.
-     * @param maximumGroups The largest number of groups to hand over.
-     * @param waitMillis The time to wait for groups.
+     * @param step The step whose groups are handed over, or {@link #ANY_STEP}.
+     * @param maximumGroups The maximum number of groups to hand over.
+     * @param waitMillis The maximum time to wait for groups.
      */
     record Pull(
             long token,
@@ -101,7 +104,7 @@
      * Answers {@link Pull} with groups.
      *
      * @param token The token of the pull.
-     * @param cursor The cursor to present next.
+     * @param cursor The cursor to present with the next pull.
      * @param groups The groups.
      * @param remaining The number of further groups that are ready.
      */
@@ -114,22 +117,24 @@
      * @param token The token of the pull.
      * @param code The code of the reason.
      * @param message The explanation for the trainer.
-     * @param retryAfterMillis The time after which it is worth to ask again, or zero if it never is.
+     * @param retryAfterMillis The time after which the trainer may retry, or zero if a retry is useless.
      */
     record PullRefused(long token, String code, String message, long retryAfterMillis) implements SampleMessage {}
 
     /**
-     * Tells a node what a trainer has taken.
+     * Reports a trainer's cursor to a node.
      *
      * @param trainer The trainer.
-     * @param cursor What the sender knows to be delivered.
-     * @param sure {@code true} if the sender was sure of the whole cursor when it learned it.
-     * @param answer {@code true} if the receiver shall answer with what it then knows.
+     * @param cursor The encoded cursor that the sender has recorded.
+     * @param complete {@code true} if the sender's cursor is complete: it was guaranteed to contain all groups that the
+     *     trainer had received when it was recorded.
+     * @param answerRequested {@code true} if the receiver must answer with the cursor that it then has recorded.
      */
-    record Acknowledge(TrainerName trainer, String cursor, boolean sure, boolean answer) implements SampleMessage {}
+    record Acknowledge(TrainerName trainer, String cursor, boolean complete, boolean answerRequested)
+            implements SampleMessage {}
 
     /**
-     * Asks a node what it knows of a trainer's cursor.
+     * Queries a node for its recorded cursor of a trainer.
      *
      * @param trainer The trainer.
      */
@@ -139,17 +144,18 @@
      * Answers {@link AskCursor} or {@link Acknowledge}.
      *
      * @param trainer The trainer.
-     * @param cursor What the sender knows to be delivered.
-     * @param sure {@code true} if the sender was sure of the whole cursor when it learned it.
+     * @param cursor The encoded cursor that the sender has recorded.
+     * @param complete {@code true} if the sender's cursor is complete: it was guaranteed to contain all groups that the
+     *     trainer had received when it was recorded.
      */
-    record CursorKnown(TrainerName trainer, String cursor, boolean sure) implements SampleMessage {}
+    record CursorKnown(TrainerName trainer, String cursor, boolean complete) implements SampleMessage {}
 
     /**
-     * Tells nodes how far a trainer has come.
+     * Announces the progress of a trainer.
      *
      * @param trainer The trainer.
      * @param step The step for which the trainer pulls, or {@link #ANY_STEP}.
-     * @param useVersion The weight version with which the trainer uses the samples that it takes now.
+     * @param useVersion The weight version with which the trainer uses the samples that it currently receives.
      */
     record Progress(TrainerName trainer, long step, long useVersion) implements SampleMessage {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleMessageHandler.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleMessageHandler.java
@@ -3,11 +3,11 @@
 import io.yuccaswitch.core.decision.Tick;
 import io.yuccaswitch.core.identity.NodeIdentity;
 
-/** A part of the sample systems that takes messages from nodes, this one included. */
+/** A part of the sample systems that handles messages from nodes, including this one. */
 interface SampleMessageHandler {
 
     /**
-     * Takes a message. Messages that are none of the handler's business are left alone.
+     * Handles a message. Messages of types that the handler does not process are ignored.
      *
      * @param tick The current tick.
      * @param sender The node that sent the message.
@@ -16,7 +16,7 @@
     void receive(Tick tick, NodeIdentity sender, SampleMessage message);
 
     /**
-     * Runs after the messages of the tick were taken.
+     * Runs after the messages of the tick were handled.
      *
      * @param tick The current tick.
      */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleReport.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleReport.java
@@ -6,7 +6,8 @@
 import java.util.Map;
 
 /**
- * What a node reports of the samples of its trainers. The figures of all nodes add up, but for those of the cursor.
+ * A node's report of the samples of its trainers. The counts of all nodes can be summed up, except for those that
+ * depend on the cursor.
  *
  * @param trainers The reports by trainer.
  */
@@ -24,20 +25,20 @@
      * @param backedUp The number of groups that this node backs up.
      * @param generating The number of samples that are being generated.
      * @param queued The number of samples that wait for their generation.
-     * @param scoring The number of samples that are generated and not yet scored.
+     * @param scoring The number of generated samples that are not yet scored.
      * @param ready The number of finished groups that this node keeps.
      * @param handedOver The number of groups that this node handed over and that the trainer acknowledged.
      * @param samples The number of samples in those groups.
-     * @param staleness The number of those samples by the number of versions that they were behind; the last entry
-     *     counts all that were further behind.
+     * @param staleness The number of those samples by the number of versions that they lagged behind. The last entry
+     *     counts all samples with a greater lag, too.
      * @param discarded The number of discarded samples by reason.
-     * @param discardedTokens The number of tokens that were generated for nothing.
+     * @param discardedTokens The number of tokens of discarded samples.
      * @param tokens The number of tokens that were generated and accepted.
      * @param groupsCompleted The number of groups that this node completed.
      * @param completionMean The mean time from the acceptance of a group to its completion.
-     * @param completionMaximum The longest such time.
-     * @param stragglers The number of samples that took several times longer than usual.
-     * @param waiting The time that the trainer's pulls waited, by what was missing.
+     * @param completionMaximum The maximum of that time.
+     * @param stragglers The number of samples whose generation took several times the usual time.
+     * @param waiting The time that the trainer's pulls waited, by cause.
      */
     public record Trainer(
             int driven,
@@ -66,13 +67,13 @@
         }
     }
 
-    /** What a waiting pull of a trainer lacks. */
+    /** The cause for which a pull waits. */
     public enum IdleCause {
         /** No group is finished at the keeper. */
         NOTHING_FINISHED,
-        /** The other keeper has not yet confirmed what the trainer took. */
+        /** The record of the groups that the trainer has received is not yet durable. */
         ACKNOWLEDGEMENT,
-        /** It is not known what the trainer took before. */
+        /** The groups that the trainer has received are not yet determined. */
         CURSOR_UNKNOWN
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleStatistics.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleStatistics.java
@@ -8,17 +8,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** Counts what happens to samples, by trainer. */
+/** The counters of samples and groups, by trainer. */
 final class SampleStatistics {
 
-    /** The number of entries of the staleness histogram. */
-    private static final int STALENESS_ENTRIES = 17;
+    /** The number of entries of the staleness histogram, by versions of lag. */
+    private static final int STALENESS_HISTOGRAM_SIZE = 17;
 
-    /** How many times longer than usual a straggler takes. */
+    /** The multiple of the usual generation time beyond which a sample is considered a straggler. */
     private static final double STRAGGLER_FACTOR = 4;
 
-    /** The share of the newest observation in the usual time. */
-    private static final double SMOOTHING = 0.05;
+    /** The weight of the newest observation in the usual generation time. */
+    private static final double SMOOTHING_FACTOR = 0.05;
 
     /** The counters by trainer. */
     private final Map<TrainerName, Counters> counters = new HashMap<>();
@@ -29,12 +29,12 @@
      * @param trainer The trainer.
      * @param reason The reason.
      * @param samples The number of samples.
-     * @param tokens The number of tokens that were generated for nothing.
+     * @param tokens The number of tokens of the discarded samples.
      */
     void discarded(TrainerName trainer, DiscardReason reason, int samples, long tokens) {
-        Counters own = of(trainer);
-        own.discarded.merge(reason, (long) samples, Long::sum);
-        own.discardedTokens += tokens;
+        Counters trainerCounters = of(trainer);
+        trainerCounters.discarded.merge(reason, (long) samples, Long::sum);
+        trainerCounters.discardedTokens += tokens;
     }
 
     /**
@@ -45,13 +45,15 @@
      * @param time The time that the generation took.
      */
     void generated(TrainerName trainer, int tokens, Duration time) {
-        Counters own = of(trainer);
-        own.tokens += tokens;
-        double seconds = time.toNanos();
-        if (own.usualTime > 0 && seconds > STRAGGLER_FACTOR * own.usualTime) {
-            own.stragglers++;
+        Counters trainerCounters = of(trainer);
+        trainerCounters.tokens += tokens;
+        double nanos = time.toNanos();
+        if (trainerCounters.usualNanos > 0 && nanos > STRAGGLER_FACTOR * trainerCounters.usualNanos) {
+            trainerCounters.stragglers++;
         }
-        own.usualTime = own.usualTime == 0 ? seconds : own.usualTime + SMOOTHING * (seconds - own.usualTime);
+        trainerCounters.usualNanos = trainerCounters.usualNanos == 0
+                ? nanos
+                : trainerCounters.usualNanos + SMOOTHING_FACTOR * (nanos - trainerCounters.usualNanos);
     }
 
     /**
@@ -61,10 +63,11 @@
      * @param time The time since its acceptance.
      */
     void completed(TrainerName trainer, Duration time) {
-        Counters own = of(trainer);
-        own.completed++;
-        own.completionTime = own.completionTime.plus(time);
-        own.completionMaximum = own.completionMaximum.compareTo(time) < 0 ? time : own.completionMaximum;
+        Counters trainerCounters = of(trainer);
+        trainerCounters.completed++;
+        trainerCounters.completionTime = trainerCounters.completionTime.plus(time);
+        trainerCounters.completionMaximum =
+                trainerCounters.completionMaximum.compareTo(time) < 0 ? time : trainerCounters.completionMaximum;
     }
 
     /**
@@ -74,19 +77,19 @@
      * @param useVersion The weight version with which the trainer uses it.
      */
     void handedOver(FinishedGroup group, long useVersion) {
-        Counters own = of(group.key().trainer());
-        own.handedOver++;
+        Counters trainerCounters = of(group.key().trainer());
+        trainerCounters.handedOver++;
         for (Sample sample : group.samples()) {
-            long behind = Math.max(0, useVersion - sample.oldestVersion());
-            own.staleness[(int) Math.min(STALENESS_ENTRIES - 1, behind)]++;
+            long versionLag = Math.max(0, useVersion - sample.oldestVersion());
+            trainerCounters.staleness[(int) Math.min(STALENESS_HISTOGRAM_SIZE - 1, versionLag)]++;
         }
     }
 
     /**
-     * Counts the time that a pull waited.
+     * Adds to the time that pulls waited.
      *
      * @param trainer The trainer.
-     * @param cause What was missing.
+     * @param cause The cause for which the pull waited.
      * @param time The time.
      */
     void waited(TrainerName trainer, SampleReport.IdleCause cause, Duration time) {
@@ -107,7 +110,7 @@
             of(group.group().key().trainer());
         }
         Map<TrainerName, SampleReport.Trainer> reports = new HashMap<>();
-        counters.forEach((trainer, own) -> reports.put(trainer, own.report(trainer, context)));
+        counters.forEach((trainer, trainerCounters) -> reports.put(trainer, trainerCounters.report(trainer, context)));
         return new SampleReport(reports);
     }
 
@@ -130,17 +133,17 @@
         /** The time that pulls waited by cause. */
         private final Map<SampleReport.IdleCause, Duration> waiting = new EnumMap<>(SampleReport.IdleCause.class);
 
-        /** The number of acknowledged samples by the number of versions that they were behind. */
-        private final long[] staleness = new long[STALENESS_ENTRIES];
+        /** The number of acknowledged samples by the number of versions that they lagged behind. */
+        private final long[] staleness = new long[STALENESS_HISTOGRAM_SIZE];
 
-        /** The number of tokens that were generated for nothing. */
+        /** The number of tokens of the discarded samples. */
         private long discardedTokens;
 
         /** The number of tokens that were generated and accepted. */
         private long tokens;
 
-        /** The usual time of a generation in nanoseconds, or zero before the first. */
-        private double usualTime;
+        /** The moving average of generation times in nanoseconds, or zero before the first generation. */
+        private double usualNanos;
 
         /** The number of stragglers. */
         private long stragglers;
@@ -151,7 +154,7 @@
         /** The sum of their completion times. */
         private Duration completionTime = Duration.ZERO;
 
-        /** The longest completion time. */
+        /** The maximum completion time. */
         private Duration completionMaximum = Duration.ZERO;
 
         /** The number of acknowledged groups. */
@@ -201,7 +204,7 @@
         }
 
         /**
-         * Counts samples that are being worked on.
+         * Counts the samples of running groups in a phase.
          *
          * @param groups The groups.
          * @param phase The phase to count.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleSystem.java
@@ -12,9 +12,10 @@
 import java.util.Optional;
 
 /**
- * The systems that carry samples from their submission to their hand-over. A core lists {@link #beforeRequests()}
- * before the request path, to which it hands generations, and {@link #afterRequests()} after it, which takes their
- * outcomes. Both stand after the systems of configuration, membership, endpoints and weights, whose events they read.
+ * The systems that process samples from their submission to their hand-over. A core runs {@link #beforeRequests()},
+ * which submits generations, before the request path, and {@link #afterRequests()}, which processes their outcomes,
+ * after it. Both must run after the systems of configuration, membership, endpoints and weights, whose events they
+ * read.
  */
 public final class SampleSystem {
 
@@ -22,23 +23,23 @@
     private final SampleContext context;
 
     /** The requests in progress. */
-    private final FlightTable flights = new FlightTable();
+    private final SampleRequestTable sampleRequests = new SampleRequestTable();
 
-    /** Begins generations. */
+    /** Starts generations and scorings. */
     private final ScheduleSystem schedule;
 
-    /** Knows what trainers have taken. */
+    /** Tracks which groups trainers have received. */
     private final CursorSystem cursors;
 
-    /** The parts that take messages, in the order in which they run. */
+    /** The parts that handle messages, in the order in which they run. */
     private final List<SampleMessageHandler> handlers;
 
     /**
      * Creates new systems.
      *
      * @param membership The members.
-     * @param tokens Hands out the tokens of calls to the platform.
-     * @param clock The clock that counts the windows of request ids.
+     * @param tokens Allocates the tokens of calls to the platform.
+     * @param clock The clock that determines the time windows of request identifiers.
      */
     public SampleSystem(MembershipView membership, PlatformTokens tokens, RequestClock clock) {
         this(membership, tokens, clock, SchedulePolicy.Layered.ALL);
@@ -48,21 +49,21 @@
      * Creates new systems with a policy.
      *
      * @param membership The members.
-     * @param tokens Hands out the tokens of calls to the platform.
-     * @param clock The clock that counts the windows of request ids.
-     * @param policy The order in which samples are begun.
+     * @param tokens Allocates the tokens of calls to the platform.
+     * @param clock The clock that determines the time windows of request identifiers.
+     * @param policy The policy by which samples are scheduled.
      */
     public SampleSystem(MembershipView membership, PlatformTokens tokens, RequestClock clock, SchedulePolicy policy) {
         context = new SampleContext(membership, tokens);
         PoolWindow window = new PoolWindow(context);
         LengthEstimate lengths = new LengthEstimate();
-        schedule = new ScheduleSystem(context, flights, window, lengths, policy, clock);
-        cursors = new CursorSystem(context, flights);
-        HolderSystem holders = new HolderSystem(context, flights);
+        schedule = new ScheduleSystem(context, sampleRequests, window, lengths, policy, clock);
+        cursors = new CursorSystem(context, sampleRequests);
+        HolderSystem holders = new HolderSystem(context, sampleRequests);
         handlers = List.of(
                 new SubmissionSystem(context),
-                new ScoringSystem(context, flights),
-                new GenerationSystem(context, flights, window, lengths, holders),
+                new ScoringSystem(context, sampleRequests),
+                new GenerationSystem(context, sampleRequests, window, lengths, holders),
                 holders,
                 new KeeperSystem(context),
                 cursors,
@@ -71,7 +72,7 @@
     }
 
     /**
-     * Returns the system that begins generations and scorings, to be listed before the request path.
+     * Returns the system that starts generations and scorings, which must run before the request path.
      *
      * @return The system.
      */
@@ -80,7 +81,7 @@
     }
 
     /**
-     * Returns the system that does all the rest, to be listed after the request path.
+     * Returns the system that runs all other parts, which must run after the request path.
      *
      * @return The system.
      */
@@ -89,7 +90,7 @@
     }
 
     /**
-     * Reports what this node does for trainers. This method must be called on the thread that ticks.
+     * Reports the state of all trainers at this node. This method must be called on the thread that runs the ticks.
      *
      * @return The report.
      */
@@ -108,19 +109,19 @@
     }
 
     /**
-     * Returns whether no other node takes work, such that nothing can be handed off.
+     * Returns whether no other node takes work, so that nothing can be handed off.
      *
-     * @return {@code true} if this node is the last one.
+     * @return {@code true} if no other node takes work.
      */
     public boolean isLast() {
         return context.roles.others(context.roles.working()).isEmpty();
     }
 
     /**
-     * Returns whether other nodes hold all that this one held, such that it may stop. It never becomes true while this
-     * node itself takes work, as far as its members know.
+     * Returns whether other nodes hold all data of this node, so that this node may stop. This is expected only after
+     * the members no longer consider this node as taking work.
      *
-     * @return {@code true} if nothing would be lost with this node.
+     * @return {@code true} if no data would be lost with this node.
      */
     public boolean handedOff() {
         return context.held.size() == 0 && context.kept.size() == 0 && cursors.handedOff();
@@ -151,20 +152,20 @@
     }
 
     /**
-     * Gives the messages to this node itself to all parts.
+     * Dispatches the queued messages to this node itself to all parts.
      *
      * @param tick The current tick.
      */
     private void dispatchLocal(Tick tick) {
-        for (Optional<SampleMessage> message = context.outbox.takeLocal();
+        for (Optional<SampleMessage> message = context.outbox.pollLocal();
                 message.isPresent();
-                message = context.outbox.takeLocal()) {
+                message = context.outbox.pollLocal()) {
             dispatch(tick, context.self(), message.get());
         }
     }
 
     /**
-     * Gives a message to all parts.
+     * Dispatches a message to all parts.
      *
      * @param tick The current tick.
      * @param sender The node that sent the message.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SchedulePolicy.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SchedulePolicy.java
@@ -2,34 +2,35 @@
 
 import java.util.Comparator;
 
-/** Orders the samples of one trainer that wait for their generation. */
+/** Determines the order in which the waiting samples of a trainer are generated. */
 public interface SchedulePolicy {
 
     /**
-     * Returns the order in which waiting samples are begun.
+     * Returns the order in which the generations of waiting samples are started.
      *
-     * @return The order, first to begin first.
+     * @return The order, in which the sample to start first comes first.
      */
     Comparator<Candidate> order();
 
     /**
-     * Returns whether samples of later steps may be begun while the staleness bound allows it.
+     * Returns whether samples of later steps may be generated ahead while the staleness bound allows it.
      *
-     * @return {@code true} if samples may be begun ahead.
+     * @return {@code true} if samples may be generated ahead.
      */
     boolean workAhead();
 
     /**
-     * Returns whether a generation is stopped when its sample can only be past the staleness bound.
+     * Returns whether a generation is stopped once its sample is certain to exceed the staleness bound.
      *
      * @return {@code true} if such a generation is stopped.
      */
     boolean earlyStop();
 
     /**
-     * Returns whether trainers share engines by their weights.
+     * Returns whether trainers share engines in proportion to their weights.
      *
-     * @return {@code true} if trainers share by weight, {@code false} if the first to come is served first.
+     * @return {@code true} if trainers share by weight, {@code false} if their samples are served in the policy's
+     *     order.
      */
     boolean sharedByWeight();
 
@@ -38,22 +39,22 @@
      *
      * @param key The identity of the group.
      * @param index The index of the sample in its group.
-     * @param sequence The number that counts groups in the order of their acceptance.
-     * @param begun {@code true} if any sample of the group was begun.
+     * @param sequence The position of the group in the order of acceptance.
+     * @param begun {@code true} if the generation of any sample of the group was started.
      * @param unfinished The number of samples of the group that are not finished.
-     * @param expectedTokens The number of tokens that the sample is expected to have.
+     * @param expectedTokens The estimated number of tokens of the sample.
      */
     record Candidate(GroupKey key, int index, long sequence, boolean begun, int unfinished, int expectedTokens) {}
 
     /**
-     * Begins samples of earlier steps first, then those of groups nearest to completion, then the longest expected, and
-     * works ahead inside the staleness bound.
+     * Starts samples of earlier steps first, then samples of the groups nearest to completion, then the samples that
+     * are expected to be longest, and generates later steps ahead within the staleness bound.
      *
-     * @param nearestCompletion Whether groups nearest to completion go before others.
-     * @param longestFirst Whether the longest expected samples go before others.
-     * @param workAhead Whether samples of later steps are begun ahead.
-     * @param earlyStop Whether generations of samples that can only be stale are stopped.
-     * @param sharedByWeight Whether trainers share engines by their weights.
+     * @param nearestCompletion Whether samples of groups nearest to completion are started before others.
+     * @param longestFirst Whether samples that are expected to be longest are started before others.
+     * @param workAhead Whether samples of later steps are generated ahead.
+     * @param earlyStop Whether generations are stopped once their samples are certain to be stale.
+     * @param sharedByWeight Whether trainers share engines in proportion to their weights.
      */
     record Layered(
             boolean nearestCompletion,
@@ -63,7 +64,7 @@
             boolean sharedByWeight)
             implements SchedulePolicy {
 
-        /** The policy with all of its parts. */
+        /** The policy with all options enabled. */
         public static final Layered ALL = new Layered(true, true, true, true, true);
 
         /** {@inheritDoc} */
@@ -83,9 +84,9 @@
     }
 
     /**
-     * Begins samples in the order in which their groups were accepted.
+     * Starts samples in the order in which their groups were accepted.
      *
-     * @param workAhead Whether samples of later steps are begun as their turn comes.
+     * @param workAhead Whether samples of later steps are generated ahead.
      */
     record FirstComeFirstServed(boolean workAhead) implements SchedulePolicy {
 
