--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/ScheduleSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/ScheduleSystem.java
@@ -28,63 +28,63 @@
 import java.util.TreeMap;
 
 /**
- * Begins generations of the groups that this node drives, and stops those whose samples can only be stale. It runs
- * before the request path, which it hands requests to as {@link RequestEvent.Arrived}.
+ * Starts generations and scorings of the groups that this node drives, and stops generations whose samples are certain
+ * to be stale. It runs before the request path, to which it passes requests as {@link RequestEvent.Arrived}.
  */
 final class ScheduleSystem implements DecisionSystem {
 
-    /** The time in which a generation must end, however long its sample is. */
-    private static final Duration GENERATION_DEADLINE = Duration.ofMinutes(30);
+    /** The maximum time of a generation, regardless of the length of its sample. */
+    private static final Duration GENERATION_TIMEOUT = Duration.ofMinutes(30);
 
-    /** The time in which a scoring must end. */
-    private static final Duration SCORING_DEADLINE = Duration.ofMinutes(2);
+    /** The maximum time of a scoring. */
+    private static final Duration SCORING_TIMEOUT = Duration.ofMinutes(2);
 
-    /** The largest number of scorings in progress on this node by scorer. */
-    private static final int MAXIMUM_SCORINGS = 64;
+    /** The maximum number of scorings in progress at this node for each scorer. */
+    private static final int MAXIMUM_SCORINGS_PER_SCORER = 64;
 
-    /** The assumed number of characters of a token. */
+    /** The assumed number of characters per token. */
     private static final int CHARACTERS_PER_TOKEN = 4;
 
     /** The shared tables. */
     private final SampleContext context;
 
     /** The requests in progress. */
-    private final FlightTable flights;
+    private final SampleRequestTable sampleRequests;
 
-    /** Bounds the requests in progress. */
+    /** Limits the requests in progress by pool. */
     private final PoolWindow window;
 
-    /** Expects the length of samples. */
+    /** Estimates the length of samples. */
     private final LengthEstimate lengths;
 
-    /** The order of samples. */
+    /** The policy by which samples are scheduled. */
     private final SchedulePolicy policy;
 
-    /** The clock that counts the windows of request ids. */
+    /** The clock that determines the time windows of request identifiers. */
     private final RequestClock clock;
 
-    /** The number of requests that were begun, for identifiers. */
-    private long begun;
+    /** The number of requests that were started, which makes their identifiers unique. */
+    private long requestCount;
 
     /**
      * Creates a new system.
      *
      * @param context The shared tables.
-     * @param flights The requests in progress.
-     * @param window Bounds the requests in progress.
-     * @param lengths Expects the length of samples.
-     * @param policy The order of samples.
-     * @param clock The clock that counts the windows of request ids.
+     * @param sampleRequests The requests in progress.
+     * @param window Limits the requests in progress by pool.
+     * @param lengths Estimates the length of samples.
+     * @param policy The policy by which samples are scheduled.
+     * @param clock The clock that determines the time windows of request identifiers.
      */
     ScheduleSystem(
             SampleContext context,
-            FlightTable flights,
+            SampleRequestTable sampleRequests,
             PoolWindow window,
             LengthEstimate lengths,
             SchedulePolicy policy,
             RequestClock clock) {
         this.context = context;
-        this.flights = flights;
+        this.sampleRequests = sampleRequests;
         this.window = window;
         this.lengths = lengths;
         this.policy = policy;
@@ -96,9 +96,9 @@
     public void run(Tick tick) {
         context.observe(tick);
         if (policy.earlyStop()) {
-            flights.rows().forEach(flight -> stopIfStale(tick, flight));
+            sampleRequests.rows().forEach(sampleRequest -> stopIfStale(tick, sampleRequest));
         }
-        flights.takeCancelled().forEach(id -> tick.raise(new RequestEvent.Cancelled(id)));
+        sampleRequests.takeCancelled().forEach(id -> tick.raise(new RequestEvent.Cancelled(id)));
         Map<TrainerName, List<HeldGroup>> running = running();
         Map<PoolName, Map<TrainerName, Deque<SchedulePolicy.Candidate>>> waiting = new HashMap<>();
         running.forEach((trainer, groups) -> context.trainer(trainer).ifPresent(settings -> {
@@ -113,7 +113,7 @@
     }
 
     /**
-     * Finds the groups that this node has generated and scored.
+     * Finds the groups that this node currently generates and scores.
      *
      * @return The groups by trainer.
      */
@@ -129,38 +129,43 @@
     }
 
     /**
-     * Stops a generation whose sample can only be past the staleness bound.
+     * Stops a generation if its sample is certain to exceed the staleness bound.
      *
      * @param tick The current tick.
-     * @param flight The generation.
+     * @param sampleRequest The generation.
      */
-    private void stopIfStale(Tick tick, Flight flight) {
-        TrainerName trainer = flight.key().trainer();
+    private void stopIfStale(Tick tick, SampleRequest sampleRequest) {
+        TrainerName trainer = sampleRequest.key().trainer();
         Optional<TrainerSettings> settings = context.trainer(trainer);
         TrainerProgress progress = context.cursor(trainer).progress();
-        if (flight.scoring()
+        if (sampleRequest.scoring()
                 || settings.isEmpty()
-                || flight.oldestVersion()
+                || sampleRequest.oldestVersion()
                         >= progress.useVersion() - settings.get().stalenessBound()) {
             return;
         }
-        tick.decide(Decision.of("stop", flight.id().toString(), Decision.NO_CHOICE, "the sample can only be stale"));
+        tick.decide(Decision.of(
+                "stop",
+                sampleRequest.id().toString(),
+                Decision.NO_CHOICE,
+                "the sample would exceed the staleness bound"));
         context.statistics.discarded(trainer, DiscardReason.STOPPED_EARLY, 1, 0);
-        flights.cancel(flight);
+        sampleRequests.cancel(sampleRequest);
         context.held.update(
-                flight.key(),
+                sampleRequest.key(),
                 group -> group.withSlot(
-                        flight.index(), group.slots().get(flight.index()).withGenerationAgain(tick.now())));
+                        sampleRequest.index(),
+                        group.slots().get(sampleRequest.index()).withGenerationRetry(tick.now())));
     }
 
     /**
-     * Lists the samples of a trainer that may begin, in their order.
+     * Lists the samples of a trainer whose generation may start, in the order of the policy.
      *
      * @param now The current time.
      * @param trainer The trainer.
      * @param settings The trainer's settings.
      * @param groups The trainer's groups, in the order of their acceptance.
-     * @return The samples, first to begin first.
+     * @return The samples, in which the one to start first comes first.
      */
     private Deque<SchedulePolicy.Candidate> candidates(
             MonotonicTime now, TrainerName trainer, TrainerSettings settings, List<HeldGroup> groups) {
@@ -169,7 +174,7 @@
         long sequence = 0;
         for (HeldGroup group : groups) {
             sequence++;
-            if (mayBegin(trainer, settings, group.key().step(), current)) {
+            if (mayStart(trainer, settings, group.key().step(), current)) {
                 addCandidates(now, group, sequence, candidates);
             }
         }
@@ -182,28 +187,28 @@
      *
      * @param now The current time.
      * @param group The group.
-     * @param sequence The number that counts groups in the order of their acceptance.
-     * @param candidates The samples to add to.
+     * @param sequence The position of the group in the order of acceptance.
+     * @param candidates The list to which the samples are added.
      */
     private void addCandidates(
             MonotonicTime now, HeldGroup group, long sequence, List<SchedulePolicy.Candidate> candidates) {
-        int expected = lengths.expect(group.specification());
+        int expected = lengths.estimate(group.specification());
         int unfinished = group.unfinished();
-        boolean groupBegun = group.begun();
+        boolean groupStarted = group.hasStarted();
         for (int index = 0; index < group.slots().size(); index++) {
             Slot slot = group.slots().get(index);
             if (slot.phase() == Slot.Phase.WAITING && !now.isBefore(slot.notBefore())) {
                 candidates.add(
-                        new SchedulePolicy.Candidate(group.key(), index, sequence, groupBegun, unfinished, expected));
+                        new SchedulePolicy.Candidate(group.key(), index, sequence, groupStarted, unfinished, expected));
             }
         }
     }
 
     /**
-     * Returns the step that a trainer takes samples for.
+     * Returns the step for which a trainer currently pulls samples.
      *
      * @param trainer The trainer.
-     * @param groups The trainer's groups that are generated here.
+     * @param groups The trainer's groups that this node generates.
      * @return The step.
      */
     private long currentStep(TrainerName trainer, List<HeldGroup> groups) {
@@ -213,27 +218,27 @@
     }
 
     /**
-     * Returns whether samples of a step may begin now, such that they are expected to be used within the bound.
+     * Returns whether samples of a step may start now, because they are expected to be used within the staleness bound.
      *
      * @param trainer The trainer.
      * @param settings The trainer's settings.
      * @param step The step.
-     * @param current The step that the trainer takes samples for.
-     * @return {@code true} if samples of the step may begin.
+     * @param current The step for which the trainer currently pulls samples.
+     * @return {@code true} if samples of the step may start.
      */
-    private boolean mayBegin(TrainerName trainer, TrainerSettings settings, long step, long current) {
+    private boolean mayStart(TrainerName trainer, TrainerSettings settings, long step, long current) {
         TrainerProgress progress = context.cursor(trainer).progress();
         long oldestUseful = progress.expectedUse(step, current) - settings.stalenessBound();
         return step <= current || (policy.workAhead() && progress.newestVersion() >= oldestUseful);
     }
 
     /**
-     * Begins generations of one pool while there is room.
+     * Starts generations in a pool while its window has capacity.
      *
      * @param tick The current tick.
      * @param pool The pool.
      * @param waiting The waiting samples by trainer.
-     * @param running The groups that are generated here by trainer.
+     * @param running The groups that this node generates, by trainer.
      */
     private void fill(
             Tick tick,
@@ -241,36 +246,37 @@
             Map<TrainerName, Deque<SchedulePolicy.Candidate>> waiting,
             Map<TrainerName, List<HeldGroup>> running) {
         Map<TrainerName, Integer> inProgress = new HashMap<>();
-        for (Flight flight : flights.rows()) {
-            if (flight.pool().equals(pool) && !flight.scoring()) {
-                inProgress.merge(flight.key().trainer(), 1, Integer::sum);
+        for (SampleRequest sampleRequest : sampleRequests.rows()) {
+            if (sampleRequest.pool().equals(pool) && !sampleRequest.scoring()) {
+                inProgress.merge(sampleRequest.key().trainer(), 1, Integer::sum);
             }
         }
-        int room = window.size(pool) - flights.count(pool);
-        while (room > 0 && !waiting.isEmpty()) {
-            TrainerName trainer = next(waiting, inProgress);
+        int capacity = window.size(pool) - sampleRequests.count(pool);
+        while (capacity > 0 && !waiting.isEmpty()) {
+            TrainerName trainer = nextTrainer(waiting, inProgress);
             Deque<SchedulePolicy.Candidate> candidates = waiting.get(trainer);
             generate(tick, candidates.removeFirst(), currentStep(trainer, running.get(trainer)));
             inProgress.merge(trainer, 1, Integer::sum);
             if (candidates.isEmpty()) {
                 waiting.remove(trainer);
             }
-            room--;
+            capacity--;
         }
     }
 
     /**
-     * Picks the trainer whose sample begins next: the one furthest below its share. A trainer without waiting samples
-     * lends its share to the others.
+     * Selects the trainer whose sample is started next: the one furthest below its share, or the one whose sample is
+     * first in the policy's order if trainers do not share by weight. The share of a trainer without waiting samples is
+     * available to the others.
      *
      * @param waiting The waiting samples by trainer.
      * @param inProgress The number of generations in progress by trainer.
      * @return The trainer.
      */
-    private TrainerName next(
+    private TrainerName nextTrainer(
             Map<TrainerName, Deque<SchedulePolicy.Candidate>> waiting, Map<TrainerName, Integer> inProgress) {
         Comparator<TrainerName> order = policy.sharedByWeight()
-                ? Comparator.comparingDouble(trainer -> share(trainer, inProgress))
+                ? Comparator.comparingDouble(trainer -> relativeUse(trainer, inProgress))
                 : Comparator.comparing(trainer -> waiting.get(trainer).getFirst(), policy.order());
         return waiting.keySet().stream()
                 .min(order.thenComparing(Comparator.naturalOrder()))
@@ -278,23 +284,23 @@
     }
 
     /**
-     * Computes how much of its share a trainer would use with one more generation.
+     * Computes the number of a trainer's generations relative to its weight, including one more generation.
      *
      * @param trainer The trainer.
      * @param inProgress The number of generations in progress by trainer.
-     * @return The number of generations by weight.
+     * @return The number of generations divided by the weight.
      */
-    private double share(TrainerName trainer, Map<TrainerName, Integer> inProgress) {
+    private double relativeUse(TrainerName trainer, Map<TrainerName, Integer> inProgress) {
         int weight = context.trainer(trainer).map(TrainerSettings::weight).orElse(1);
         return (inProgress.getOrDefault(trainer, 0) + 1.0) / weight;
     }
 
     /**
-     * Begins a generation.
+     * Starts a generation.
      *
      * @param tick The current tick.
      * @param candidate The sample.
-     * @param current The step that the trainer takes samples for.
+     * @param current The step for which the trainer currently pulls samples.
      */
     private void generate(Tick tick, SchedulePolicy.Candidate candidate, long current) {
         HeldGroup group = context.held.find(candidate.key()).orElseThrow();
@@ -312,7 +318,7 @@
                 ahead ? PriorityClass.BATCH : specification.priority(),
                 true,
                 false,
-                tick.now().plus(GENERATION_DEADLINE),
+                tick.now().plus(GENERATION_TIMEOUT),
                 "POST",
                 "/v1/completions",
                 "application/json",
@@ -325,18 +331,18 @@
         long newest = progress.newestVersion();
         Slot slot = group.slots().get(candidate.index()).withGeneration(id, tick.now());
         context.held.put(group.key(), group.withSlot(candidate.index(), slot));
-        flights.put(new Flight(id, group.key(), candidate.index(), false, settings.pool(), newest));
+        sampleRequests.put(new SampleRequest(id, group.key(), candidate.index(), false, settings.pool(), newest));
         tick.decide(Decision.of(
                 "generate",
                 group.key() + "/" + candidate.index(),
                 id.toString(),
-                "step " + step + ", " + candidate.unfinished() + " samples unfinished, expects "
+                "step " + step + ", " + candidate.unfinished() + " unfinished samples, expected length "
                         + candidate.expectedTokens() + " tokens"));
         tick.raise(new RequestEvent.Arrived(request));
     }
 
     /**
-     * Begins scorings of a trainer's generated samples while there is room.
+     * Starts scorings of a trainer's generated samples up to {@link #MAXIMUM_SCORINGS_PER_SCORER}.
      *
      * @param tick The current tick.
      * @param settings The trainer's settings.
@@ -347,20 +353,20 @@
             return;
         }
         PoolName scorer = settings.scorer().get();
-        int room = MAXIMUM_SCORINGS - flights.count(scorer);
+        int capacity = MAXIMUM_SCORINGS_PER_SCORER - sampleRequests.count(scorer);
         for (HeldGroup group : groups) {
-            for (int index = 0; index < group.slots().size() && room > 0; index++) {
+            for (int index = 0; index < group.slots().size() && capacity > 0; index++) {
                 Slot slot = group.slots().get(index);
                 if (slot.phase() == Slot.Phase.UNSCORED && !tick.now().isBefore(slot.notBefore())) {
                     score(tick, settings, scorer, group.key(), index);
-                    room--;
+                    capacity--;
                 }
             }
         }
     }
 
     /**
-     * Begins a scoring.
+     * Starts a scoring.
      *
      * @param tick The current tick.
      * @param settings The trainer's settings.
@@ -380,7 +386,7 @@
                 PriorityClass.NORMAL,
                 settings.scorerRepeatable(),
                 false,
-                tick.now().plus(SCORING_DEADLINE),
+                tick.now().plus(SCORING_TIMEOUT),
                 "POST",
                 "/score",
                 "application/json",
@@ -391,13 +397,13 @@
                 0,
                 0);
         context.held.put(key, group.withSlot(index, slot.withScoring(id)));
-        flights.put(new Flight(id, key, index, true, scorer, 0));
+        sampleRequests.put(new SampleRequest(id, key, index, true, scorer, 0));
         tick.raise(new RequestEvent.Arrived(request));
     }
 
     /**
-     * Creates the identifier of a request for a sample. It names this life of this node as its home, such that no other
-     * node ever sends it.
+     * Creates the identifier of a request for a sample. Its home is this incarnation of this node, so no other node
+     * ever sends the request.
      *
      * @param now The current time.
      * @param key The identity of the group.
@@ -405,9 +411,9 @@
      * @return The identifier.
      */
     private RequestId nextId(MonotonicTime now, GroupKey key, int index) {
-        begun++;
+        requestCount++;
         String slot = key.step() + "-" + key.group() + "-" + index;
-        return new RequestId(clock.prefix(context.self(), now) + "sample-" + begun + "-" + slot);
+        return new RequestId(clock.prefix(context.self(), now) + "sample-" + requestCount + "-" + slot);
     }
 
     /**
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/Slot.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/Slot.java
@@ -6,13 +6,14 @@
 import java.util.Optional;
 
 /**
- * The state of one sample of a group that this node drives.
+ * The state of one sample of a group at this node.
  *
- * @param phase How far the sample has come.
- * @param attempts The number of generations that were begun.
- * @param notBefore The time before which nothing is begun for the sample, and since when its label waits for a reading.
+ * @param phase The phase of the sample.
+ * @param attempts The number of generations that were started.
+ * @param notBefore The time before which no generation or scoring is started for the sample. In the phase
+ *     {@link Phase#VERIFYING}, the time since which its label waits for a reading.
  * @param request The request in progress, or empty if there is none.
- * @param startedAt The time at which the latest generation began.
+ * @param startedAt The time at which the latest generation started.
  * @param sample The generated sample, or empty if there is none yet.
  * @param endpoint The endpoint that generated the sample, or empty if there is none yet.
  */
@@ -25,7 +26,7 @@
         Optional<Sample> sample,
         Optional<EndpointName> endpoint) {
 
-    /** How far a sample has come. */
+    /** The phase of a sample. */
     enum Phase {
         /** The sample waits for its generation. */
         WAITING,
@@ -42,7 +43,7 @@
     }
 
     /**
-     * Creates the state of a sample of which nothing was done yet.
+     * Creates the initial state of a sample.
      *
      * @return The state.
      */
@@ -58,7 +59,7 @@
     }
 
     /**
-     * Returns this slot after its generation began.
+     * Returns this slot after its generation started.
      *
      * @param id The identifier of the request.
      * @param now The current time.
@@ -72,7 +73,7 @@
     /**
      * Returns this slot after it was generated.
      *
-     * @param next The phase that follows.
+     * @param next The next phase.
      * @param generated The sample.
      * @param engine The engine that generated it.
      * @param now The current time.
@@ -110,7 +111,7 @@
     }
 
     /**
-     * Returns this slot after its scoring began.
+     * Returns this slot after its scoring started.
      *
      * @param id The identifier of the request.
      * @return The changed slot.
@@ -120,22 +121,22 @@
     }
 
     /**
-     * Returns this slot as it waits for another scoring.
+     * Returns this slot while it waits for another scoring.
      *
-     * @param time The time before which none is begun.
+     * @param time The time before which none is started.
      * @return The changed slot.
      */
-    Slot withScoringAgain(MonotonicTime time) {
+    Slot withScoringRetry(MonotonicTime time) {
         return new Slot(Phase.UNSCORED, attempts, time, Optional.empty(), startedAt, sample, endpoint);
     }
 
     /**
-     * Returns this slot as it waits for another generation, without its sample.
+     * Returns this slot while it waits for another generation, without its sample.
      *
-     * @param time The time before which none is begun.
+     * @param time The time before which none is started.
      * @return The changed slot.
      */
-    Slot withGenerationAgain(MonotonicTime time) {
+    Slot withGenerationRetry(MonotonicTime time) {
         return new Slot(Phase.WAITING, attempts, time, Optional.empty(), startedAt, Optional.empty(), Optional.empty());
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SubmissionSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SubmissionSystem.java
@@ -15,27 +15,28 @@
 import java.util.Set;
 
 /**
- * Takes groups from trainers. A group is accepted once its driver and its backup, in two availability zones, have both
- * said that they hold it. The driver is asked first, such that its refusal means that no node has the group.
+ * Accepts groups from trainers. A group is accepted once its driver and its backup, in two availability zones if the
+ * site has several, have both confirmed that they hold it. The driver is requested first, so its refusal implies that
+ * no node holds the group.
  */
 final class SubmissionSystem implements SampleMessageHandler {
 
     /** The time after which an unanswered message is sent again. */
-    private static final Duration RESEND_AFTER = Duration.ofMillis(300);
+    private static final Duration RESEND_INTERVAL = Duration.ofMillis(300);
 
-    /** The time in which a group must be safe. */
-    private static final Duration PATIENCE = Duration.ofSeconds(5);
+    /** The time within which all holders of a group must confirm it. */
+    private static final Duration ACCEPTANCE_TIMEOUT = Duration.ofSeconds(5);
 
-    /** The time after which a trainer should submit again what could not be made safe. */
-    private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
+    /** The time after which a trainer should resubmit a group that its holders could not confirm. */
+    private static final Duration RETRY_DELAY = Duration.ofSeconds(1);
 
     /** The shared tables. */
     private final SampleContext context;
 
-    /** The groups that are not decided yet. */
-    private final EntityTable<PendingKey, Pending> pending = new EntityTable<>();
+    /** The groups that are neither accepted nor refused yet. */
+    private final EntityTable<PendingKey, PendingGroup> pending = new EntityTable<>();
 
-    /** The submissions that are not answered yet. */
+    /** The unanswered submissions by token. */
     private final EntityTable<Long, Submission> submissions = new EntityTable<>();
 
     /**
@@ -51,16 +52,16 @@
     @Override
     public void receive(Tick tick, NodeIdentity sender, SampleMessage message) {
         if (message instanceof SampleMessage.Stored stored) {
-            for (Pending row : pendingOf(stored.key())) {
-                Pending changed = row.withStoredAt(sender);
+            for (PendingGroup row : pendingOf(stored.key())) {
+                PendingGroup changed = row.withStoredAt(sender);
                 pending.put(row.key(), changed);
                 advance(tick, changed);
             }
         } else if (message instanceof SampleMessage.StoreRefused refused) {
-            for (Pending row : pendingOf(refused.key())) {
-                boolean nowhereElse =
+            for (PendingGroup row : pendingOf(refused.key())) {
+                boolean noOtherHolder =
                         row.storedAt().isEmpty() && Set.of(sender.name()).containsAll(row.sentTo());
-                refuse(tick, row, refused.code(), nowhereElse, retryAfter(refused.retryAfterMillis()));
+                refuse(tick, row, refused.code(), noOtherHolder, retryAfter(refused.retryAfterMillis()));
             }
         }
     }
@@ -69,45 +70,46 @@
     @Override
     public void run(Tick tick) {
         for (SampleEvent.Submitted event : tick.events(SampleEvent.Submitted.class)) {
-            begin(tick, event);
+            start(tick, event);
         }
-        for (Pending row : pending.rows()) {
+        for (PendingGroup row : pending.rows()) {
             advance(tick, row);
         }
     }
 
     /**
-     * Begins to make the groups of a submission safe.
+     * Starts the processing of a submission.
      *
      * @param tick The current tick.
      * @param event The submission.
      */
-    private void begin(Tick tick, SampleEvent.Submitted event) {
+    private void start(Tick tick, SampleEvent.Submitted event) {
         Set<GroupKey> keys = new HashSet<>();
-        List<Pending> rows = new ArrayList<>();
+        List<PendingGroup> rows = new ArrayList<>();
         for (GroupSpecification group : event.groups()) {
             if (keys.add(group.key())) {
                 PendingKey key = new PendingKey(event.token(), group.key());
-                rows.add(new Pending(key, group, tick.now().plus(PATIENCE), Set.of(), Set.of(), Optional.empty()));
+                rows.add(new PendingGroup(
+                        key, group, tick.now().plus(ACCEPTANCE_TIMEOUT), Set.of(), Set.of(), Optional.empty()));
             }
         }
         submissions.put(event.token(), new Submission(event.token(), keys.size(), List.of(), List.of()));
         if (rows.isEmpty()) {
             conclude(tick, event.token());
         }
-        for (Pending row : rows) {
+        for (PendingGroup row : rows) {
             pending.put(row.key(), row);
-            check(tick, row);
+            refuseIfUnacceptable(tick, row);
         }
     }
 
     /**
-     * Refuses a group at once if it can never be taken.
+     * Refuses a group immediately if it can never be accepted.
      *
      * @param tick The current tick.
      * @param row The group.
      */
-    private void check(Tick tick, Pending row) {
+    private void refuseIfUnacceptable(Tick tick, PendingGroup row) {
         if (context.trainer(row.group().key().trainer()).isEmpty()) {
             refuse(tick, row, "trainer-unknown", true, Optional.empty());
         } else if (!row.group().fitsMessage()) {
@@ -116,18 +118,18 @@
     }
 
     /**
-     * Does the next thing to make a group safe.
+     * Accepts or refuses a group if possible, or sends it to the next holder that has not confirmed it.
      *
      * @param tick The current tick.
      * @param row The group.
      */
-    private void advance(Tick tick, Pending row) {
+    private void advance(Tick tick, PendingGroup row) {
         if (!pending.contains(row.key())) {
             return;
         }
         List<Member> pair = context.roles.holders(row.group().key());
         if (!context.inTwoZones(pair)) {
-            refuse(tick, row, "no-second-zone", row.sentTo().isEmpty(), Optional.of(RETRY_AFTER));
+            refuse(tick, row, "no-second-zone", row.sentTo().isEmpty(), Optional.of(RETRY_DELAY));
             return;
         }
         Optional<Member> missing = pair.stream()
@@ -136,7 +138,7 @@
         if (missing.isEmpty()) {
             accept(tick, row);
         } else if (row.deadline().isBefore(tick.now())) {
-            refuse(tick, row, "holders-unreachable", row.sentTo().isEmpty(), Optional.of(RETRY_AFTER));
+            refuse(tick, row, "holders-unreachable", row.sentTo().isEmpty(), Optional.of(RETRY_DELAY));
         } else if (row.due(missing.get(), tick.now())) {
             NodeName target = missing.get().identity().name();
             pending.put(row.key(), row.withSent(target, tick.now()));
@@ -150,7 +152,7 @@
      * @param tick The current tick.
      * @param row The group.
      */
-    private void accept(Tick tick, Pending row) {
+    private void accept(Tick tick, PendingGroup row) {
         pending.remove(row.key());
         submissions.update(
                 row.key().token(),
@@ -164,55 +166,56 @@
      * @param tick The current tick.
      * @param row The group.
      * @param code The code of the reason.
-     * @param surelyNotRun {@code true} if no node took the group.
-     * @param retryAfter The time after which it is worth to ask again, or empty if it never is.
+     * @param definitelyNotRun {@code true} if no node holds the group.
+     * @param retryAfter The time after which the trainer may retry, or empty if a retry is useless.
      */
-    private void refuse(Tick tick, Pending row, String code, boolean surelyNotRun, Optional<Duration> retryAfter) {
+    private void refuse(
+            Tick tick, PendingGroup row, String code, boolean definitelyNotRun, Optional<Duration> retryAfter) {
         GroupKey key = row.group().key();
         pending.remove(row.key());
         tick.decide(Decision.of("submit", key.toString(), Decision.NO_CHOICE, code));
-        SampleEffect.RefusedGroup refused = new SampleEffect.RefusedGroup(key, code, surelyNotRun, retryAfter);
+        SampleEffect.RefusedGroup refused = new SampleEffect.RefusedGroup(key, code, definitelyNotRun, retryAfter);
         submissions.update(row.key().token(), submission -> submission.withRefused(refused));
         conclude(tick, row.key().token());
     }
 
     /**
-     * Answers a submission if all of its groups are decided.
+     * Answers a submission if all of its groups are accepted or refused.
      *
      * @param tick The current tick.
      * @param token The token of the submission.
      */
     private void conclude(Tick tick, long token) {
-        submissions.find(token).filter(Submission::decided).ifPresent(submission -> {
+        submissions.find(token).filter(Submission::isComplete).ifPresent(submission -> {
             submissions.remove(token);
             tick.emit(new SampleEffect.AnswerSubmission(token, submission.accepted(), submission.refused()));
         });
     }
 
     /**
-     * Finds the undecided rows of a group.
+     * Finds the pending rows of a group.
      *
      * @param key The identity of the group.
-     * @return The rows, one for each submission that named the group.
+     * @return The rows, one for each submission that contains the group.
      */
-    private List<Pending> pendingOf(GroupKey key) {
+    private List<PendingGroup> pendingOf(GroupKey key) {
         return pending.view().stream()
                 .filter(row -> row.key().group().equals(key))
                 .toList();
     }
 
     /**
-     * Converts the time of a message.
+     * Converts the retry delay of a message.
      *
-     * @param millis The time in milliseconds, or zero for none.
-     * @return The time, or empty for none.
+     * @param millis The delay in milliseconds, or zero for none.
+     * @return The delay, or empty for none.
      */
     static Optional<Duration> retryAfter(long millis) {
         return millis <= 0 ? Optional.empty() : Optional.of(Duration.ofMillis(millis));
     }
 
     /**
-     * The key of an undecided group.
+     * The key of a pending group.
      *
      * @param token The token of the submission.
      * @param group The identity of the group.
@@ -220,16 +223,16 @@
     private record PendingKey(long token, GroupKey group) {}
 
     /**
-     * An undecided group.
+     * A group that is neither accepted nor refused yet.
      *
      * @param key The key of this row.
      * @param group The group.
-     * @param deadline The time by which the group must be safe.
-     * @param sentTo The nodes that the group was ever sent to.
-     * @param storedAt The nodes that hold the group.
-     * @param lastSent The latest node that the group was sent to and when, or empty before the first.
+     * @param deadline The time by which all holders must confirm the group.
+     * @param sentTo All nodes that the group was sent to.
+     * @param storedAt The nodes that confirmed to hold the group.
+     * @param lastSent The latest sending of the group, or empty if it was not sent yet.
      */
-    private record Pending(
+    private record PendingGroup(
             PendingKey key,
             GroupSpecification group,
             MonotonicTime deadline,
@@ -238,16 +241,16 @@
             Optional<Sent> lastSent) {
 
         /**
-         * Returns whether the group is to be sent to a node now.
+         * Returns whether the group must be sent to a node now.
          *
          * @param target The node.
          * @param now The current time.
-         * @return {@code true} if it was last sent to another one or long ago.
+         * @return {@code true} if it was last sent to another node, or more than {@link #RESEND_INTERVAL} ago.
          */
         private boolean due(Member target, MonotonicTime now) {
             return lastSent.isEmpty()
                     || !lastSent.get().target().equals(target.identity().name())
-                    || lastSent.get().at().plus(RESEND_AFTER).isBefore(now);
+                    || lastSent.get().at().plus(RESEND_INTERVAL).isBefore(now);
         }
 
         /**
@@ -257,27 +260,27 @@
          * @param now The current time.
          * @return The changed row.
          */
-        private Pending withSent(NodeName target, MonotonicTime now) {
+        private PendingGroup withSent(NodeName target, MonotonicTime now) {
             Set<NodeName> nodes = new HashSet<>(sentTo);
             nodes.add(target);
-            return new Pending(key, group, deadline, nodes, storedAt, Optional.of(new Sent(target, now)));
+            return new PendingGroup(key, group, deadline, nodes, storedAt, Optional.of(new Sent(target, now)));
         }
 
         /**
-         * Returns this row after a node said that it holds the group.
+         * Returns this row after a node confirmed that it holds the group.
          *
          * @param node The node.
          * @return The changed row.
          */
-        private Pending withStoredAt(NodeIdentity node) {
+        private PendingGroup withStoredAt(NodeIdentity node) {
             Set<NodeIdentity> nodes = new HashSet<>(storedAt);
             nodes.add(node);
-            return new Pending(key, group, deadline, sentTo, nodes, lastSent);
+            return new PendingGroup(key, group, deadline, sentTo, nodes, lastSent);
         }
     }
 
     /**
-     * When a group was sent.
+     * * A sending of a group to a node.
      *
      * @param target The node that it was sent to.
      * @param at The time.
@@ -285,7 +288,7 @@
     private record Sent(NodeName target, MonotonicTime at) {}
 
     /**
-     * A submission that is not answered yet.
+     * An unanswered submission.
      *
      * @param token The token of the submission.
      * @param size The number of its groups.
@@ -295,11 +298,11 @@
     private record Submission(long token, int size, List<GroupKey> accepted, List<SampleEffect.RefusedGroup> refused) {
 
         /**
-         * Returns whether all groups are decided.
+         * Returns whether all groups are accepted or refused.
          *
-         * @return {@code true} if all groups are decided.
+         * @return {@code true} if all groups are accepted or refused.
          */
-        private boolean decided() {
+        private boolean isComplete() {
             return accepted.size() + refused.size() == size;
         }
 
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/VersionReadings.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/VersionReadings.java
@@ -8,14 +8,17 @@
 import java.util.Map;
 import java.util.OptionalLong;
 
-/** The weight versions and capacities that engines lately reported when they were asked, beside their answers. */
+/**
+ * The latest weight versions and capacities that engines reported when they were polled, independent of their answers
+ * to requests.
+ */
 final class VersionReadings {
 
     /** The latest reports by engine. */
     private final Map<EndpointName, EndpointEvent.Reported> reports = new HashMap<>();
 
     /**
-     * Takes in the reports of a tick.
+     * Records the engine reports of a tick.
      *
      * @param tick The current tick.
      */
@@ -39,17 +42,17 @@
     }
 
     /**
-     * Finds the number of requests that an engine works on at the same time.
+     * Finds the number of requests that an engine processes concurrently.
      *
      * @param pool The pool of the engine.
      * @param engine The engine's name in its pool.
-     * @param otherwise The number if the engine reported none.
+     * @param defaultCapacity The number to return if the engine reported none.
      * @return The number of requests.
      */
-    int capacity(PoolName pool, String engine, int otherwise) {
+    int capacity(PoolName pool, String engine, int defaultCapacity) {
         EndpointEvent.Reported report = reports.get(new EndpointName(pool, engine));
         return report == null || report.load().capacity() <= 0
-                ? otherwise
+                ? defaultCapacity
                 : report.load().capacity();
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/package-info.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Samples for trainers: groups from their submission to their hand-over, with labels that engines reported, a schedule
- * over shared engines, and cursors that make each slot reach its trainer exactly once.
+ * Samples for trainers: the processing of groups from their submission to their hand-over, with the weight versions
+ * that engines report as labels, a schedule for shared engines, and cursors by which each slot is delivered to its
+ * trainer exactly once.
  */
 package io.yuccaswitch.core.sample;
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/sample/CursorCodecTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/sample/CursorCodecTest.java
@@ -19,7 +19,7 @@
     private static final TrainerName TRAINER = new TrainerName("matcher");
 
     @Property(tries = 200, seed = "20261202")
-    void aCursorIsReadAsItWasWritten(
+    void anEncodedCursorIsDecodedUnchanged(
             @ForAll @Size(max = 50) Set<@LongRange(max = 200) Long> steps,
             @ForAll @IntRange(min = 1, max = 99) int groups) {
         Cursor cursor = Cursor.start(TRAINER).with(keys(steps, groups));
@@ -29,11 +29,11 @@
     }
 
     @Property(tries = 200, seed = "20261202")
-    void aChangedCharacterIsNoticed(
-            @ForAll @IntRange(max = 1000) int position, @ForAll @IntRange(min = 1, max = 9) int by) {
+    void aChangedCharacterIsDetected(
+            @ForAll @IntRange(max = 1000) int position, @ForAll @IntRange(min = 1, max = 9) int offset) {
         String text = CursorCodec.encode(Cursor.start(TRAINER).with(keys(Set.of(1L, 2L, 9L), 20)));
         int index = position % text.length();
-        char changed = (char) ('0' + (text.charAt(index) + by) % 10);
+        char changed = (char) ('0' + (text.charAt(index) + offset) % 10);
         String damaged = text.substring(0, index) + changed + text.substring(index + 1);
 
         if (!damaged.equals(text)) {
@@ -42,27 +42,27 @@
     }
 
     @Property(tries = 200, seed = "20261202")
-    void anyTextIsReadOrRefused(@ForAll String text) {
+    void arbitraryTextIsMalformed(@ForAll String text) {
         assertThat(CursorCodec.decode(TRAINER, text)).isInstanceOf(CursorCodec.Reading.Malformed.class);
     }
 
     @Property(tries = 100, seed = "20261202")
-    void joinsHoldWhatEitherHolds(
+    void aJoinContainsTheGroupsOfBothCursors(
             @ForAll @Size(max = 20) Set<@LongRange(max = 5000) Long> left,
             @ForAll @Size(max = 20) Set<@LongRange(max = 5000) Long> right) {
-        Cursor one = Cursor.start(TRAINER).with(keys(left, 2));
+        Cursor first = Cursor.start(TRAINER).with(keys(left, 2));
         Cursor other = Cursor.start(TRAINER).with(keys(right, 3));
-        Cursor joined = one.join(other);
+        Cursor joined = first.join(other);
 
-        assertThat(joined).isEqualTo(other.join(one));
-        assertThat(joined.covers(one)).isTrue();
+        assertThat(joined).isEqualTo(other.join(first));
+        assertThat(joined.covers(first)).isTrue();
         assertThat(joined.covers(other)).isTrue();
-        assertThat(joined.join(one)).isEqualTo(joined);
+        assertThat(joined.join(first)).isEqualTo(joined);
         assertThat(keys(right, 3)).allMatch(joined::contains);
     }
 
     @Test
-    void aLongTrainingFitsAShortCursor() {
+    void aCursorStaysShortOverALongTraining() {
         Cursor cursor = Cursor.start(TRAINER);
         for (long step = 0; step < 20_000; step++) {
             cursor = cursor.with(keys(Set.of(step), 128));
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/sample/EngineModel.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/sample/EngineModel.java
@@ -17,34 +17,34 @@
 import java.util.Optional;
 import java.util.function.Function;
 
-/** What the request path makes of requests, as a test wants it. */
+/** A stand-in for the request path and its engines, whose outcomes a test controls. */
 interface EngineModel {
 
-    void begin(NodeIdentity node, Request request, MonotonicTime now);
+    void start(NodeIdentity node, Request request, MonotonicTime now);
 
     void cancel(RequestId id);
 
     Optional<Outcome> poll(RequestId id, MonotonicTime now);
 
-    /** Answers each request after a fixed time, with the version that is current at its beginning. */
+    /** Answers each request after a fixed time, with the weight version that is current when the request starts. */
     final class Simple implements EngineModel {
 
         static final EndpointName ENGINE = new EndpointName(new PoolName("engines"), "engine-1");
 
-        Duration time = Duration.ofMillis(50);
+        Duration answerTime = Duration.ofMillis(50);
         long version;
         Function<Request, List<Generation.Segment>> label = _request -> List.of(new Generation.Segment(version, 10));
         Function<Request, Optional<Outcome>> override = _request -> Optional.empty();
-        final List<Request> begun = new ArrayList<>();
+        final List<Request> startedRequests = new ArrayList<>();
         private final Map<RequestId, Running> running = new HashMap<>();
 
         private record Running(MonotonicTime endsAt, Outcome outcome) {}
 
         @Override
-        public void begin(NodeIdentity _node, Request request, MonotonicTime now) {
-            begun.add(request);
+        public void start(NodeIdentity _node, Request request, MonotonicTime now) {
+            startedRequests.add(request);
             Outcome outcome = override.apply(request).orElseGet(() -> answer(request));
-            running.put(request.id(), new Running(now.plus(time), outcome));
+            running.put(request.id(), new Running(now.plus(answerTime), outcome));
         }
 
         @Override
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/sample/FakePlatform.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/sample/FakePlatform.java
@@ -14,35 +14,36 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** A platform that a test can take down, and whose answers a test can lose. */
+/** A platform stand-in that a test can make unavailable, and whose answers to writes a test can drop. */
 final class FakePlatform {
 
     record Answer(NodeIdentity node, PlatformEvent event) {}
 
-    boolean down;
-    int losesAnswers;
+    boolean unavailable;
+    int answersToDrop;
     int writes;
     final Map<ObjectKey, StoredObject> objects = new HashMap<>();
 
-    private static final Duration LATENCY = Duration.ofMillis(10);
-    private final List<Timed> waiting = new ArrayList<>();
+    private static final Duration ANSWER_LATENCY = Duration.ofMillis(10);
+    private final List<PendingAnswer> pendingAnswers = new ArrayList<>();
     private long version;
 
-    private record Timed(MonotonicTime at, Answer answer) {}
+    private record PendingAnswer(MonotonicTime at, Answer answer) {}
 
     void call(NodeIdentity node, PlatformEffect call, MonotonicTime now) {
-        waiting.add(new Timed(now.plus(LATENCY), new Answer(node, answer(call))));
+        pendingAnswers.add(new PendingAnswer(now.plus(ANSWER_LATENCY), new Answer(node, answer(call))));
     }
 
     List<Answer> answers(MonotonicTime now) {
-        List<Timed> due =
-                waiting.stream().filter(timed -> !now.isBefore(timed.at())).toList();
-        waiting.removeAll(due);
-        return due.stream().map(Timed::answer).toList();
+        List<PendingAnswer> due = pendingAnswers.stream()
+                .filter(pendingAnswer -> !now.isBefore(pendingAnswer.at()))
+                .toList();
+        pendingAnswers.removeAll(due);
+        return due.stream().map(PendingAnswer::answer).toList();
     }
 
     private PlatformEvent answer(PlatformEffect call) {
-        if (down) {
+        if (unavailable) {
             return new PlatformEvent.Unavailable(call.token(), false, "down");
         }
         if (call instanceof PlatformEffect.Write write) {
@@ -62,8 +63,8 @@
         version++;
         writes++;
         objects.put(write.key(), new StoredObject(write.key(), version, write.value(), false));
-        if (losesAnswers > 0) {
-            losesAnswers--;
+        if (answersToDrop > 0) {
+            answersToDrop--;
             return new PlatformEvent.Unavailable(write.token(), true, "answer lost");
         }
         return new PlatformEvent.Accepted(write.token(), version);
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/sample/GenerationTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/sample/GenerationTest.java
@@ -27,28 +27,28 @@
     private EngineModel.Simple engine = (EngineModel.Simple) fleet.engines;
 
     @Test
-    void aSampleWithoutReportedVersionRunsAgain() {
+    void aSampleWithoutReportedVersionIsGeneratedAgain() {
         Set<String> unreported = new HashSet<>();
         engine.label = request -> unreported.add(slot(request))
                 ? List.of(new Segment(2, 5), new Segment(Segment.UNKNOWN_VERSION, 5))
                 : List.of(new Segment(2, 10));
         Set<GroupKey> groups = submit(3);
 
-        assertThat(trainer.takeAll(groups, 100)).isTrue();
+        assertThat(trainer.receiveAll(groups, 100)).isTrue();
         assertThat(labels()).containsOnly(List.of(new Segment(2, 10)));
         assertThat(generations()).allSatisfy((_slot, count) -> assertThat(count).isEqualTo(2));
     }
 
     @Test
-    void aSwapInTheMiddleIsLabelledBySegment() {
+    void aWeightSwapDuringAGenerationIsLabelledBySegment() {
         engine.label = _request -> List.of(new Segment(2, 5), new Segment(3, 5));
 
-        assertThat(trainer.takeAll(submit(3), 100)).isTrue();
+        assertThat(trainer.receiveAll(submit(3), 100)).isTrue();
         assertThat(labels()).containsOnly(List.of(new Segment(2, 5), new Segment(3, 5)));
     }
 
     @Test
-    void theOldestSegmentDecidesOnStaleness() {
+    void theOldestSegmentDeterminesTheStaleness() {
         fleet.publish(trainer.name, 3);
         trainer.useVersion = 3;
         Set<String> mixed = new HashSet<>();
@@ -57,26 +57,26 @@
         Set<GroupKey> groups = submit(3);
         trainer.pull("vm-1", 1);
 
-        assertThat(trainer.takeAll(groups, 100)).isTrue();
+        assertThat(trainer.receiveAll(groups, 100)).isTrue();
         assertThat(labels()).containsOnly(List.of(new Segment(3, 10)));
     }
 
     @Test
-    void anEngineThatClaimsAFailedSwapIsNotBelieved() {
+    void aVersionThatAReadingContradictsIsRejected() {
         fleet.publish(trainer.name, 3);
         engine.label = _request -> List.of(new Segment(3, 10));
-        report(2);
+        reportVersion(2);
         Set<GroupKey> groups = submit(2);
         fleet.run(Duration.ofSeconds(10));
 
         assertThat(trainer.pull("vm-1", 4).map(HandedOver::groups).orElseThrow())
                 .isEmpty();
-        report(3);
-        assertThat(trainer.takeAll(groups, 100)).isTrue();
+        reportVersion(3);
+        assertThat(trainer.receiveAll(groups, 100)).isTrue();
     }
 
     @Test
-    void aVersionThatWasNeverPublishedIsNotBelieved() {
+    void anUnpublishedVersionIsRejected() {
         fleet.publish(trainer.name, 3);
         engine.label = _request -> List.of(new Segment(9, 10));
         Set<GroupKey> groups = submit(2);
@@ -85,32 +85,32 @@
         assertThat(trainer.pull("vm-1", 4).map(HandedOver::groups).orElseThrow())
                 .isEmpty();
         engine.label = _request -> List.of(new Segment(3, 10));
-        assertThat(trainer.takeAll(groups, 100)).isTrue();
+        assertThat(trainer.receiveAll(groups, 100)).isTrue();
     }
 
     @Test
-    void anAnswerWithoutItsEndIsNoSample() {
-        Set<String> cut = new HashSet<>();
-        engine.override = request -> cut.add(slot(request))
+    void aTruncatedAnswerYieldsNoSample() {
+        Set<String> truncated = new HashSet<>();
+        engine.override = request -> truncated.add(slot(request))
                 ? Optional.of(new Outcome.FailedAfterSend("cut", "The answer was cut."))
                 : Optional.empty();
 
-        assertThat(trainer.takeAll(submit(3), 100)).isTrue();
+        assertThat(trainer.receiveAll(submit(3), 100)).isTrue();
     }
 
     @Test
-    void aLostScoreThatMayNotBeRepeatedCostsANewGeneration() {
-        scored(false);
+    void aLostScoreOfANonRepeatableScorerCausesANewGeneration() {
+        useScorer(false);
         Set<String> lost = new HashSet<>();
         engine.override = request -> request.path().equals("/score") && lost.add(slot(request))
                 ? Optional.of(new Outcome.Unknown("lost", "The answer was lost."))
                 : Optional.empty();
 
-        assertThat(trainer.takeAll(submit(3), 100)).isTrue();
-        assertThat(trainer.taken.values())
+        assertThat(trainer.receiveAll(submit(3), 100)).isTrue();
+        assertThat(trainer.received.values())
                 .flatExtracting(FinishedGroup::samples)
                 .allSatisfy(sample -> assertThat(sample.scored()).isTrue());
-        Set<String> bodies = engine.begun.stream()
+        Set<String> bodies = engine.startedRequests.stream()
                 .filter(request -> request.path().equals("/score"))
                 .map(request -> request.body().toUtf8())
                 .collect(Collectors.toSet());
@@ -120,19 +120,19 @@
     }
 
     @Test
-    void aLostScoreThatMayBeRepeatedIsAskedForAgain() {
-        scored(true);
+    void aLostScoreOfARepeatableScorerIsRequestedAgain() {
+        useScorer(true);
         Set<String> lost = new HashSet<>();
         engine.override = request -> request.path().equals("/score") && lost.add(slot(request))
                 ? Optional.of(new Outcome.Unknown("lost", "The answer was lost."))
                 : Optional.empty();
 
-        assertThat(trainer.takeAll(submit(3), 100)).isTrue();
+        assertThat(trainer.receiveAll(submit(3), 100)).isTrue();
         assertThat(generations()).allSatisfy((_slot, count) -> assertThat(count).isEqualTo(1));
     }
 
     @Test
-    void aScorerThatIsDownHoldsUpOnlyItsOwnTrainer() {
+    void anUnavailableScorerDelaysOnlyItsOwnTrainer() {
         fleet = SampleFixtures.fleet(Map.of(
                 "a", SampleFixtures.trainer(1, 1, Optional.empty(), true, 4096),
                 "b", SampleFixtures.trainer(1, 1, Optional.of(SampleFixtures.SCORERS), true, 4096)));
@@ -144,27 +144,27 @@
         fleet.submit("vm-1", SampleFixtures.groups("b", 0, 20, 4));
         fleet.run(Duration.ofSeconds(5));
 
-        assertThat(trainer.takeAll(submit(6), 20)).isTrue();
+        assertThat(trainer.receiveAll(submit(6), 20)).isTrue();
     }
 
     @Test
-    void aGenerationThatCanOnlyBeStaleIsStopped() {
+    void aGenerationThatIsCertainToBeStaleIsStopped() {
         fleet.publish(trainer.name, 1);
         engine.version = 1;
-        engine.time = Duration.ofHours(1);
+        engine.answerTime = Duration.ofHours(1);
         Set<GroupKey> groups = submit(2);
         fleet.run(Duration.ofSeconds(1));
-        engine.time = Duration.ofMillis(50);
+        engine.answerTime = Duration.ofMillis(50);
         engine.version = 4;
         fleet.publish(trainer.name, 4);
         trainer.useVersion = 4;
 
-        assertThat(trainer.takeAll(groups, 100)).isTrue();
+        assertThat(trainer.receiveAll(groups, 100)).isTrue();
         assertThat(labels()).containsOnly(List.of(new Segment(4, 10)));
     }
 
     @Test
-    void workAheadStaysInsideTheBound() {
+    void samplesAreGeneratedAheadOnlyWithinTheBound() {
         fleet.publish(trainer.name, 1);
         engine.version = 1;
         trainer.useVersion = 1;
@@ -172,15 +172,15 @@
         fleet.submit("vm-1", SampleFixtures.groups("a", 1, 3, 2));
         fleet.submit("vm-1", SampleFixtures.groups("a", 2, 3, 2));
         fleet.run(Duration.ofSeconds(3));
-        trainer.ask("vm-1", 1, OptionalLong.of(0));
+        trainer.pullUnprocessed("vm-1", 1, OptionalLong.of(0));
         fleet.run(Duration.ofSeconds(3));
 
-        assertThat(engine.begun.stream().map(GenerationTest::step).collect(Collectors.toSet()))
+        assertThat(engine.startedRequests.stream().map(GenerationTest::step).collect(Collectors.toSet()))
                 .containsExactlyInAnyOrder("0", "1");
     }
 
     @Test
-    void aTrainerThatTakesAnyStepIsNotHeldUpByABoundOfZero() {
+    void aTrainerThatPullsAnyStepIsNotBlockedByABoundOfZero() {
         fleet = SampleFixtures.fleet(Map.of("a", SampleFixtures.trainer(0, 1, Optional.empty(), true, 4096)));
         engine = (EngineModel.Simple) fleet.engines;
         trainer = new TrainerModel(fleet, "a", 0);
@@ -191,35 +191,35 @@
             submitted.forEach(group -> groups.add(group.key()));
         }
 
-        assertThat(trainer.takeAll(groups, 100)).isTrue();
+        assertThat(trainer.receiveAll(groups, 100)).isTrue();
     }
 
     @Test
-    void generationsNameTheSmallestVersionThatIsUseful() {
+    void generationsRequireTheOldestUsefulVersion() {
         fleet.publish(trainer.name, 5);
         trainer.useVersion = 5;
         submit(1);
-        trainer.ask("vm-1", 1, OptionalLong.of(0));
-        engine.begun.clear();
+        trainer.pullUnprocessed("vm-1", 1, OptionalLong.of(0));
+        engine.startedRequests.clear();
         fleet.submit("vm-1", SampleFixtures.groups("a", 0, 2, 1));
         fleet.submit("vm-1", SampleFixtures.groups("a", 1, 1, 1));
         fleet.run(Duration.ofSeconds(3));
 
-        assertThat(engine.begun)
+        assertThat(engine.startedRequests)
                 .filteredOn(request -> step(request).equals("1"))
                 .isNotEmpty();
-        assertThat(engine.begun).allSatisfy(request -> assertThat(request.minimumVersion())
+        assertThat(engine.startedRequests).allSatisfy(request -> assertThat(request.minimumVersion())
                 .isEqualTo(step(request).equals("0") ? 4 : 5));
     }
 
-    private void scored(boolean repeatable) {
+    private void useScorer(boolean repeatable) {
         fleet = SampleFixtures.fleet(
                 Map.of("a", SampleFixtures.trainer(1, 1, Optional.of(SampleFixtures.SCORERS), repeatable, 4096)));
         engine = (EngineModel.Simple) fleet.engines;
         trainer = new TrainerModel(fleet, "a", 1);
     }
 
-    private void report(long version) {
+    private void reportVersion(long version) {
         LoadReport load = new LoadReport(MonotonicTime.ZERO, 0, 0, 8, 0);
         fleet.nodes
                 .values()
@@ -234,7 +234,7 @@
     }
 
     private Set<List<Segment>> labels() {
-        return trainer.taken.values().stream()
+        return trainer.received.values().stream()
                 .flatMap(group -> group.samples().stream())
                 .map(Sample::segments)
                 .collect(Collectors.toSet());
@@ -242,19 +242,19 @@
 
     private Map<String, Integer> generations() {
         Map<String, Integer> counts = new HashMap<>();
-        engine.begun.stream()
+        engine.startedRequests.stream()
                 .filter(request -> !request.path().equals("/score"))
                 .forEach(request -> counts.merge(slot(request), 1, Integer::sum));
         return counts;
     }
 
     private List<Request> scorings() {
-        return engine.begun.stream()
+        return engine.startedRequests.stream()
                 .filter(request -> request.path().equals("/score"))
                 .toList();
     }
 
-    /** Returns step, group and index, which end the id of a sample's request. */
+    /** Returns the path of a request with the step, group and index, which are the last parts of its identifier. */
     private static String slot(Request request) {
         List<String> parts = Splitter.on('-').splitToList(request.id().value());
         return request.path() + " " + parts.get(parts.size() - 3) + "-" + parts.get(parts.size() - 2) + "-"
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/sample/HandOverTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/sample/HandOverTest.java
@@ -19,85 +19,88 @@
     void everyGroupIsDeliveredOnce() {
         Set<GroupKey> groups = submitted(12);
 
-        assertThat(trainer.takeAll(groups, 100)).isTrue();
-        assertThat(trainer.taken.values())
+        assertThat(trainer.receiveAll(groups, 100)).isTrue();
+        assertThat(trainer.received.values())
                 .allSatisfy(group -> assertThat(group.samples()).hasSize(4));
-        assertNothingMore();
+        assertNoFurtherGroups();
     }
 
     @Test
-    void aLostAnswerIsGivenAgain() {
+    void aRepeatedPullReturnsTheSameGroups() {
         Set<GroupKey> groups = submitted(6);
         fleet.run(Duration.ofSeconds(2));
 
-        PullResult first = trainer.ask("vm-1", 2, OptionalLong.empty()).orElseThrow();
-        PullResult again = trainer.ask("vm-2", 2, OptionalLong.empty()).orElseThrow();
+        PullResult first =
+                trainer.pullUnprocessed("vm-1", 2, OptionalLong.empty()).orElseThrow();
+        PullResult again =
+                trainer.pullUnprocessed("vm-2", 2, OptionalLong.empty()).orElseThrow();
 
         assertThat(keys(again)).isEqualTo(keys(first)).hasSize(2);
-        assertThat(trainer.takeAll(groups, 100)).isTrue();
+        assertThat(trainer.receiveAll(groups, 100)).isTrue();
     }
 
     @Test
-    void theKeeperMayDieBetweenHandOverAndItsRecord() {
+    void groupsAreDeliveredOnceIfTheKeeperDiesBeforeTheAcknowledgement() {
         Set<GroupKey> groups = submitted(9);
         fleet.run(Duration.ofSeconds(2));
         trainer.pull("vm-1", 3);
 
         fleet.kill(fleet.keepers(trainer.name).get(0));
 
-        assertThat(trainer.takeAll(groups, 200)).isTrue();
-        assertNothingMore();
+        assertThat(trainer.receiveAll(groups, 200)).isTrue();
+        assertNoFurtherGroups();
     }
 
     @Test
-    void twoKeepersServingOneTrainerDeliverOnce() {
+    void groupsAreDeliveredOnceByPartitionedKeepers() {
         Set<GroupKey> groups = submitted(12);
         fleet.run(Duration.ofSeconds(2));
         List<String> keepers = fleet.keepers(trainer.name);
 
-        for (int pull = 0; pull < 40 && trainer.taken.size() < groups.size(); pull++) {
-            fleet.cut.clear();
-            fleet.cut.add(keepers.get(pull % 2));
+        for (int pull = 0; pull < 40 && trainer.received.size() < groups.size(); pull++) {
+            fleet.partitioned.clear();
+            fleet.partitioned.add(keepers.get(pull % 2));
             trainer.pull(keepers.get(pull % 2), 2);
         }
 
-        assertThat(trainer.taken.keySet()).containsAll(groups);
+        assertThat(trainer.received.keySet()).containsAll(groups);
     }
 
     @Test
-    void anOldCursorGoesOnBehindWhatWasTaken() {
+    void anOutdatedCursorResumesAfterTheAcknowledgedGroups() {
         Set<GroupKey> groups = submitted(9);
         fleet.run(Duration.ofSeconds(2));
         trainer.pull("vm-1", 2);
-        Optional<String> old = trainer.cursor;
+        Optional<String> outdated = trainer.cursor;
         trainer.pull("vm-2", 2);
         trainer.pull("vm-3", 2);
-        PullResult last = trainer.ask("vm-3", 2, OptionalLong.empty()).orElseThrow();
+        PullResult last =
+                trainer.pullUnprocessed("vm-3", 2, OptionalLong.empty()).orElseThrow();
 
-        trainer.cursor = old;
+        trainer.cursor = outdated;
 
-        assertThat(keys(trainer.ask("vm-4", 2, OptionalLong.empty()).orElseThrow()))
+        assertThat(keys(trainer.pullUnprocessed("vm-4", 2, OptionalLong.empty()).orElseThrow()))
                 .isEqualTo(keys(last));
-        assertThat(trainer.takeAll(groups, 100)).isTrue();
+        assertThat(trainer.receiveAll(groups, 100)).isTrue();
     }
 
     @Test
-    void aTrainerWithoutCursorGoesOnBehindWhatItAcknowledged() {
+    void aTrainerWithoutCursorResumesAfterTheAcknowledgedGroups() {
         Set<GroupKey> groups = submitted(9);
         trainer.pull("vm-1", 3);
         trainer.pull("vm-2", 3);
-        trainer.ask("vm-2", 3, OptionalLong.empty());
+        trainer.pullUnprocessed("vm-2", 3, OptionalLong.empty());
 
         trainer.cursor = Optional.empty();
 
-        assertThat(trainer.takeAll(groups, 100)).isTrue();
+        assertThat(trainer.receiveAll(groups, 100)).isTrue();
     }
 
     @Test
     void aTrainerWithoutCursorIsServedFromThePlatformWhenAllNodesWereReplaced() {
         submitted(9);
         trainer.pull("vm-1", 3);
-        trainer.ask("vm-2", 3, OptionalLong.empty());
+        trainer.pullUnprocessed("vm-2", 3, OptionalLong.empty());
         fleet.run(Duration.ofSeconds(3));
         for (int node = 1; node <= 6; node++) {
             fleet.restart("vm-" + node);
@@ -106,29 +109,30 @@
 
         trainer.cursor = Optional.empty();
 
-        assertThat(trainer.takeAll(groups, 100)).isTrue();
+        assertThat(trainer.receiveAll(groups, 100)).isTrue();
     }
 
     @Test
-    void aTrainerWithoutCursorIsRefusedWhileNothingCanBeKnown() {
+    void aTrainerWithoutCursorIsRefusedWhileItsCursorCannotBeDetermined() {
         submitted(9);
         trainer.pull("vm-1", 3);
-        trainer.ask("vm-2", 3, OptionalLong.empty());
-        fleet.platform.down = true;
+        trainer.pullUnprocessed("vm-2", 3, OptionalLong.empty());
+        fleet.platform.unavailable = true;
         for (int node = 1; node <= 6; node++) {
             fleet.restart("vm-" + node);
         }
         Set<GroupKey> groups = submitted(9);
         trainer.cursor = Optional.empty();
 
-        PullResult result = trainer.ask("vm-1", 3, OptionalLong.empty()).orElseThrow();
+        PullResult result =
+                trainer.pullUnprocessed("vm-1", 3, OptionalLong.empty()).orElseThrow();
 
         assertThat(result).isInstanceOfSatisfying(PullResult.Refused.class, refusal -> {
             assertThat(refusal.code()).isEqualTo("cursor-unknown");
             assertThat(refusal.retryAfter()).isPresent();
         });
-        fleet.platform.down = false;
-        assertThat(trainer.takeAll(groups, 100)).isTrue();
+        fleet.platform.unavailable = false;
+        assertThat(trainer.receiveAll(groups, 100)).isTrue();
     }
 
     @Test
@@ -142,7 +146,7 @@
 
     @Test
     void stepsAreDeliveredOnceWhileThePlatformIsDown() {
-        fleet.platform.down = true;
+        fleet.platform.unavailable = true;
         trainer.cursor = Optional.of(CursorCodec.encode(Cursor.start(trainer.name)));
         for (long step = 0; step < 4; step++) {
             fleet.submit("vm-1", SampleFixtures.groups("a", step, 8, 2));
@@ -155,19 +159,19 @@
         trainer.pull("vm-1", 3);
         fleet.run(Duration.ofMinutes(2));
 
-        assertThat(trainer.takeAll(groups, 200)).isTrue();
+        assertThat(trainer.receiveAll(groups, 200)).isTrue();
         assertThat(fleet.platform.writes).isZero();
-        fleet.platform.down = false;
+        fleet.platform.unavailable = false;
         fleet.run(Duration.ofSeconds(3));
         assertThat(fleet.platform.writes).isPositive();
     }
 
     @Test
-    void aWriteWhoseAnswerIsLostIsSettledByReading() {
+    void aWriteWithALostAnswerIsResolvedByARead() {
         Set<GroupKey> groups = submitted(9);
-        fleet.platform.losesAnswers = 2;
+        fleet.platform.answersToDrop = 2;
 
-        assertThat(trainer.takeAll(groups, 100)).isTrue();
+        assertThat(trainer.receiveAll(groups, 100)).isTrue();
         trainer.pull("vm-1", 1);
         fleet.run(Duration.ofSeconds(5));
 
@@ -178,7 +182,7 @@
     }
 
     @Test
-    void aGroupThatHasBecomeStaleRunsAgain() {
+    void aStaleGroupIsRunAgain() {
         EngineModel.Simple engine = (EngineModel.Simple) fleet.engines;
         engine.version = 3;
         fleet.publish(trainer.name, 3);
@@ -188,8 +192,8 @@
         fleet.publish(trainer.name, 5);
         trainer.useVersion = 5;
 
-        assertThat(trainer.takeAll(groups, 100)).isTrue();
-        assertThat(trainer.taken.values()).allSatisfy(group -> {
+        assertThat(trainer.receiveAll(groups, 100)).isTrue();
+        assertThat(trainer.received.values()).allSatisfy(group -> {
             assertThat(group.oldestVersion()).isEqualTo(5);
             assertThat(group.run()).isGreaterThan(1);
         });
@@ -197,7 +201,7 @@
 
     private String refusal(String cursor) {
         trainer.cursor = Optional.of(cursor);
-        return trainer.ask("vm-1", 1, OptionalLong.empty())
+        return trainer.pullUnprocessed("vm-1", 1, OptionalLong.empty())
                 .map(PullResult.Refused.class::cast)
                 .orElseThrow()
                 .code();
@@ -212,9 +216,10 @@
         return groups.stream().map(GroupSpecification::key).collect(Collectors.toSet());
     }
 
-    private void assertNothingMore() {
+    private void assertNoFurtherGroups() {
         fleet.run(Duration.ofSeconds(5));
-        PullResult result = trainer.ask("vm-3", 10, OptionalLong.empty()).orElseThrow();
+        PullResult result =
+                trainer.pullUnprocessed("vm-3", 10, OptionalLong.empty()).orElseThrow();
         assertThat(keys(result)).isEmpty();
     }
 
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/sample/SampleFleet.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/sample/SampleFleet.java
@@ -41,25 +41,26 @@
 import java.util.function.Predicate;
 
 /**
- * Drives several cores together: hands their messages on, moves their clock, and stands in for engines and platform.
+ * Runs several cores together: delivers their messages, advances their clock, and provides stand-ins for the engines
+ * and the platform.
  */
 final class SampleFleet {
 
-    static final Duration STEP = Duration.ofMillis(10);
-    static final Duration DETECTION = Duration.ofSeconds(1);
+    static final Duration TICK_INTERVAL = Duration.ofMillis(10);
+    static final Duration FAILURE_DETECTION_DELAY = Duration.ofSeconds(1);
 
     final FakePlatform platform = new FakePlatform();
     final Map<Long, SampleEffect.AnswerSubmission> submissions = new HashMap<>();
     final Map<Long, PullResult> pulls = new HashMap<>();
     final Map<NodeName, Node> nodes = new TreeMap<>();
-    final Set<String> cut = new HashSet<>();
-    Predicate<Message> lost = _message -> false;
+    final Set<String> partitioned = new HashSet<>();
+    Predicate<Message> lossCondition = _message -> false;
     EngineModel engines = new EngineModel.Simple();
     FleetConfiguration configuration;
     SchedulePolicy policy = SchedulePolicy.Layered.ALL;
     MonotonicTime now = MonotonicTime.ZERO;
 
-    private final List<Message> wire = new ArrayList<>();
+    private final List<Message> messagesInTransit = new ArrayList<>();
     private final Map<NodeName, Member> members = new TreeMap<>();
     private final Map<TrainerName, Long> published = new HashMap<>();
     private final PlatformTokens platformTokens = new PlatformTokens();
@@ -87,14 +88,14 @@
         published.forEach((trainer, version) -> node.inbox.add(new WeightEvent.Published(trainer, version, "")));
     }
 
-    /** Ends a process at once. The others learn it after the time of detection. */
+    /** Ends a process immediately. The other processes detect it after {@link #FAILURE_DETECTION_DELAY}. */
     void kill(String name) {
         NodeName key = new NodeName(name);
         nodes.remove(key);
-        wire.removeIf(message -> message.target().equals(key));
+        messagesInTransit.removeIf(message -> message.target().equals(key));
         Member member = members.get(key);
-        MonotonicTime detected = now.plus(DETECTION);
-        later.add(new Later(
+        MonotonicTime detected = now.plus(FAILURE_DETECTION_DELAY);
+        scheduledActions.add(new ScheduledAction(
                 detected,
                 () -> members.computeIfPresent(
                         key,
@@ -109,7 +110,7 @@
         start(name, zone);
     }
 
-    void condition(String name, MemberCondition condition) {
+    void setCondition(String name, MemberCondition condition) {
         members.computeIfPresent(new NodeName(name), (_name, member) -> member.withCondition(condition));
     }
 
@@ -153,7 +154,7 @@
         return nodes.get(new NodeName(name));
     }
 
-    /** Returns the names of a pair, without those that the cores would compute from a dead process. */
+    /** Returns the keepers of a trainer among the members that take work, the primary first. */
     List<String> keepers(TrainerName trainer) {
         return names(io.yuccaswitch.core.membership.RendezvousRanking.pair("keeper/" + trainer, working()));
     }
@@ -163,10 +164,11 @@
     }
 
     void step() {
-        now = now.plus(STEP);
-        List<Later> due =
-                later.stream().filter(entry -> !now.isBefore(entry.at())).toList();
-        later.removeAll(due);
+        now = now.plus(TICK_INTERVAL);
+        List<ScheduledAction> due = scheduledActions.stream()
+                .filter(entry -> !now.isBefore(entry.at()))
+                .toList();
+        scheduledActions.removeAll(due);
         due.forEach(entry -> entry.action().run());
         deliver();
         platform.answers(now)
@@ -196,9 +198,9 @@
         return true;
     }
 
-    private final List<Later> later = new ArrayList<>();
+    private final List<ScheduledAction> scheduledActions = new ArrayList<>();
 
-    private record Later(MonotonicTime at, Runnable action) {}
+    private record ScheduledAction(MonotonicTime at, Runnable action) {}
 
     private List<Member> working() {
         return members.values().stream().filter(Member::takesWork).toList();
@@ -209,23 +211,23 @@
     }
 
     private void deliver() {
-        List<Message> messages = List.copyOf(wire);
-        wire.clear();
+        List<Message> messages = List.copyOf(messagesInTransit);
+        messagesInTransit.clear();
         for (Message message : messages) {
             Node node = nodes.get(message.target());
-            if (node == null || lost.test(message) || isCut(message)) {
+            if (node == null || lossCondition.test(message) || isPartitioned(message)) {
                 continue;
             }
             node.inbox.add(new PeerEvent.Received(message.sender(), message.content()));
         }
     }
 
-    private boolean isCut(Message message) {
-        return cut.contains(message.sender().name().value())
-                != cut.contains(message.target().value());
+    private boolean isPartitioned(Message message) {
+        return partitioned.contains(message.sender().name().value())
+                != partitioned.contains(message.target().value());
     }
 
-    /** One process: its core, its view of the members, and its request path. */
+    /** A process with its core, its view of the members and its request path. */
     final class Node implements MembershipView {
 
         final NodeIdentity identity;
@@ -234,7 +236,7 @@
         private final DecisionCore core;
         private final Map<RequestId, Request> requests = new LinkedHashMap<>();
         long ticks;
-        long nanoseconds;
+        long tickNanos;
 
         private Node(NodeIdentity identity) {
             this.identity = identity;
@@ -249,21 +251,23 @@
 
         @Override
         public Collection<Member> working() {
-            boolean inside = cut.contains(identity.name().value());
+            boolean isolated = partitioned.contains(identity.name().value());
             return SampleFleet.this.working().stream()
-                    .filter(member -> cut.contains(member.identity().name().value()) == inside)
+                    .filter(member ->
+                            partitioned.contains(member.identity().name().value()) == isolated)
                     .toList();
         }
 
         @Override
         public Optional<Member> find(NodeName name) {
-            boolean inside = cut.contains(identity.name().value());
+            boolean isolated = partitioned.contains(identity.name().value());
             return Optional.ofNullable(members.get(name))
-                    .map(member ->
-                            cut.contains(name.value()) == inside ? member : member.withCondition(MemberCondition.DEAD));
+                    .map(member -> partitioned.contains(name.value()) == isolated
+                            ? member
+                            : member.withCondition(MemberCondition.DEAD));
         }
 
-        /** Returns whether this process holds a group, whether its samples were begun or not. */
+        /** Returns whether this process holds a group as its driver or backup. */
         boolean holds(GroupKey key) {
             return system.holds(key);
         }
@@ -271,7 +275,7 @@
         private void requestPath(Tick tick) {
             for (RequestEvent.Arrived event : tick.events(RequestEvent.Arrived.class)) {
                 requests.put(event.id(), event.request());
-                engines.begin(identity, event.request(), now);
+                engines.start(identity, event.request(), now);
             }
             for (RequestEvent.Cancelled event : tick.events(RequestEvent.Cancelled.class)) {
                 requests.remove(event.id());
@@ -289,16 +293,16 @@
         private void tick() {
             List<Event> events = List.copyOf(inbox);
             inbox.clear();
-            long begun = System.nanoTime();
+            long startNanos = System.nanoTime();
             TickResult result = core.tick(now, events);
-            nanoseconds += System.nanoTime() - begun;
+            tickNanos += System.nanoTime() - startNanos;
             ticks++;
-            result.effects().forEach(this::carryOut);
+            result.effects().forEach(this::execute);
         }
 
-        private void carryOut(Effect effect) {
+        private void execute(Effect effect) {
             if (effect instanceof PeerEffect.Send send) {
-                wire.add(new Message(identity, send.target(), (SampleMessage) send.message()));
+                messagesInTransit.add(new Message(identity, send.target(), (SampleMessage) send.message()));
             } else if (effect instanceof PlatformEffect call) {
                 platform.call(identity, call, now);
             } else if (effect instanceof SampleEffect.AnswerSubmission answer) {
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/sample/SampleInterleavingTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/sample/SampleInterleavingTest.java
@@ -19,10 +19,13 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Lets faults come in any order and any number, and checks that each slot is delivered once and within the bound. */
+/**
+ * Applies random sequences of faults, and checks that each slot is delivered exactly once and within the staleness
+ * bound.
+ */
 final class SampleInterleavingTest {
 
-    private static final int NODES = 6;
+    private static final int NODE_COUNT = 6;
 
     @Property(tries = 60, seed = "20261202")
     void everyAcceptedSlotIsDeliveredOnceAndWithinTheBound(
@@ -33,12 +36,12 @@
         actions.forEach(run::act);
         run.heal();
 
-        assertThat(run.trainer.takeAll(run.accepted(), 400))
-                .as("taken %s of %s", run.trainer.taken.keySet(), run.accepted())
+        assertThat(run.trainer.receiveAll(run.accepted(), 400))
+                .as("received %s of %s", run.trainer.received.keySet(), run.accepted())
                 .isTrue();
         run.fleet.run(Duration.ofSeconds(5));
         run.trainer.pull(run.anyNode(), 10);
-        assertThat(run.trainer.taken.keySet()).isEqualTo(run.accepted());
+        assertThat(run.trainer.received.keySet()).isEqualTo(run.accepted());
     }
 
     /** One run of a fleet and a trainer under faults. */
@@ -50,7 +53,7 @@
         private final SplittableRandom random;
         private final List<Long> submissions = new ArrayList<>();
         private final Set<GroupKey> submitted = new HashSet<>();
-        private Optional<String> old = Optional.empty();
+        private Optional<String> earlierCursor = Optional.empty();
         private long step;
 
         private Run(SampleFleet fleet, long seed) {
@@ -70,32 +73,33 @@
         private void act(int action) {
             switch (action) {
                 case 0, 1, 2 -> trainer.pull(anyNode(), 1 + random.nextInt(4));
-                case 3 -> trainer.ask(anyNode(), 1 + random.nextInt(4), OptionalLong.empty());
+                case 3 -> trainer.pullUnprocessed(anyNode(), 1 + random.nextInt(4), OptionalLong.empty());
                 case 4 -> submit();
-                case 5 -> kill();
-                case 6, 7 -> restart();
+                case 5 -> killRandomNode();
+                case 6, 7 -> restartMissingNode();
                 case 8 -> fleet.restart(anyNode());
-                case 9 -> cut();
-                case 10 -> fleet.cut.clear();
-                case 11 -> fleet.platform.down = !fleet.platform.down;
+                case 9 -> isolateRandomNode();
+                case 10 -> fleet.partitioned.clear();
+                case 11 -> fleet.platform.unavailable = !fleet.platform.unavailable;
                 case 12 -> nextVersion();
-                case 13 -> fleet.lost = _message -> random.nextInt(4) == 0;
-                case 14 -> fleet.lost = _message -> false;
-                case 15 -> old = trainer.cursor;
-                default -> trainer.goOnFrom(old);
+                case 13 -> fleet.lossCondition = _message -> random.nextInt(4) == 0;
+                case 14 -> fleet.lossCondition = _message -> false;
+                case 15 -> earlierCursor = trainer.cursor;
+                default -> trainer.restartFrom(earlierCursor);
             }
             fleet.run(Duration.ofMillis(random.nextInt(1500)));
         }
 
         private void heal() {
-            fleet.cut.clear();
-            fleet.lost = _message -> false;
-            fleet.platform.down = false;
-            for (int node = 0; node < NODES; node++) {
-                restart();
+            fleet.partitioned.clear();
+            fleet.lossCondition = _message -> false;
+            fleet.platform.unavailable = false;
+            for (int node = 0; node < NODE_COUNT; node++) {
+                restartMissingNode();
             }
             fleet.run(Duration.ofSeconds(5));
-            // What was accepted and lost with both of its holders at once is submitted again, as a trainer would.
+            // Resubmits all groups as a trainer does, since groups are lost if both of their holders end at the same
+            // time.
             for (long earlier = 0; earlier < step; earlier++) {
                 fleet.submit(anyNode(), SampleFixtures.groups("a", earlier, 3, 2));
             }
@@ -118,19 +122,19 @@
             fleet.publish(trainer.name, engine.version);
         }
 
-        private void cut() {
-            fleet.cut.clear();
-            fleet.cut.add("vm-" + (1 + random.nextInt(NODES)));
+        private void isolateRandomNode() {
+            fleet.partitioned.clear();
+            fleet.partitioned.add("vm-" + (1 + random.nextInt(NODE_COUNT)));
         }
 
-        private void kill() {
+        private void killRandomNode() {
             if (fleet.nodes.size() > 4) {
                 fleet.kill(anyNode());
             }
         }
 
-        private void restart() {
-            for (int node = 1; node <= NODES; node++) {
+        private void restartMissingNode() {
+            for (int node = 1; node <= NODE_COUNT; node++) {
                 if (fleet.node("vm-" + node) == null) {
                     fleet.restart("vm-" + node);
                     return;
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/sample/SubmissionTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/sample/SubmissionTest.java
@@ -39,7 +39,7 @@
                 .toList()
                 .forEach(name -> {
                     fleet.kill(name);
-                    fleet.condition(name, MemberCondition.DEAD);
+                    fleet.setCondition(name, MemberCondition.DEAD);
                 });
 
         SampleEffect.AnswerSubmission answer = submitAt("vm-3", SampleFixtures.groups("a", 0, 2, 2));
@@ -61,14 +61,14 @@
         SampleEffect.AnswerSubmission answer = submitAt("vm-1", SampleFixtures.groups("a", 0, 3, 2));
 
         assertThat(answer.accepted()).hasSize(3);
-        assertThat(trainer.takeAll(Set.copyOf(answer.accepted()), 50)).isTrue();
+        assertThat(trainer.receiveAll(Set.copyOf(answer.accepted()), 50)).isTrue();
     }
 
     @Test
-    void aRefusalForLackOfRoomIsTrue() {
+    void groupsBeyondTheLimitAreRefusedAndNotHeld() {
         fleet = SampleFixtures.fleet(Map.of("a", SampleFixtures.trainer(1, 1, Optional.empty(), true, 12)));
         TrainerModel trainer = new TrainerModel(fleet, "a", 1);
-        ((EngineModel.Simple) fleet.engines).time = Duration.ofSeconds(20);
+        ((EngineModel.Simple) fleet.engines).answerTime = Duration.ofSeconds(20);
 
         SampleEffect.AnswerSubmission answer = submit(SampleFixtures.groups("a", 0, 60, 2));
 
@@ -78,12 +78,12 @@
             assertThat(refused.surelyNotRun()).isTrue();
             assertThat(fleet.nodes.values()).noneMatch(node -> node.holds(refused.key()));
         });
-        ((EngineModel.Simple) fleet.engines).time = Duration.ofMillis(50);
-        assertThat(trainer.takeAll(Set.copyOf(answer.accepted()), 100)).isTrue();
+        ((EngineModel.Simple) fleet.engines).answerTime = Duration.ofMillis(50);
+        assertThat(trainer.receiveAll(Set.copyOf(answer.accepted()), 100)).isTrue();
     }
 
     @Test
-    void submittingAgainChangesNothing() {
+    void resubmittingGroupsIsIdempotent() {
         List<GroupSpecification> groups = SampleFixtures.groups("a", 0, 5, 2);
         TrainerModel trainer = new TrainerModel(fleet, "a", 1);
         submit(groups);
@@ -91,7 +91,7 @@
         trainer.pull("vm-1", 2);
 
         assertThat(submitAt("vm-4", groups).accepted()).hasSize(5);
-        assertThat(trainer.takeAll(keys(groups), 100)).isTrue();
+        assertThat(trainer.receiveAll(keys(groups), 100)).isTrue();
         submitAt("vm-5", groups);
         fleet.run(Duration.ofSeconds(5));
         assertThat(trainer.pull("vm-2", 5).map(result -> ((PullResult.HandedOver) result).groups()))
@@ -99,8 +99,8 @@
     }
 
     @Test
-    void aGroupThatMayBeHeldIsNotSaidNotToRun() {
-        fleet.lost = message -> message.content() instanceof SampleMessage.Stored;
+    void aGroupThatMayBeHeldIsNotReportedAsNotRun() {
+        fleet.lossCondition = message -> message.content() instanceof SampleMessage.Stored;
 
         SampleEffect.AnswerSubmission answer = submit(SampleFixtures.groups("a", 0, 20, 2));
 
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void whatCanNeverBeTakenIsRefusedForGood() {
+    void groupsThatCanNeverBeAcceptedAreRefusedPermanently() {
         GroupKey key = new GroupKey(new TrainerName("a"), 0, 0);
         GroupSpecification large = new GroupSpecification(key, "prompt", 1024, 1 << 20, PriorityClass.NORMAL);
 
@@ -125,33 +125,36 @@
     }
 
     @Test
-    void theDriverMayDieAtEveryMoment() {
-        for (int moment = 0; moment < 40; moment++) {
+    void acceptedGroupsAreDeliveredIfAHolderDiesAtAnyTime() {
+        for (int elapsedTicks = 0; elapsedTicks < 40; elapsedTicks++) {
             SampleFleet trial = SampleFixtures.fleet();
-            ((EngineModel.Simple) trial.engines).time = Duration.ofMillis(100);
+            ((EngineModel.Simple) trial.engines).answerTime = Duration.ofMillis(100);
             TrainerModel trainer = new TrainerModel(trial, "a", 1);
             List<GroupSpecification> groups = SampleFixtures.groups("a", 0, 4, 2);
             long token = trial.submit("vm-1", groups);
-            trial.run(SampleFleet.STEP.multipliedBy(moment + 1));
-            String victim = trial.holders(groups.get(moment % 4).key()).get(moment / 4 % 2);
-            if (victim.equals("vm-1")) {
+            trial.run(SampleFleet.TICK_INTERVAL.multipliedBy(elapsedTicks + 1));
+            String killedNode =
+                    trial.holders(groups.get(elapsedTicks % 4).key()).get(elapsedTicks / 4 % 2);
+            if (killedNode.equals("vm-1")) {
                 continue;
             }
-            trial.kill(victim);
+            trial.kill(killedNode);
             trial.runUntil(() -> trial.submissions.containsKey(token), Duration.ofSeconds(10));
 
             Set<GroupKey> accepted = Set.copyOf(trial.submissions.get(token).accepted());
-            for (int pull = 0; pull < 100 && !trainer.taken.keySet().containsAll(accepted); pull++) {
+            for (int pull = 0; pull < 100 && !trainer.received.keySet().containsAll(accepted); pull++) {
                 trainer.pull("vm-1", 2);
             }
-            assertThat(trainer.taken.keySet()).as("moment %d", moment).containsAll(accepted);
+            assertThat(trainer.received.keySet())
+                    .as("killed after %d ticks", elapsedTicks)
+                    .containsAll(accepted);
         }
     }
 
     @Test
-    void allNodesMayBeRestartedOneByOneInAStep() {
+    void groupsAreDeliveredIfAllNodesAreRestartedOneByOne() {
         TrainerModel trainer = new TrainerModel(fleet, "a", 1);
-        ((EngineModel.Simple) fleet.engines).time = Duration.ofMillis(1500);
+        ((EngineModel.Simple) fleet.engines).answerTime = Duration.ofMillis(1500);
         List<GroupSpecification> groups = SampleFixtures.groups("a", 0, 24, 2);
         submit(groups);
 
@@ -161,11 +164,11 @@
             trainer.pull("vm-" + node, 2);
         }
 
-        assertThat(trainer.takeAll(keys(groups), 200)).isTrue();
+        assertThat(trainer.receiveAll(keys(groups), 200)).isTrue();
     }
 
     @Test
-    void aLeavingNodeHandsEverythingOff() {
+    void aLeavingNodeHandsOffAllGroups() {
         TrainerModel trainer = new TrainerModel(fleet, "a", 1);
         List<GroupSpecification> groups = SampleFixtures.groups("a", 0, 24, 2);
         submit(groups);
@@ -174,12 +177,12 @@
         String leaving = fleet.keepers(trainer.name).get(0);
         assertThat(fleet.node(leaving).system.handedOff()).isFalse();
 
-        fleet.condition(leaving, MemberCondition.LEAVING);
+        fleet.setCondition(leaving, MemberCondition.LEAVING);
 
         assertThat(fleet.runUntil(() -> fleet.node(leaving).system.handedOff(), Duration.ofSeconds(15)))
                 .isTrue();
         fleet.kill(leaving);
-        assertThat(trainer.takeAll(keys(groups), 100)).isTrue();
+        assertThat(trainer.receiveAll(keys(groups), 100)).isTrue();
     }
 
     private SampleEffect.AnswerSubmission submit(List<GroupSpecification> groups) {
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/sample/UnconfiguredKeeperTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/sample/UnconfiguredKeeperTest.java
@@ -23,14 +23,15 @@
 
 final class UnconfiguredKeeperTest {
 
-    private static final NodeIdentity OTHER = new NodeIdentity(new NodeName("vm-2"), 1);
+    private static final NodeIdentity OTHER_NODE = new NodeIdentity(new NodeName("vm-2"), 1);
 
     @Test
-    void aKeeperThatHasJustStartedAsksTheTrainerToComeBack() {
-        SampleSystem system =
-                new SampleSystem(new Alone(), new PlatformTokens(), new RequestClock(MonotonicTime.ZERO, 0));
+    void aKeeperWithoutConfigurationRefusesAPullTemporarily() {
+        SampleSystem system = new SampleSystem(
+                new SingleNodeMembership(), new PlatformTokens(), new RequestClock(MonotonicTime.ZERO, 0));
         SampleMessage.Pull pull = new SampleMessage.Pull(1, new TrainerName("matcher"), "", 1, 0, 4, 1000);
-        Tick tick = new Tick(MonotonicTime.ZERO, List.of(new PeerEvent.Received(OTHER, pull)), new SplittableRandom(1));
+        Tick tick = new Tick(
+                MonotonicTime.ZERO, List.of(new PeerEvent.Received(OTHER_NODE, pull)), new SplittableRandom(1));
 
         system.afterRequests().run(tick);
 
@@ -45,7 +46,7 @@
     }
 
     /** A membership of one node. */
-    private static final class Alone implements MembershipView {
+    private static final class SingleNodeMembership implements MembershipView {
 
         @Override
         public Member self() {
