--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/CommandEnvironment.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/CommandEnvironment.java
@@ -8,13 +8,13 @@
 import java.util.function.Supplier;
 
 /**
- * What the command takes from its surroundings.
+ * The environment that the command depends on.
  *
  * @param variables The environment variables.
  * @param user The name of the user.
- * @param clock The clock that changes are dated by.
- * @param changeIds Makes unique identifiers of changes.
- * @param stores Opens the platform's objects.
+ * @param clock The clock for the time stamps of changes.
+ * @param changeIds Generates unique identifiers of changes.
+ * @param stores Opens the object store of the platform.
  * @param pauses The pauses between attempts of calls.
  */
 public record CommandEnvironment(
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/CommandLine.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/CommandLine.java
@@ -29,7 +29,7 @@
     /** The name of the command. */
     private static final String PROGRAM_NAME = "yuccaswitch";
 
-    /** What the numbers mean that the command exits with. */
+    /** The help text about the exit codes. */
     private static final String EXIT_CODES =
             """
             Exit codes:
@@ -40,28 +40,28 @@
               4  the platform or a node cannot be reached, nothing was changed
               5  the change may or may not have taken effect""";
 
-    /** Prints results as JSON. */
+    /** Serialises results as JSON. */
     private final ObjectMapper mapper = new ObjectMapper()
             .registerModule(new Jdk8Module())
             .registerModule(new JavaTimeModule())
             .disable(SerializationFeature.WRITE_DATES_AS_TIMESTAMPS)
             .enable(SerializationFeature.INDENT_OUTPUT);
 
-    /** What the command takes from its surroundings. */
+    /** The environment of the command. */
     private final CommandEnvironment environment;
 
-    /** Takes results. */
+    /** Receives the results of successful subcommands. */
     private final PrintStream output;
 
-    /** Takes results of subcommands that did not do what they were asked to. */
+    /** Receives the results of failed subcommands. */
     private final PrintStream errors;
 
     /**
      * Creates a new command line.
      *
-     * @param environment What the command takes from its surroundings.
-     * @param output Takes results.
-     * @param errors Takes results of subcommands that did not do what they were asked to.
+     * @param environment The environment of the command.
+     * @param output Receives the results of successful subcommands.
+     * @param errors Receives the results of failed subcommands.
      */
     CommandLine(CommandEnvironment environment, PrintStream output, PrintStream errors) {
         this.environment = environment;
@@ -73,7 +73,7 @@
      * Runs a command line.
      *
      * @param arguments The arguments.
-     * @return What the command exits with.
+     * @return The exit code.
      */
     ExitCode run(String... arguments) {
         List<Subcommand> subcommands = subcommands();
@@ -86,20 +86,20 @@
         try {
             parser.parse(arguments);
         } catch (ParameterException e) {
-            return refuse(e.getMessage(), Optional.ofNullable(parser.getParsedCommand()));
+            return reportInvalidArguments(e.getMessage(), Optional.ofNullable(parser.getParsedCommand()));
         }
-        Optional<Subcommand> chosen = subcommands.stream()
+        Optional<Subcommand> selected = subcommands.stream()
                 .filter(subcommand -> subcommand.name().equals(parser.getParsedCommand()))
                 .findFirst();
-        if (options.help || chosen.isEmpty()) {
+        if (options.help || selected.isEmpty()) {
             output.println(usage(parser, Optional.empty()));
             return options.help ? ExitCode.OK : ExitCode.INVALID;
         }
-        if (chosen.get().common().isHelp()) {
-            output.println(usage(parser, chosen.map(Subcommand::name)));
+        if (selected.get().common().isHelp()) {
+            output.println(usage(parser, selected.map(Subcommand::name)));
             return ExitCode.OK;
         }
-        return print(chosen.get().run(environment), chosen.get().common().isJson());
+        return print(selected.get().run(environment), selected.get().common().isJson());
     }
 
     /**
@@ -123,13 +123,13 @@
     }
 
     /**
-     * Says that the arguments are invalid.
+     * Reports invalid arguments.
      *
-     * @param message What is wrong.
+     * @param message The error message.
      * @param subcommand The subcommand, if it is known.
-     * @return What the command exits with.
+     * @return The exit code.
      */
-    private ExitCode refuse(String message, Optional<String> subcommand) {
+    private ExitCode reportInvalidArguments(String message, Optional<String> subcommand) {
         String help = PROGRAM_NAME + subcommand.map(name -> " " + name).orElse("") + " --help";
         errors.println(message);
         errors.println("Run \"" + help + "\" to see how the command is used.");
@@ -137,10 +137,10 @@
     }
 
     /**
-     * Returns how the command is used.
+     * Returns the usage text.
      *
      * @param parser The parser.
-     * @param subcommand The subcommand, or empty for the whole command.
+     * @param subcommand The subcommand, or empty for the main command.
      * @return The text.
      */
     private static String usage(JCommander parser, Optional<String> subcommand) {
@@ -163,7 +163,7 @@
      *
      * @param result The result.
      * @param json Whether to print JSON, which always goes to the output.
-     * @return What the command exits with.
+     * @return The exit code.
      */
     private ExitCode print(CommandResult result, boolean json) {
         if (json) {
@@ -185,14 +185,14 @@
         try {
             return mapper.writeValueAsString(document);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("A result cannot be written as JSON", e);
+            throw new IllegalStateException("Result could not be serialised as JSON", e);
         }
     }
 
     /** The options before the name of the subcommand. */
     private static final class MainOptions {
 
-        /** Whether help is asked for. */
+        /** Whether help is requested. */
         @Parameter(
                 names = {"--help", "-h"},
                 help = true,
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/CommandMain.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/CommandMain.java
@@ -6,14 +6,14 @@
 import java.time.InstantSource;
 import java.util.UUID;
 
-/** The command that operators use. */
+/** The main class of the command-line tool for operators. */
 public final class CommandMain {
 
-    /** The first pause between attempts of calls. */
-    private static final Duration FIRST_PAUSE = Duration.ofMillis(100);
+    /** The initial delay between attempts of platform calls. */
+    private static final Duration INITIAL_RETRY_DELAY = Duration.ofMillis(100);
 
-    /** The longest pause between attempts of calls. */
-    private static final Duration LONGEST_PAUSE = Duration.ofSeconds(2);
+    /** The maximum delay between attempts of platform calls. */
+    private static final Duration MAXIMUM_RETRY_DELAY = Duration.ofSeconds(2);
 
     /** This class has no instances. */
     private CommandMain() {}
@@ -30,7 +30,7 @@
                 InstantSource.system(),
                 () -> UUID.randomUUID().toString(),
                 PlatformObjectStore::open,
-                new RetryPauses.Doubling(FIRST_PAUSE, LONGEST_PAUSE));
+                new RetryPauses.Doubling(INITIAL_RETRY_DELAY, MAXIMUM_RETRY_DELAY));
         ExitCode exitCode = new CommandLine(environment, System.out, System.err).run(arguments);
         System.exit(exitCode.number());
     }
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/CommandResult.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/CommandResult.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * What a subcommand found or did, for people and for scripts.
+ * The result of a subcommand, as text for users and as a document for scripts.
  *
- * @param exitCode What the command exits with.
+ * @param exitCode The exit code.
  * @param lines The result as lines of text.
  * @param document The result as a value that is printed as JSON.
  */
@@ -17,11 +17,11 @@
     }
 
     /**
-     * Creates the result of a subcommand that did not do what it was asked to.
+     * Creates the result of a failed subcommand.
      *
-     * @param exitCode What the command exits with.
-     * @param message What went wrong, in a full sentence.
-     * @param next What to do next, in a full sentence.
+     * @param exitCode The exit code.
+     * @param message The description of the failure, as a full sentence.
+     * @param next The suggested next step, as a full sentence.
      * @return The result.
      */
     public static CommandResult failure(ExitCode exitCode, String message, String next) {
@@ -32,8 +32,8 @@
      * The document of a failure.
      *
      * @param code The code of the failure.
-     * @param message What went wrong.
-     * @param next What to do next.
+     * @param message The description of the failure.
+     * @param next The suggested next step.
      */
     public record Failure(String code, String message, String next) {}
 }
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/CommandSettings.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/CommandSettings.java
@@ -8,8 +8,8 @@
 /**
  * The settings of the command, which options and environment variables override.
  *
- * @param platform How the platform is reached.
- * @param operators The addresses for operators of the nodes by their names.
+ * @param platform The address and token of the platform.
+ * @param operators The operator addresses of the nodes by node name.
  * @param operatorToken The token that operators present to nodes.
  */
 public record CommandSettings(
@@ -18,7 +18,7 @@
                 Map<NodeName, String> operators,
         @Setting(description = "The token that operators present to nodes.") Optional<String> operatorToken) {
 
-    /** The settings where none are given. */
+    /** The settings without any values. */
     public static final CommandSettings EMPTY = new CommandSettings(Optional.empty(), Map.of(), Optional.empty());
 
     /** Copies the addresses. */
@@ -27,7 +27,7 @@
     }
 
     /**
-     * How the platform is reached.
+     * The address and token of the platform.
      *
      * @param address The platform's address as host:port.
      * @param token The bearer token for the platform.
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/CommonOptions.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/CommonOptions.java
@@ -9,14 +9,14 @@
     @Parameter(names = "--json", description = "Print the result as one JSON document.")
     private boolean json;
 
-    /** Whether help is asked for. */
+    /** Whether help is requested. */
     @Parameter(
             names = {"--help", "-h"},
             help = true,
-            description = "Show how the command is used.")
+            description = "Show the usage of the command.")
     private boolean help;
 
-    /** Creates options that are not set. */
+    /** Creates options with default values. */
     public CommonOptions() {}
 
     /**
@@ -29,7 +29,7 @@
     }
 
     /**
-     * Returns whether help is asked for.
+     * Returns whether help is requested.
      *
      * @return {@code true} if it is.
      */
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/ConnectionOptions.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/ConnectionOptions.java
@@ -20,7 +20,7 @@
             description = "The bearer token for the platform. Environment: YUCCASWITCH_PLATFORM_TOKEN.")
     private String platformToken;
 
-    /** The addresses for operators of the nodes. */
+    /** The operator addresses of the nodes. */
     @Parameter(
             names = "--operator",
             description = "The address for operators of a node as [name=]host:port; may be repeated."
@@ -33,14 +33,14 @@
             description = "The token that operators present to nodes. Environment: YUCCASWITCH_OPERATOR_TOKEN.")
     private String operatorToken;
 
-    /** The file with settings of the command. */
+    /** The settings file of the command. */
     @Parameter(
             names = "--settings",
             description = "A file or folder with the addresses and tokens above as JSON with comments."
                     + " Environment: YUCCASWITCH_SETTINGS.")
     private String settings;
 
-    /** Creates options that are not set. */
+    /** Creates options with default values. */
     public ConnectionOptions() {}
 
     /**
@@ -62,9 +62,9 @@
     }
 
     /**
-     * Returns the addresses for operators of the nodes.
+     * Returns the operator addresses of the nodes.
      *
-     * @return The addresses as written, none if they were not given.
+     * @return The addresses as specified, which are empty if the option was not given.
      */
     public List<String> operators() {
         return operators;
@@ -80,7 +80,7 @@
     }
 
     /**
-     * Returns the file with settings of the command.
+     * Returns the settings file of the command.
      *
      * @return The file, or empty if it was not given.
      */
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/Connections.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/Connections.java
@@ -12,10 +12,10 @@
 import java.util.TreeMap;
 
 /**
- * The addresses and tokens that a subcommand calls with.
+ * The addresses and tokens that a subcommand uses for its calls.
  *
- * @param platform How the platform is reached, or empty if that is not known.
- * @param operators The addresses for operators of the nodes by their names, or by themselves where no name is known.
+ * @param platform The address and token of the platform, or empty if no address is configured.
+ * @param operators The operator addresses of the nodes by node name, or by address if no name is specified.
  * @param operatorToken The token that operators present to nodes.
  */
 public record Connections(
@@ -27,27 +27,29 @@
     /** The environment variable with the token for the platform. */
     static final String PLATFORM_TOKEN_VARIABLE = "YUCCASWITCH_PLATFORM_TOKEN";
 
-    /** The environment variable with the addresses for operators. */
+    /** The environment variable with the operator addresses. */
     static final String OPERATORS_VARIABLE = "YUCCASWITCH_OPERATORS";
 
     /** The environment variable with the token for nodes. */
     static final String OPERATOR_TOKEN_VARIABLE = "YUCCASWITCH_OPERATOR_TOKEN";
 
-    /** The environment variable with the file of settings. */
+    /** The environment variable with the settings file. */
     static final String SETTINGS_VARIABLE = "YUCCASWITCH_SETTINGS";
 
     /** Separates addresses in an environment variable. */
-    private static final Splitter COMMAS = Splitter.on(',').trimResults().omitEmptyStrings();
+    private static final Splitter COMMA_SPLITTER =
+            Splitter.on(',').trimResults().omitEmptyStrings();
 
     /** Separates a node's name from its address. */
     private static final char NAME_SEPARATOR = '=';
 
     /**
-     * Finds the addresses and tokens: options go before environment variables, and these before the file of settings.
+     * Resolves the addresses and tokens. Options take precedence over environment variables, which take precedence over
+     * the settings file.
      *
      * @param options The options.
      * @param variables The environment variables.
-     * @return The addresses and tokens, or the errors in the file of settings.
+     * @return The addresses and tokens, or the errors in the settings file.
      */
     public static SettingsResult<Connections> resolve(ConnectionOptions options, Map<String, String> variables) {
         Optional<SettingsResult<CommandSettings>> file = options.settings()
@@ -61,7 +63,7 @@
     }
 
     /**
-     * Combines what the options, the environment and the settings say.
+     * Combines the options, the environment variables and the settings.
      *
      * @param options The options.
      * @param variables The environment variables.
@@ -80,31 +82,31 @@
                 .or(() -> variable(variables, OPERATOR_TOKEN_VARIABLE))
                 .or(settings::operatorToken);
         return new Connections(
-                address.map(known -> new PlatformAccess(known, token)),
+                address.map(configured -> new PlatformAccess(configured, token)),
                 operators(options, variables, settings),
                 operatorToken);
     }
 
     /**
-     * Returns the addresses for operators.
+     * Returns the operator addresses of the nodes.
      *
      * @param options The options.
      * @param variables The environment variables.
      * @param settings The settings.
-     * @return The addresses by the names of the nodes.
+     * @return The addresses by node name.
      */
     private static SortedMap<String, String> operators(
             ConnectionOptions options, Map<String, String> variables, CommandSettings settings) {
-        List<String> written = options.operators().isEmpty()
+        List<String> entries = options.operators().isEmpty()
                 ? variable(variables, OPERATORS_VARIABLE)
-                        .map(COMMAS::splitToList)
+                        .map(COMMA_SPLITTER::splitToList)
                         .orElseGet(List::of)
                 : options.operators();
         SortedMap<String, String> operators = new TreeMap<>();
-        if (written.isEmpty()) {
+        if (entries.isEmpty()) {
             settings.operators().forEach((name, address) -> operators.put(name.value(), address));
         }
-        for (String entry : written) {
+        for (String entry : entries) {
             int separator = entry.indexOf(NAME_SEPARATOR);
             String address = entry.substring(separator + 1);
             operators.put(separator < 0 ? address : entry.substring(0, separator), address);
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/ExitCode.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/ExitCode.java
@@ -2,11 +2,11 @@
 
 import java.util.Locale;
 
-/** What the command exits with. The numbers are stable: scripts may rely on them. */
+/** The exit codes of the command. The numbers are stable, since scripts may depend on them. */
 public enum ExitCode {
-    /** The command did what it was asked to. */
+    /** The command succeeded. */
     OK(0),
-    /** The command failed for a reason that no other code names. */
+    /** The command failed for a reason that no other code covers. */
     FAILED(1),
     /** The arguments or the settings are invalid, and nothing was changed. */
     INVALID(2),
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Returns the code as JSON shows it, such as {@code unknown-outcome}.
+     * Returns the label of the code in JSON documents, such as {@code unknown-outcome}.
      *
      * @return The code in lower case with hyphens.
      */
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/Subcommand.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/Subcommand.java
@@ -1,10 +1,10 @@
 package io.yuccaswitch.command;
 
-/** A subcommand, whose fields JCommander fills in. */
+/** A subcommand, whose annotated fields JCommander sets. */
 public interface Subcommand {
 
     /**
-     * Returns the name that the subcommand is called by.
+     * Returns the name of the subcommand on the command line.
      *
      * @return The name.
      */
@@ -20,7 +20,7 @@
     /**
      * Runs the subcommand.
      *
-     * @param environment What the command takes from its surroundings.
+     * @param environment The environment of the command.
      * @return The result.
      */
     CommandResult run(CommandEnvironment environment);
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/configuration/ApplyOutcome.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/configuration/ApplyOutcome.java
@@ -6,16 +6,16 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** What became of a change of the fleet's configuration. */
+/** The outcome of a change of the fleet configuration. */
 public sealed interface ApplyOutcome {
 
     /**
      * The change was accepted.
      *
      * @param accepted The accepted generation.
-     * @param differences The values that differ from the generation before, where that is known.
-     * @param supersededBy The newest generation, if others were accepted since.
-     * @param warnings What went wrong beside the acceptance.
+     * @param differences The values that differ from the previous generation, if that generation is available.
+     * @param supersededBy The latest generation, if later ones have been accepted since.
+     * @param warnings Problems that did not prevent the acceptance.
      */
     record Accepted(
             ConfigurationDocument accepted,
@@ -25,18 +25,18 @@
             implements ApplyOutcome {}
 
     /**
-     * The accepted configuration is already the wanted one, and nothing was written.
+     * The accepted configuration already equals the requested one, and nothing was written.
      *
-     * @param current The newest generation.
+     * @param current The latest generation.
      */
     record Unchanged(ConfigurationDocument current) implements ApplyOutcome {}
 
     /**
      * Another change was accepted instead, and nothing was written.
      *
-     * @param base The generation that the change was made from, if it is known.
-     * @param winner The newest generation.
-     * @param differences The values in which the newest generation differs from the one that the change was made from.
+     * @param base The generation that the change was based on, if it is known.
+     * @param winner The latest generation.
+     * @param differences The values in which the latest generation differs from the one that the change was based on.
      */
     record Lost(OptionalLong base, ConfigurationDocument winner, List<SettingsDifference> differences)
             implements ApplyOutcome {}
@@ -52,14 +52,14 @@
      * The change is too large, and nothing was written.
      *
      * @param size The size in bytes.
-     * @param maximum The largest size that the platform takes.
+     * @param maximum The maximum size that the platform accepts.
      */
     record TooLarge(int size, int maximum) implements ApplyOutcome {}
 
     /**
-     * The platform's object is not one that this command can read, and nothing was written.
+     * The platform's object is not a valid configuration, and nothing was written.
      *
-     * @param reason What is wrong.
+     * @param reason The description of the problem.
      */
     record Damaged(String reason) implements ApplyOutcome {}
 
@@ -74,7 +74,7 @@
      * The platform may or may not have accepted the change.
      *
      * @param changeId The identifier of the change.
-     * @param base The generation that the change was made from, or zero if there was none.
+     * @param base The generation that the change was based on, or zero if there was none.
      * @param reason The reason.
      */
     record Unknown(String changeId, long base, String reason) implements ApplyOutcome {}
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/configuration/ApplyRequest.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/configuration/ApplyRequest.java
@@ -5,14 +5,14 @@
 import java.util.OptionalLong;
 
 /**
- * A change of the fleet's configuration that is to be accepted.
+ * A requested change of the fleet configuration.
  *
- * @param content The merged folder as canonical JSON, which was found to be right.
+ * @param content The merged folder as canonical JSON, which must be valid.
  * @param changeId The identifier of the change, unique for each change.
- * @param resumed {@code true} if the change was tried before, such that it may have been accepted already.
- * @param author Who makes the change.
+ * @param resumed {@code true} if the change was attempted before and may already have been accepted.
+ * @param author The author of the change.
  * @param time The time of the change.
- * @param expectedGeneration The generation that the change was made from, or empty for whichever is accepted.
+ * @param expectedGeneration The generation that the change is based on, or empty to accept any generation.
  */
 public record ApplyRequest(
         Bytes content,
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/configuration/ConfigurationApply.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/configuration/ConfigurationApply.java
@@ -12,35 +12,35 @@
 import java.util.OptionalLong;
 
 /**
- * Has a change accepted by one conditional write of the next generation. When the answer to the write is lost, the
- * object is read again and the identifier of the change is compared before the very same write is tried again: it names
- * the same version of the object, so it takes effect at most once.
+ * Applies a change with one conditional write of the next generation. If the answer to the write is lost, the object is
+ * read and the identifier of the change is compared before the identical write is retried. Each attempt expects the
+ * matching version of the object, so the write takes effect at most once.
  */
 public final class ConfigurationApply {
 
-    /** The largest value that the platform takes. */
+    /** The maximum size of a value that the platform accepts, in bytes. */
     public static final int MAXIMUM_SIZE = 1 << 20;
 
-    /** The number of attempts to have the write answered. */
-    private static final int ATTEMPTS = 8;
+    /** The maximum number of attempts until the write is answered. */
+    private static final int MAXIMUM_ATTEMPTS = 8;
 
-    /** The number of generations that are searched for a change that was tried before. */
-    private static final int RESUME_LOOK_BACK = 20;
+    /** The number of earlier generations that are searched for a change that was attempted before. */
+    private static final int RESUME_SEARCH_GENERATIONS = 20;
 
-    /** The platform's objects. */
+    /** The object store of the platform. */
     private final ObjectStore store;
 
     /** The accepted generations. */
     private final ConfigurationHistory history;
 
-    /** The pauses between attempts. */
+    /** The delays between attempts. */
     private final RetryPauses pauses;
 
     /**
-     * Creates a new procedure.
+     * Creates a new instance.
      *
-     * @param store The platform's objects.
-     * @param pauses The pauses between attempts.
+     * @param store The object store of the platform.
+     * @param pauses The delays between attempts.
      */
     public ConfigurationApply(ObjectStore store, RetryPauses pauses) {
         this.store = store;
@@ -49,10 +49,10 @@
     }
 
     /**
-     * Has a change accepted.
+     * Applies a change.
      *
      * @param request The change.
-     * @return What became of it.
+     * @return The outcome.
      */
     public ApplyOutcome apply(ApplyRequest request) {
         ReadResult read = store.read(ConfigurationDocument.KEY);
@@ -75,11 +75,11 @@
     }
 
     /**
-     * Has a change accepted where there is no configuration. Generations go on from the history, if there is any, since
-     * nodes never take an older one.
+     * Applies a change if no configuration exists. Generation numbers continue from the history, if there is one, since
+     * nodes never apply an older generation.
      *
      * @param request The change.
-     * @return What became of it.
+     * @return The outcome.
      */
     private ApplyOutcome applyFirst(ApplyRequest request) {
         OptionalLong highest = history.highestGeneration();
@@ -90,12 +90,12 @@
     }
 
     /**
-     * Has a change accepted upon a configuration.
+     * Applies a change to an existing configuration.
      *
-     * @param base What the change is made upon.
-     * @param current The newest generation.
+     * @param base The state that the change is based on.
+     * @param current The latest generation.
      * @param request The change.
-     * @return What became of it.
+     * @return The outcome.
      */
     private ApplyOutcome applyUpon(Base base, ConfigurationDocument current, ApplyRequest request) {
         Optional<ApplyOutcome> earlier = request.resumed() ? findEarlier(current, request) : Optional.empty();
@@ -104,9 +104,9 @@
         }
         OptionalLong expected = request.expectedGeneration();
         if (expected.isPresent() && expected.getAsLong() != current.generation()) {
-            Optional<ConfigurationDocument> seen =
+            Optional<ConfigurationDocument> expectedDocument =
                     history.read(expected.getAsLong()).document();
-            return new ApplyOutcome.Lost(expected, current, differences(seen, current));
+            return new ApplyOutcome.Lost(expected, current, differences(expectedDocument, current));
         }
         if (current.content().equals(request.content())) {
             return new ApplyOutcome.Unchanged(current);
@@ -114,17 +114,17 @@
         Optional<String> failure = history.ensure(current);
         if (failure.isPresent()) {
             return new ApplyOutcome.Unreachable(
-                    "the history of generation " + current.generation() + " cannot be kept: " + failure.get());
+                    "the history of generation " + current.generation() + " cannot be stored: " + failure.get());
         }
         return write(base, request);
     }
 
     /**
-     * Looks for a change that was tried before among the newest generations.
+     * Searches the latest generations for a change that was attempted before.
      *
-     * @param current The newest generation.
+     * @param current The latest generation.
      * @param request The change.
-     * @return The acceptance, or that it cannot be told, or empty if the change was not accepted.
+     * @return The outcome of the earlier attempt, which may be unknown, or empty if the change was not accepted.
      */
     private Optional<ApplyOutcome> findEarlier(ConfigurationDocument current, ApplyRequest request) {
         if (current.changeId().equals(request.changeId())) {
@@ -133,7 +133,7 @@
                             ? accepted(current, List.of())
                             : new ApplyOutcome.ChangeIdInUse(current));
         }
-        long oldest = Math.max(1, current.generation() - RESUME_LOOK_BACK);
+        long oldest = Math.max(1, current.generation() - RESUME_SEARCH_GENERATIONS);
         for (long generation = current.generation() - 1; generation >= oldest; generation--) {
             ConfigurationHistory.Entry entry = history.read(generation);
             if (entry.failure().isPresent()) {
@@ -142,13 +142,13 @@
                         request.expectedGeneration().orElse(generation - 1),
                         entry.failure().get()));
             }
-            Optional<ConfigurationDocument> same =
+            Optional<ConfigurationDocument> matching =
                     entry.document().filter(document -> document.changeId().equals(request.changeId()));
-            if (same.isPresent()) {
+            if (matching.isPresent()) {
                 return Optional.of(
-                        same.get().content().equals(request.content())
-                                ? new ApplyOutcome.Accepted(same.get(), List.of(), Optional.of(current), List.of())
-                                : new ApplyOutcome.ChangeIdInUse(same.get()));
+                        matching.get().content().equals(request.content())
+                                ? new ApplyOutcome.Accepted(matching.get(), List.of(), Optional.of(current), List.of())
+                                : new ApplyOutcome.ChangeIdInUse(matching.get()));
             }
         }
         return Optional.empty();
@@ -157,9 +157,9 @@
     /**
      * Writes the next generation.
      *
-     * @param base What the change is made upon.
+     * @param base The state that the change is based on.
      * @param request The change.
-     * @return What became of it.
+     * @return The outcome.
      */
     private ApplyOutcome write(Base base, ApplyRequest request) {
         ConfigurationDocument candidate = new ConfigurationDocument(
@@ -172,19 +172,19 @@
     }
 
     /**
-     * Tries to write a generation until an answer says what became of it. After a lost answer the object is read before
-     * the write is tried again.
+     * Attempts to write a generation until the outcome is known. After a lost answer, the object is read before the
+     * write is retried.
      *
-     * @param base What the change is made upon.
+     * @param base The state that the change is based on.
      * @param candidate The generation to write.
      * @param value The encoded generation.
-     * @return What became of it.
+     * @return The outcome.
      */
     private ApplyOutcome attempt(Base base, ConfigurationDocument candidate, Bytes value) {
         boolean maybeApplied = false;
         boolean mayWrite = true;
         String reason = "";
-        for (int attempt = 1; attempt <= ATTEMPTS; attempt++) {
+        for (int attempt = 1; attempt <= MAXIMUM_ATTEMPTS; attempt++) {
             if (mayWrite) {
                 WriteResult result = store.write(ConfigurationDocument.KEY, base.version(), value);
                 if (result instanceof WriteResult.Accepted) {
@@ -212,13 +212,13 @@
     }
 
     /**
-     * Tells from the object what became of a write.
+     * Determines the outcome of a write from the current object.
      *
-     * @param base What the change is made upon.
-     * @param candidate The generation that was written.
-     * @param object The object as it is now.
+     * @param base The state that the change is based on.
+     * @param candidate The generation that was to be written.
+     * @param object The current object.
      * @param maybeApplied Whether an attempt may have taken effect.
-     * @return What became of the write.
+     * @return The outcome of the write.
      */
     private ApplyOutcome settle(
             Base base, ConfigurationDocument candidate, Optional<StoredObject> object, boolean maybeApplied) {
@@ -249,10 +249,10 @@
     }
 
     /**
-     * Keeps an accepted generation in the history.
+     * Adds an accepted generation to the history.
      *
      * @param document The accepted generation.
-     * @param differences The values that differ from the generation before.
+     * @param differences The values that differ from the previous generation.
      * @return The outcome.
      */
     private ApplyOutcome accepted(ConfigurationDocument document, List<SettingsDifference> differences) {
@@ -280,7 +280,7 @@
     }
 
     /**
-     * Creates the outcome for an object that cannot be read.
+     * Creates the outcome for an object that is not a valid configuration.
      *
      * @return The outcome.
      */
@@ -289,17 +289,17 @@
     }
 
     /**
-     * What a change is made upon.
+     * The state that a change is based on.
      *
      * @param version The version of the object, or empty if it does not exist.
-     * @param document The newest generation, or empty if there is none.
+     * @param document The latest generation, or empty if there is none.
      * @param generation The highest generation that was ever accepted.
      */
     private record Base(OptionalLong version, Optional<ConfigurationDocument> document, long generation) {
 
         /**
          * Returns whether an object was written after this one. A read may also return an earlier version, since it may
-         * be behind the writes that were accepted.
+         * lag behind accepted writes.
          *
          * @param object The object.
          * @return {@code true} if the object is newer.
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/configuration/ConfigurationHistory.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/configuration/ConfigurationHistory.java
@@ -11,21 +11,21 @@
 import java.util.OptionalLong;
 
 /**
- * The accepted generations of the configuration, one object each. The object of a generation is written after its
- * acceptance, and at the latest right before the next acceptance, such that none but the newest can be lacking.
+ * The accepted generations of the configuration, with one object for each. The object of a generation is written after
+ * its acceptance, and at the latest right before the next acceptance, so that only the latest one can be missing.
  */
 public final class ConfigurationHistory {
 
-    /** The number of generations that are kept. */
-    static final long RETAINED = 1_000;
+    /** The number of generations that are retained. */
+    static final long RETAINED_GENERATIONS = 1_000;
 
-    /** The platform's objects. */
+    /** The object store of the platform. */
     private final ObjectStore store;
 
     /**
      * Creates a new history.
      *
-     * @param store The platform's objects.
+     * @param store The object store of the platform.
      */
     public ConfigurationHistory(ObjectStore store) {
         this.store = store;
@@ -35,7 +35,7 @@
      * Reads a generation.
      *
      * @param generation The generation.
-     * @return The generation, or why there is none.
+     * @return The entry of the generation, or the reason why it is unavailable.
      */
     public Entry read(long generation) {
         ReadResult result = store.read(ConfigurationDocument.historyKey(generation));
@@ -49,11 +49,11 @@
     }
 
     /**
-     * Reads the newest generations.
+     * Reads the latest generations.
      *
-     * @param current The newest generation.
-     * @param limit The largest number of generations.
-     * @return The generations that are kept.
+     * @param current The latest generation.
+     * @param limit The maximum number of generations.
+     * @return The retained generations.
      */
     public Listing newest(ConfigurationDocument current, int limit) {
         List<ConfigurationDocument> documents = new ArrayList<>();
@@ -70,10 +70,10 @@
     }
 
     /**
-     * Makes sure that an accepted generation is kept.
+     * Ensures that an accepted generation is stored in the history.
      *
      * @param document The accepted generation.
-     * @return Why it may not be kept, or empty if it is.
+     * @return The reason why it may not be stored, or empty if it is stored.
      */
     public Optional<String> ensure(ConfigurationDocument document) {
         ObjectKey key = ConfigurationDocument.historyKey(document.generation());
@@ -88,23 +88,23 @@
     }
 
     /**
-     * Deletes the generation that is too old to be kept once a generation is accepted. A failure leaves one object
-     * behind, which does no harm.
+     * Deletes the generation that exceeds the retention limit after a generation is accepted. A failure leaves one
+     * obsolete object, which is harmless.
      *
      * @param accepted The accepted generation.
      */
     public void prune(long accepted) {
-        if (accepted <= RETAINED) {
+        if (accepted <= RETAINED_GENERATIONS) {
             return;
         }
-        ObjectKey key = ConfigurationDocument.historyKey(accepted - RETAINED);
+        ObjectKey key = ConfigurationDocument.historyKey(accepted - RETAINED_GENERATIONS);
         if (store.read(key) instanceof ReadResult.Found found) {
             store.delete(key, found.object().version());
         }
     }
 
     /**
-     * Returns the highest generation that was ever kept.
+     * Returns the highest generation in the history.
      *
      * @return The generation, or zero if there is none, or empty if the platform gave no usable answer.
      */
@@ -121,10 +121,10 @@
     }
 
     /**
-     * The newest generations.
+     * The latest generations.
      *
      * @param documents The generations from the newest to the oldest.
-     * @param failure Why older ones could not be read, or empty if all were.
+     * @param failure The reason why older generations could not be read, or empty if all were read.
      */
     public record Listing(List<ConfigurationDocument> documents, Optional<String> failure) {
 
@@ -132,7 +132,7 @@
          * Copies the generations.
          *
          * @param documents The generations from the newest to the oldest.
-         * @param failure Why older ones could not be read, or empty if all were.
+         * @param failure The reason why older generations could not be read, or empty if all were read.
          */
         public Listing {
             documents = List.copyOf(documents);
@@ -140,10 +140,10 @@
     }
 
     /**
-     * What the history holds of a generation.
+     * The history entry of a generation.
      *
-     * @param document The generation, or empty if it is lacking.
-     * @param failure Why the platform gave no usable answer, or empty if it did.
+     * @param document The generation, or empty if it is missing.
+     * @param failure The reason why the platform gave no usable answer, or empty if it gave one.
      */
     public record Entry(Optional<ConfigurationDocument> document, Optional<String> failure) {}
 }
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/configuration/ObjectStore.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/configuration/ObjectStore.java
@@ -7,19 +7,19 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** The platform's objects. Calls block until they are answered or given up. */
+/** The object store of the platform. Calls block until they are answered or time out. */
 public interface ObjectStore extends AutoCloseable {
 
     /**
-     * Reads an object. The answer may be behind the writes that were accepted.
+     * Reads an object. The answer may lag behind accepted writes.
      *
      * @param key The key of the object.
-     * @return What became of the call.
+     * @return The outcome of the call.
      */
     ReadResult read(ObjectKey key);
 
     /**
-     * Lists all objects of a kind. The answer may be behind the writes that were accepted.
+     * Lists all objects of a kind. The answer may lag behind accepted writes.
      *
      * @param kind The kind of the objects.
      * @return The objects, or empty if the platform gave no usable answer.
@@ -32,7 +32,7 @@
      * @param key The key of the object.
      * @param expectedVersion The version that the object must have, or empty if it must not exist.
      * @param value The value to write.
-     * @return What became of the call.
+     * @return The outcome of the call.
      */
     WriteResult write(ObjectKey key, OptionalLong expectedVersion, Bytes value);
 
@@ -41,7 +41,7 @@
      *
      * @param key The key of the object.
      * @param expectedVersion The version that the object must have.
-     * @return What became of the call.
+     * @return The outcome of the call.
      */
     WriteResult delete(ObjectKey key, long expectedVersion);
 
@@ -49,7 +49,7 @@
     @Override
     void close();
 
-    /** What became of a read. */
+    /** The outcome of a read. */
     sealed interface ReadResult {
 
         /**
@@ -70,7 +70,7 @@
         record Unavailable(String reason) implements ReadResult {}
     }
 
-    /** What became of a write or deletion. */
+    /** The outcome of a write or deletion. */
     sealed interface WriteResult {
 
         /**
@@ -81,16 +81,16 @@
         record Accepted(long version) implements WriteResult {}
 
         /**
-         * The call did not take effect because the object's version was another one.
+         * The call did not take effect because the version of the object was not the expected one.
          *
-         * @param current The object as it is, or empty if it does not exist.
+         * @param current The current object, or empty if it does not exist.
          */
         record Conflict(Optional<StoredObject> current) implements WriteResult {}
 
         /**
          * The platform gave no usable answer.
          *
-         * @param maybeApplied {@code true} if the call may have taken effect all the same.
+         * @param maybeApplied {@code true} if the call may still have taken effect.
          * @param reason The reason.
          */
         record Unavailable(boolean maybeApplied, String reason) implements WriteResult {}
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/configuration/PlatformObjectStore.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/configuration/PlatformObjectStore.java
@@ -15,16 +15,16 @@
 import java.util.OptionalLong;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** The platform's objects over its HTTP interface. */
+/** Accesses the object store of the platform over HTTP. */
 public final class PlatformObjectStore implements ObjectStore {
 
-    /** What all calls are made for. */
+    /** The purpose of all calls. */
     private static final PlatformPurpose PURPOSE = PlatformPurpose.CONFIGURATION;
 
     /** The client. */
     private final PlatformClient client;
 
-    /** The token of the last call. */
+    /** The correlation token of the last call. */
     private final AtomicLong token = new AtomicLong();
 
     /**
@@ -37,10 +37,10 @@
     }
 
     /**
-     * Opens the platform's objects.
+     * Opens the object store of the platform.
      *
-     * @param access How the platform is reached.
-     * @return The objects.
+     * @param access The address and token of the platform.
+     * @return The object store.
      */
     public static ObjectStore open(PlatformAccess access) {
         PlatformClientSettings settings =
@@ -87,7 +87,7 @@
     }
 
     /**
-     * Makes a call and waits for its answer, which the client bounds in time.
+     * Makes a call and waits for its answer. The client limits the waiting time.
      *
      * @param effect The call.
      * @return The answer.
@@ -97,7 +97,7 @@
     }
 
     /**
-     * Turns the answer to a write into its result.
+     * Converts the answer to a write into its result.
      *
      * @param event The answer.
      * @return The result.
@@ -114,7 +114,7 @@
     }
 
     /**
-     * Returns why an answer is of no use.
+     * Returns the reason why an answer is not usable.
      *
      * @param event The answer.
      * @return The reason.
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/configuration/RetryPauses.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/configuration/RetryPauses.java
@@ -2,38 +2,38 @@
 
 import java.time.Duration;
 
-/** The pauses between attempts of calls to the platform. */
+/** The delays between attempts of calls to the platform. */
 @FunctionalInterface
 public interface RetryPauses {
 
     /**
      * Waits before the next attempt.
      *
-     * @param attempt The number of the attempt that failed, from one.
+     * @param attempt The number of the failed attempt, starting at one.
      */
     void await(int attempt);
 
     /**
-     * Pauses that double with each attempt.
+     * Delays that double with each attempt.
      *
-     * @param first The first pause.
-     * @param longest The longest pause.
+     * @param initial The initial delay.
+     * @param maximum The maximum delay.
      */
-    record Doubling(Duration first, Duration longest) implements RetryPauses {
+    record Doubling(Duration initial, Duration maximum) implements RetryPauses {
 
         /** {@inheritDoc} */
         @Override
         public void await(int attempt) {
-            long doubled = first.toMillis() << Math.min(attempt - 1, Short.SIZE);
+            long delayMillis = initial.toMillis() << Math.min(attempt - 1, Short.SIZE);
             try {
-                Thread.sleep(Math.min(doubled, longest.toMillis()));
+                Thread.sleep(Math.min(delayMillis, maximum.toMillis()));
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         }
     }
 
-    /** No pauses. */
+    /** No delays. */
     record None() implements RetryPauses {
 
         /** {@inheritDoc} */
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/configuration/package-info.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** Acceptance of new generations of the fleet's configuration on the platform, and their history. */
+/** Applies new generations of the fleet configuration to the platform, and manages their history. */
 package io.yuccaswitch.command.configuration;
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/operator/NodeReply.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/operator/NodeReply.java
@@ -6,29 +6,29 @@
  * The answer of a node.
  *
  * @param node The node's name.
- * @param address The node's address for operators.
- * @param kind What became of the call.
+ * @param address The operator address of the node.
+ * @param kind The outcome of the call.
  * @param body The body of the answer.
- * @param detail The status of HTTP, or why there is none.
+ * @param detail The HTTP status, or the reason why there is none.
  */
 public record NodeReply(String node, String address, ReplyKind kind, JsonNode body, String detail) {
 
     /**
-     * Returns whether the node did what it was asked to.
+     * Returns whether the node carried out the call.
      *
-     * @return {@code true} if it did.
+     * @return {@code true} if the call succeeded.
      */
     public boolean isDone() {
         return kind == ReplyKind.DONE;
     }
 
     /**
-     * Describes the answer of a node that did not do what it was asked to.
+     * Describes the failure of a call.
      *
-     * @return The node and what became of the call.
+     * @return The node and the outcome of the call.
      */
     public String describeFailure() {
-        String what =
+        String outcome =
                 switch (kind) {
                     case DONE -> "answered";
                     case REFUSED ->
@@ -36,6 +36,6 @@
                     case NOT_REACHED -> "cannot be reached: " + detail;
                     case NO_ANSWER -> "gave no answer: " + detail;
                 };
-        return node + " at " + address + " " + what;
+        return node + " at " + address + " " + outcome;
     }
 }
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/operator/OperatorCall.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/operator/OperatorCall.java
@@ -5,21 +5,21 @@
 import java.util.Optional;
 
 /**
- * A call to the operators' interface of a node.
+ * A call to the operator interface of a node.
  *
- * @param method The method of HTTP.
+ * @param method The HTTP method.
  * @param path The segments of the path.
  * @param body The document to send, or empty for none.
  */
 public record OperatorCall(String method, List<String> path, Optional<Object> body) {
 
-    /** Asks for the status document. */
+    /** Requests the status document. */
     public static final OperatorCall STATUS = new OperatorCall("GET", List.of("status"), Optional.empty());
 
-    /** Asks for the requests under which endpoints ended. */
+    /** Requests the list of requests during which endpoints terminated. */
     public static final OperatorCall QUARANTINE = new OperatorCall("GET", List.of("quarantine"), Optional.empty());
 
-    /** Begins a planned stop. */
+    /** Starts a planned stop. */
     public static final OperatorCall DRAIN = new OperatorCall("POST", List.of("drain"), Optional.of(Map.of()));
 
     /** Copies the path. */
@@ -28,7 +28,7 @@
     }
 
     /**
-     * Asks for the decisions on a subject.
+     * Requests the decisions on a subject.
      *
      * @param subject The identifier of the subject.
      * @return The call.
@@ -38,7 +38,7 @@
     }
 
     /**
-     * Lets a request go under which endpoints ended.
+     * Releases a quarantined request, during which endpoints terminated.
      *
      * @param fingerprint The request's fingerprint.
      * @return The call.
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/operator/OperatorClient.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/operator/OperatorClient.java
@@ -23,32 +23,32 @@
 import okhttp3.RequestBody;
 import okhttp3.Response;
 
-/** Calls the operators' interface of nodes. */
+/** Calls the operator interface of nodes. */
 public final class OperatorClient implements AutoCloseable {
 
-    /** The longest time that connecting takes. */
+    /** The timeout to establish a connection. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
 
-    /** The longest time that a call takes. */
+    /** The timeout of a complete call. */
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(5);
 
-    /** The largest number of nodes that are called at the same time. */
-    private static final int CONCURRENT_CALLS = 16;
+    /** The maximum number of concurrent calls. */
+    private static final int MAXIMUM_CONCURRENT_CALLS = 16;
 
-    /** The type of bodies. */
+    /** The media type of bodies. */
     private static final MediaType JSON = MediaType.get("application/json");
 
-    /** Separates a scheme from an address. */
+    /** The separator between a scheme and an address. */
     private static final String SCHEME_SEPARATOR = "://";
 
-    /** The sender of requests. */
+    /** The HTTP client. */
     private final OkHttpClient client = new OkHttpClient.Builder()
             .connectTimeout(CONNECT_TIMEOUT)
             .callTimeout(CALL_TIMEOUT)
             .retryOnConnectionFailure(false)
             .build();
 
-    /** Reads and writes bodies. */
+    /** Parses and serialises bodies. */
     private final ObjectMapper mapper = new ObjectMapper();
 
     /** The token that operators present. */
@@ -57,14 +57,14 @@
     /**
      * Creates a new client.
      *
-     * @param token The token that operators present, or empty if nodes ask for none.
+     * @param token The token that operators present, or empty if nodes require none.
      */
     public OperatorClient(Optional<String> token) {
         this.token = token;
     }
 
     /**
-     * Makes the same call to many nodes.
+     * Makes the same call to several nodes.
      *
      * @param nodes The addresses of the nodes by their names.
      * @param call The call.
@@ -76,7 +76,7 @@
                         node -> Single.fromSupplier(() -> call(node.getKey(), node.getValue(), call))
                                 .subscribeOn(Schedulers.io())
                                 .toFlowable(),
-                        CONCURRENT_CALLS)
+                        MAXIMUM_CONCURRENT_CALLS)
                 .toSortedList(Comparator.comparing(NodeReply::node))
                 .blockingGet();
     }
@@ -85,21 +85,21 @@
      * Makes a call to a node.
      *
      * @param node The node's name.
-     * @param address The node's address for operators.
+     * @param address The operator address of the node.
      * @param call The call.
      * @return The answer.
      */
     public NodeReply call(String node, String address, OperatorCall call) {
         HttpUrl base = HttpUrl.parse(address.contains(SCHEME_SEPARATOR) ? address : "http://" + address);
         if (base == null) {
-            return new NodeReply(node, address, ReplyKind.NOT_REACHED, MissingNode.getInstance(), "not an address");
+            return new NodeReply(node, address, ReplyKind.NOT_REACHED, MissingNode.getInstance(), "invalid address");
         }
         HttpUrl.Builder url = base.newBuilder();
         call.path().forEach(url::addPathSegment);
         Request.Builder request = new Request.Builder()
                 .url(url.build())
                 .method(call.method(), call.body().map(this::body).orElse(null));
-        token.ifPresent(known -> request.header("Authorization", "Bearer " + known));
+        token.ifPresent(presentedToken -> request.header("Authorization", "Bearer " + presentedToken));
         return send(node, address, request.build());
     }
 
@@ -134,7 +134,7 @@
      * Parses a body.
      *
      * @param text The body.
-     * @return The JSON, or the text itself if it is none.
+     * @return The parsed JSON, or the text itself if it is not JSON.
      */
     private JsonNode parse(String text) {
         try {
@@ -154,7 +154,7 @@
         try {
             return RequestBody.create(mapper.writeValueAsBytes(document), JSON);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("A request cannot be written as JSON", e);
+            throw new IllegalStateException("Request could not be serialised as JSON", e);
         }
     }
 }
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/operator/ReplyKind.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/operator/ReplyKind.java
@@ -1,13 +1,13 @@
 package io.yuccaswitch.command.operator;
 
-/** What became of a call to a node. */
+/** The outcome of a call to a node. */
 public enum ReplyKind {
-    /** The node did what it was asked to. */
+    /** The node carried out the call. */
     DONE,
-    /** The node refused the call. */
+    /** The node rejected the call. */
     REFUSED,
-    /** The call never reached the node. */
+    /** The call did not reach the node. */
     NOT_REACHED,
-    /** The call may have reached the node, but no answer came. */
+    /** The call may have reached the node, but no answer was received. */
     NO_ANSWER
 }
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/operator/package-info.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/operator/package-info.java
@@ -1,2 +1,2 @@
-/** Calls to the operators' interface of nodes. */
+/** Calls the operator interface of nodes. */
 package io.yuccaswitch.command.operator;
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/package-info.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/package-info.java
@@ -1,2 +1,2 @@
-/** The command that operators use. */
+/** The command-line tool for operators. */
 package io.yuccaswitch.command;
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/report/FleetReport.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/report/FleetReport.java
@@ -20,23 +20,23 @@
 import org.knowm.xchart.style.Styler.LegendPosition;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** Writes readings of the status as one HTML page with embedded plots: one for each number that changed. */
+/** Renders status samples as an HTML page with embedded plots, one for each number that changed. */
 public final class FleetReport {
 
-    /** The width of a plot. */
-    private static final int WIDTH = 640;
+    /** The width of a plot in pixels. */
+    private static final int PLOT_WIDTH_PIXELS = 640;
 
-    /** The height of a plot. */
-    private static final int HEIGHT = 280;
+    /** The height of a plot in pixels. */
+    private static final int PLOT_HEIGHT_PIXELS = 280;
 
-    /** The largest number of plots, for a page that can still be read. */
+    /** The maximum number of plots, which keeps the page readable. */
     private static final int MAXIMUM_PLOTS = 60;
 
     /** The number of milliseconds in a second. */
     private static final double MILLIS_PER_SECOND = 1000;
 
-    /** The head of the page. */
-    private static final String HEAD =
+    /** The HTML header of the page. */
+    private static final String PAGE_HEADER =
             """
             <!DOCTYPE html>
             <html lang="en"><head><meta charset="utf-8"><title>yuccaswitch report</title>
@@ -49,15 +49,15 @@
     private FleetReport() {}
 
     /**
-     * Writes the page.
+     * Renders the page.
      *
-     * @param samples The readings, at least one.
+     * @param samples The samples, at least one.
      * @return The page as HTML.
      */
     public static String html(List<StatusSample> samples) {
         System.setProperty("java.awt.headless", "true");
         Instant start = samples.get(0).time();
-        StringBuilder page = new StringBuilder(HEAD);
+        StringBuilder page = new StringBuilder(PAGE_HEADER);
         page.append("<p>").append(samples.size()).append(" readings from ").append(start);
         page.append(" to ").append(samples.get(samples.size() - 1).time()).append(".</p>\n");
         appendNodes(samples.get(samples.size() - 1), page);
@@ -72,9 +72,9 @@
     }
 
     /**
-     * Writes the table of the nodes and all values of their last status.
+     * Appends the nodes with all values of their last status.
      *
-     * @param sample The last reading.
+     * @param sample The last sample.
      * @param page The page to add to.
      */
     private static void appendNodes(StatusSample sample, StringBuilder page) {
@@ -92,10 +92,10 @@
     }
 
     /**
-     * Collects the numbers of all readings.
+     * Collects the numbers of all samples.
      *
-     * @param samples The readings.
-     * @param start The time of the first reading.
+     * @param samples The samples.
+     * @param start The time of the first sample.
      * @return The plots by the paths of the numbers.
      */
     private static SortedMap<String, Plot> plots(List<StatusSample> samples, Instant start) {
@@ -104,7 +104,7 @@
             double seconds = Duration.between(start, sample.time()).toMillis() / MILLIS_PER_SECOND;
             for (NodeReply reply : sample.replies()) {
                 StatusValues.numbers(reply.body()).forEach((path, number) -> plots.computeIfAbsent(
-                                path, known -> new Plot(known, new TreeMap<>()))
+                                path, plotPath -> new Plot(plotPath, new TreeMap<>()))
                         .add(reply.node(), seconds, number));
             }
         }
@@ -112,15 +112,15 @@
     }
 
     /**
-     * Draws a plot as an image within the page.
+     * Renders a plot as an embedded image.
      *
      * @param plot The plot.
      * @return The image as HTML.
      */
     private static String image(Plot plot) {
         XYChart chart = new XYChartBuilder()
-                .width(WIDTH)
-                .height(HEIGHT)
+                .width(PLOT_WIDTH_PIXELS)
+                .height(PLOT_HEIGHT_PIXELS)
                 .title(plot.path())
                 .xAxisTitle("seconds")
                 .build();
@@ -138,28 +138,28 @@
     }
 
     /**
-     * Escapes a text.
+     * Escapes a text for HTML.
      *
      * @param text The text.
-     * @return The text as HTML.
+     * @return The escaped text.
      */
     private static String escape(String text) {
         return HtmlEscapers.htmlEscaper().escape(text);
     }
 
     /**
-     * The readings of a number on all nodes.
+     * The values of a number at all nodes.
      *
      * @param path The path of the number.
-     * @param series The readings by the names of the nodes.
+     * @param series The values by node name.
      */
     private record Plot(String path, SortedMap<String, Line> series) {
 
         /**
-         * Adds a reading.
+         * Adds a value.
          *
          * @param node The name of the node.
-         * @param second The time of the reading.
+         * @param second The time of the value in seconds since the first sample.
          * @param number The number.
          */
         void add(String node, double second, double number) {
@@ -169,9 +169,9 @@
         }
 
         /**
-         * Returns whether the number changed on a node.
+         * Returns whether the number changed at a node.
          *
-         * @return {@code true} if it did.
+         * @return {@code true} if it changed.
          */
         boolean isChanging() {
             return series.entrySet().stream()
@@ -181,9 +181,9 @@
     }
 
     /**
-     * The readings of a number on a node.
+     * The values of a number at a node.
      *
-     * @param seconds The times of the readings.
+     * @param seconds The times of the values in seconds since the first sample.
      * @param numbers The numbers.
      */
     private record Line(List<Double> seconds, List<Double> numbers) {}
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/report/StatusSample.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/report/StatusSample.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * One reading of the status of all nodes.
+ * A sample of the status of all nodes.
  *
- * @param time The time of the reading.
+ * @param time The time of the sample.
  * @param replies The answers of the nodes.
  */
 public record StatusSample(Instant time, List<NodeReply> replies) {
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/report/StatusValues.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/report/StatusValues.java
@@ -4,7 +4,7 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** The single values of a status document by their paths. */
+/** Extracts the scalar values of a status document by their paths. */
 public final class StatusValues {
 
     /** This class has no instances. */
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Returns the single values of a document.
+     * Returns the scalar values of a document.
      *
      * @param document The document.
      * @return The values by their paths.
@@ -51,7 +51,7 @@
     }
 
     /**
-     * Collects the single values at and below a path.
+     * Collects the scalar values at and below a path.
      *
      * @param path The path.
      * @param value The value at the path.
@@ -74,7 +74,7 @@
      *
      * @param path The path.
      * @param key The key.
-     * @return The longer path.
+     * @return The joined path.
      */
     private static String join(String path, String key) {
         return path.isEmpty() ? key : path + "." + key;
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/report/package-info.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/report/package-info.java
@@ -1,2 +1,2 @@
-/** The report on a fleet as a page with plots. */
+/** Creates a report on a fleet as a page with plots. */
 package io.yuccaswitch.command.report;
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/ApplyCommand.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/ApplyCommand.java
@@ -24,7 +24,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** Has a folder or an earlier generation accepted as the next generation. */
+/** Applies a folder or an earlier generation as the next generation. */
 @Parameters(commandDescription = "Make a folder, or an earlier generation, the configuration of the fleet.")
 public final class ApplyCommand implements Subcommand {
 
@@ -32,7 +32,7 @@
     @ParametersDelegate
     private CommonOptions common = new CommonOptions();
 
-    /** The options of the platform. */
+    /** The options for connecting to the platform. */
     @ParametersDelegate
     private ConnectionOptions connection = new ConnectionOptions();
 
@@ -40,7 +40,7 @@
     @Parameter(description = "DIR")
     private String folder;
 
-    /** The earlier generation. */
+    /** The earlier generation to apply. */
     @Parameter(
             names = "--revert-to",
             description = "Apply the content of this earlier generation, in place of a folder, as a new generation.")
@@ -49,19 +49,19 @@
     /** The identifier of the change. */
     @Parameter(
             names = "--change-id",
-            description = "The identifier of the change. Give the one of an earlier try whose outcome is unknown to"
-                    + " go on with it; otherwise a unique one is made.")
+            description = "The identifier of the change. Specify that of an earlier attempt with an unknown outcome to"
+                    + " resume it; by default, a unique one is generated.")
     private String changeId;
 
-    /** The generation that the change is made from. */
+    /** The generation that the change is based on. */
     @Parameter(
             names = "--expected-generation",
-            description = "Refuse the change if the accepted generation is another one, so that no change of"
-                    + " somebody else is undone unseen.")
+            description = "Reject the change if the accepted generation is a different one, so that no change by"
+                    + " someone else is undone unnoticed.")
     private Long expectedGeneration;
 
-    /** Who makes the change. */
-    @Parameter(names = "--author", description = "Who makes the change; the name of the user by default.")
+    /** The author of the change. */
+    @Parameter(names = "--author", description = "The author of the change; the name of the user by default.")
     private String author;
 
     /** Creates a subcommand. */
@@ -84,7 +84,7 @@
     public CommandResult run(CommandEnvironment environment) {
         if ((folder == null) == (revertTo == null)) {
             return CommandResult.failure(
-                    ExitCode.INVALID, "Name either a folder or --revert-to.", "Run \"yuccaswitch apply --help\".");
+                    ExitCode.INVALID, "Specify either a folder or --revert-to.", "Run \"yuccaswitch apply --help\".");
         }
         if (folder == null) {
             return PlatformCalls.withStore(connection, environment, store -> revert(store, environment));
@@ -101,8 +101,8 @@
     /**
      * Applies the content of an earlier generation.
      *
-     * @param store The platform's objects.
-     * @param environment What the command takes from its surroundings.
+     * @param store The object store of the platform.
+     * @param environment The environment of the command.
      * @return The result.
      */
     private CommandResult revert(ObjectStore store, CommandEnvironment environment) {
@@ -125,11 +125,11 @@
     }
 
     /**
-     * Applies content that is right.
+     * Applies valid content.
      *
-     * @param store The platform's objects.
+     * @param store The object store of the platform.
      * @param content The content.
-     * @param environment What the command takes from its surroundings.
+     * @param environment The environment of the command.
      * @return The result.
      */
     private CommandResult apply(ObjectStore store, Bytes content, CommandEnvironment environment) {
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/ApplyResults.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/ApplyResults.java
@@ -18,7 +18,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Says to people and scripts what became of a change. */
+/** Creates the results of changes for users and scripts. */
 final class ApplyResults {
 
     /** This class has no instances. */
@@ -28,7 +28,7 @@
      * Creates the result for an outcome.
      *
      * @param outcome The outcome.
-     * @param source The folder, or the option that stands in its place, as it is written on the command line.
+     * @param source The folder or the option that replaces it, as written on the command line.
      * @return The result.
      */
     static CommandResult of(ApplyOutcome outcome, String source) {
@@ -51,12 +51,12 @@
             return CommandResult.failure(
                     ExitCode.INVALID,
                     "The change id belongs to another change, " + describe(inUse.other()) + ". Nothing was changed.",
-                    "Leave out --change-id to have a unique one made.");
+                    "Omit --change-id to generate a unique one.");
         }
         if (outcome instanceof TooLarge tooLarge) {
             return CommandResult.failure(
                     ExitCode.INVALID,
-                    "The configuration takes " + tooLarge.size() + " bytes, and the platform holds at most "
+                    "The configuration has " + tooLarge.size() + " bytes, but the platform stores at most "
                             + tooLarge.maximum() + ". Nothing was changed.",
                     "Make the folder smaller.");
         }
@@ -78,7 +78,7 @@
         outcome.differences().forEach(difference -> lines.add(difference.toString()));
         lines.add("Accepted as " + describe(outcome.accepted()) + ".");
         outcome.supersededBy()
-                .ifPresent(newest -> lines.add("It has been followed by " + describe(newest) + " since."));
+                .ifPresent(newest -> lines.add("It has since been superseded by " + describe(newest) + "."));
         lines.addAll(outcome.warnings());
         lines.add("Run \"yuccaswitch status\" to see where it is in force.");
         return new CommandResult(
@@ -93,21 +93,21 @@
     }
 
     /**
-     * Creates the result for a configuration that is accepted already.
+     * Creates the result for a configuration that is already accepted.
      *
-     * @param current The newest generation.
+     * @param current The latest generation.
      * @return The result.
      */
     private static CommandResult unchanged(ConfigurationDocument current) {
         return new CommandResult(
                 ExitCode.OK,
-                List.of("Nothing to change: it is the content of " + describe(current) + "."),
+                List.of("Nothing to change: the content equals that of " + describe(current) + "."),
                 new ApplyDocument(
                         "unchanged", Optional.of(Generation.of(current)), Optional.empty(), List.of(), List.of()));
     }
 
     /**
-     * Creates the result for a change that was accepted too late.
+     * Creates the result for a change that conflicts with one that was accepted first.
      *
      * @param outcome The outcome.
      * @param source The folder or option.
@@ -121,7 +121,7 @@
             outcome.differences().forEach(difference -> lines.add("  " + difference));
         }
         lines.add(
-                "Take these values over where they should stay, and see what would change with \"yuccaswitch diff\".");
+                "Adopt these values where they should be kept, and run \"yuccaswitch diff\" to see what would change.");
         lines.add("Then run \"yuccaswitch apply " + source + " --expected-generation "
                 + outcome.winner().generation() + "\".");
         return new CommandResult(
@@ -147,7 +147,8 @@
                 + (outcome.base() > 0 ? " --expected-generation " + outcome.base() : "");
         List<String> lines = List.of(
                 "The change may or may not have been accepted: " + outcome.reason() + ".",
-                "Run \"" + resume + "\" once the platform answers. It goes on with the same change, never twice.");
+                "Run \"" + resume
+                        + "\" once the platform answers. It resumes the same change, which takes effect at most once.");
         return new CommandResult(
                 ExitCode.UNKNOWN_OUTCOME,
                 lines,
@@ -168,11 +169,11 @@
     /**
      * The result of an apply.
      *
-     * @param outcome What became of the change.
-     * @param generation The generation that holds the wanted content, if there is one.
-     * @param newest The newest generation, if it is another one.
+     * @param outcome The outcome of the change.
+     * @param generation The generation with the requested content, if there is one.
+     * @param newest The latest generation, if it is a different one.
      * @param differences The values that were changed or, after a conflict, that others changed.
-     * @param warnings What went wrong beside the acceptance.
+     * @param warnings Problems that did not prevent the acceptance.
      */
     record ApplyDocument(
             String outcome,
@@ -184,11 +185,11 @@
     /**
      * The result of an apply whose outcome is unknown.
      *
-     * @param outcome What became of the change.
+     * @param outcome The outcome of the change.
      * @param changeId The identifier of the change.
-     * @param expectedGeneration The generation that the change was made from, or zero if there was none.
+     * @param expectedGeneration The generation that the change was based on, or zero if there was none.
      * @param reason The reason.
-     * @param next The command line that goes on with the change.
+     * @param next The command line that resumes the change.
      */
     record UnknownDocument(String outcome, String changeId, long expectedGeneration, String reason, String next) {}
 
@@ -197,8 +198,8 @@
      *
      * @param generation The generation.
      * @param changeId The identifier of the change.
-     * @param author Who made the change.
-     * @param acceptedAt When the change was made, by the clock of its author.
+     * @param author The author of the change.
+     * @param acceptedAt The time of the change according to the clock of its author.
      */
     record Generation(long generation, String changeId, String author, Instant acceptedAt) {
 
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/CheckCommand.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/CheckCommand.java
@@ -16,8 +16,8 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Checks a folder without calling anything. */
-@Parameters(commandDescription = "Check a folder of the fleet's configuration, and name all errors.")
+/** Checks a folder without calling the platform or nodes. */
+@Parameters(commandDescription = "Check a folder with the configuration of the fleet, and report all errors.")
 public final class CheckCommand implements Subcommand {
 
     /** The options that every subcommand has. */
@@ -54,7 +54,7 @@
     }
 
     /**
-     * Creates the result for a folder that is right.
+     * Creates the result for a valid folder.
      *
      * @param folder The folder.
      * @param fleet The configuration.
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/DiffCommand.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/DiffCommand.java
@@ -22,7 +22,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Says what applying a folder would change. */
+/** Shows the changes that applying a folder would make. */
 @Parameters(commandDescription = "Compare a folder with the accepted configuration.")
 public final class DiffCommand implements Subcommand {
 
@@ -30,7 +30,7 @@
     @ParametersDelegate
     private CommonOptions common = new CommonOptions();
 
-    /** The options of the platform. */
+    /** The options for connecting to the platform. */
     @ParametersDelegate
     private ConnectionOptions connection = new ConnectionOptions();
 
@@ -68,7 +68,7 @@
     /**
      * Compares a folder with the accepted configuration.
      *
-     * @param current The newest generation, or empty if there is none.
+     * @param current The latest generation, or empty if there is none.
      * @param folder The folder.
      * @return The result.
      */
@@ -81,7 +81,7 @@
         List<String> lines = new ArrayList<>();
         differences.forEach(difference -> lines.add(difference.toString()));
         if (differences.isEmpty()) {
-            lines.add(folder.name() + " is what generation " + generation + " holds. There is nothing to apply.");
+            lines.add(folder.name() + " is identical to generation " + generation + ". There is nothing to apply.");
         } else {
             lines.add(differences.size() + " values differ from generation " + generation + ".");
             lines.add("Run \"yuccaswitch apply " + folder.name() + " --expected-generation " + generation
@@ -94,7 +94,7 @@
      * The result of a comparison.
      *
      * @param generation The generation that the folder was compared with, or zero if there is none.
-     * @param different Whether anything differs.
+     * @param different Whether there are differences.
      * @param differences The values that differ.
      */
     record DiffDocument(long generation, boolean different, List<SettingsDifference> differences) {}
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/DrainCommand.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/DrainCommand.java
@@ -15,19 +15,20 @@
 import io.yuccaswitch.command.operator.OperatorClient;
 import java.util.List;
 
-/** Begins the planned stop of a node. */
-@Parameters(commandDescription = "Begin the planned stop of the node on a VM; it ends when its requests have.")
+/** Starts the planned stop of a node. */
+@Parameters(
+        commandDescription = "Start the planned stop of the node on a VM; it completes when its requests have ended.")
 public final class DrainCommand implements Subcommand {
 
     /** The options that every subcommand has. */
     @ParametersDelegate
     private CommonOptions common = new CommonOptions();
 
-    /** The options of the nodes. */
+    /** The options for connecting to the nodes. */
     @ParametersDelegate
     private ConnectionOptions connection = new ConnectionOptions();
 
-    /** The VM. */
+    /** The name of the VM. */
     @Parameter(description = "VM", required = true)
     private String virtualMachine;
 
@@ -53,7 +54,7 @@
     }
 
     /**
-     * Begins the planned stop.
+     * Starts the planned stop.
      *
      * @param connections The addresses and tokens.
      * @return The result.
@@ -63,8 +64,8 @@
         if (address == null) {
             return CommandResult.failure(
                     ExitCode.INVALID,
-                    "The VM \"" + virtualMachine + "\" is not known. Nothing was changed.",
-                    "Known are: " + String.join(", ", connections.operators().keySet()) + ". Give --operator "
+                    "The VM \"" + virtualMachine + "\" is unknown. Nothing was changed.",
+                    "Known VMs: " + String.join(", ", connections.operators().keySet()) + ". Give --operator "
                             + virtualMachine + "=host:port.");
         }
         try (OperatorClient client = new OperatorClient(connections.operatorToken())) {
@@ -74,7 +75,9 @@
                     ? List.of(
                             virtualMachine + " has begun its planned stop.",
                             "Run \"yuccaswitch status -v\" to see what it still waits for.")
-                    : List.of(reply.describeFailure(), "Run the command again; a planned stop may be asked for twice.");
+                    : List.of(
+                            reply.describeFailure(),
+                            "Run the command again; a planned stop can be requested repeatedly.");
             return new CommandResult(exitCode, lines, reply);
         }
     }
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/ExplainCommand.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/ExplainCommand.java
@@ -24,7 +24,7 @@
     @ParametersDelegate
     private CommonOptions common = new CommonOptions();
 
-    /** The options of the nodes. */
+    /** The options for connecting to the nodes. */
     @ParametersDelegate
     private ConnectionOptions connection = new ConnectionOptions();
 
@@ -54,7 +54,7 @@
     }
 
     /**
-     * Asks all nodes.
+     * Queries all nodes.
      *
      * @param connections The addresses and tokens.
      * @return The result.
@@ -67,8 +67,8 @@
                 reply.body().path("decisions").forEach(decision -> lines.add(describe(reply.node(), decision)));
             }
             if (lines.isEmpty()) {
-                lines.add("No node that answered knows a decision on " + subject + ".");
-                lines.add("Nodes remember recent decisions only; look into their logs for older ones.");
+                lines.add("No node that answered has recorded a decision on " + subject + ".");
+                lines.add("Nodes retain only recent decisions; check their logs for older ones.");
             }
             lines.addAll(NodeResults.failures(replies));
             return new CommandResult(NodeResults.ofReads(replies), lines, new ExplainDocument(subject, replies));
@@ -80,7 +80,7 @@
      *
      * @param node The node that made the decision.
      * @param decision The decision as JSON.
-     * @return The decision in a line.
+     * @return The decision as one line of text.
      */
     private static String describe(String node, JsonNode decision) {
         List<String> candidates = new ArrayList<>();
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/FolderChecks.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/FolderChecks.java
@@ -7,14 +7,14 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** The results of checking settings. */
+/** Creates the results of checks of settings. */
 final class FolderChecks {
 
     /** This class has no instances. */
     private FolderChecks() {}
 
     /**
-     * Creates the result for settings that are in error.
+     * Creates the result for invalid settings.
      *
      * @param name The name of the folder.
      * @param files The names of the files that were read.
@@ -31,7 +31,7 @@
     }
 
     /**
-     * Creates the result for a folder that is in error.
+     * Creates the result for an invalid folder.
      *
      * @param folder The folder.
      * @param errors The errors.
@@ -44,7 +44,7 @@
     /**
      * The result of a check.
      *
-     * @param valid Whether the settings are right.
+     * @param valid Whether the settings are valid.
      * @param files The names of the files in the order in which they were merged.
      * @param errors The errors.
      */
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/HistoryCommand.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/HistoryCommand.java
@@ -29,12 +29,12 @@
     @ParametersDelegate
     private CommonOptions common = new CommonOptions();
 
-    /** The options of the platform. */
+    /** The options for connecting to the platform. */
     @ParametersDelegate
     private ConnectionOptions connection = new ConnectionOptions();
 
-    /** The largest number of generations to list. */
-    @Parameter(names = "--limit", description = "The largest number of generations to list.")
+    /** The maximum number of generations to list. */
+    @Parameter(names = "--limit", description = "The maximum number of generations to list.")
     private int limit = DEFAULT_LIMIT;
 
     /** Creates a subcommand. */
@@ -62,8 +62,8 @@
     /**
      * Lists the generations.
      *
-     * @param store The platform's objects.
-     * @param current The newest generation, or empty if there is none.
+     * @param store The object store of the platform.
+     * @param current The latest generation, or empty if there is none.
      * @return The result.
      */
     private CommandResult list(ObjectStore store, Optional<ConfigurationDocument> current) {
@@ -81,7 +81,7 @@
         }
         lines.add(
                 generations.isEmpty()
-                        ? "No configuration was ever accepted. Run \"yuccaswitch apply DIR\"."
+                        ? "No configuration has been accepted yet. Run \"yuccaswitch apply DIR\"."
                         : "Run \"yuccaswitch apply --revert-to N\" to go back to the content of generation N.");
         return new CommandResult(ExitCode.OK, lines, document);
     }
@@ -90,7 +90,7 @@
      * The result of a listing.
      *
      * @param generations The generations from the newest to the oldest.
-     * @param failure Why older generations could not be read, or empty if they were.
+     * @param failure The reason why older generations could not be read, or empty if they were read.
      */
     record HistoryDocument(List<Generation> generations, Optional<String> failure) {}
 }
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/LogLevelCommand.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/LogLevelCommand.java
@@ -18,20 +18,20 @@
 import java.util.Locale;
 
 /** Changes the level of a logger on the nodes. */
-@Parameters(commandDescription = "Change the level of a logger on all nodes that are named, until they restart.")
+@Parameters(commandDescription = "Change the level of a logger on all specified nodes until they restart.")
 public final class LogLevelCommand implements Subcommand {
 
     /** The levels of loggers. */
     private static final List<String> LEVELS = List.of("TRACE", "DEBUG", "INFO", "WARN", "ERROR", "OFF");
 
-    /** The number of parameters: a logger and a level. */
-    private static final int PARAMETERS = 2;
+    /** The required number of parameters: a logger and a level. */
+    private static final int PARAMETER_COUNT = 2;
 
     /** The options that every subcommand has. */
     @ParametersDelegate
     private CommonOptions common = new CommonOptions();
 
-    /** The options of the nodes. */
+    /** The options for connecting to the nodes. */
     @ParametersDelegate
     private ConnectionOptions connection = new ConnectionOptions();
 
@@ -57,11 +57,11 @@
     /** {@inheritDoc} */
     @Override
     public CommandResult run(CommandEnvironment environment) {
-        if (parameters.size() != PARAMETERS
+        if (parameters.size() != PARAMETER_COUNT
                 || !LEVELS.contains(parameters.get(1).toUpperCase(Locale.ROOT))) {
             return CommandResult.failure(
                     ExitCode.INVALID,
-                    "Name a logger and a level.",
+                    "Specify a logger and a level.",
                     "Levels are " + String.join(", ", LEVELS) + ", as in \"log-level io.yuccaswitch DEBUG\".");
         }
         return PlatformCalls.withNodes(connection, environment, this::change);
@@ -82,7 +82,7 @@
             long changed = replies.stream().filter(NodeReply::isDone).count();
             lines.add("Changed on " + changed + " of " + replies.size() + " nodes.");
             if (changed < replies.size()) {
-                lines.add("Run the command again for the others; it may be repeated.");
+                lines.add("Run the command again for the others; it can be repeated.");
             }
             return new CommandResult(NodeResults.ofChanges(replies), lines, new LogLevelDocument(replies));
         }
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/NodeResults.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/NodeResults.java
@@ -5,14 +5,14 @@
 import io.yuccaswitch.command.operator.ReplyKind;
 import java.util.List;
 
-/** What the answers of nodes mean for the command as a whole. */
+/** Determines the overall result of a command from the answers of nodes. */
 final class NodeResults {
 
     /** This class has no instances. */
     private NodeResults() {}
 
     /**
-     * Returns what a subcommand that only reads exits with.
+     * Returns the exit code of a subcommand that only reads.
      *
      * @param replies The answers.
      * @return The exit code.
@@ -26,7 +26,7 @@
     }
 
     /**
-     * Returns what a subcommand that changes something exits with.
+     * Returns the exit code of a subcommand that makes changes.
      *
      * @param replies The answers.
      * @return The exit code.
@@ -43,7 +43,7 @@
     }
 
     /**
-     * Describes the nodes that did not do what they were asked to.
+     * Describes the nodes that did not carry out the call.
      *
      * @param replies The answers.
      * @return A line for each such node.
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/PlatformCalls.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/PlatformCalls.java
@@ -14,7 +14,7 @@
 import java.util.Optional;
 import java.util.function.Function;
 
-/** What subcommands that call the platform or nodes have in common. */
+/** Common functions of subcommands that call the platform or nodes. */
 final class PlatformCalls {
 
     /** This class has no instances. */
@@ -24,9 +24,9 @@
      * Runs an action with the addresses and tokens.
      *
      * @param options The options.
-     * @param environment What the command takes from its surroundings.
+     * @param environment The environment of the command.
      * @param action The action.
-     * @return The result of the action, or that the settings of the command are in error.
+     * @return The result of the action, or a failure if the settings of the command are invalid.
      */
     static CommandResult withConnections(
             ConnectionOptions options, CommandEnvironment environment, Function<Connections, CommandResult> action) {
@@ -34,16 +34,16 @@
         return connections
                 .value()
                 .map(action)
-                .orElseGet(() -> FolderChecks.invalid("The file of --settings", List.of(), connections.errors()));
+                .orElseGet(() -> FolderChecks.invalid("The --settings file", List.of(), connections.errors()));
     }
 
     /**
-     * Runs an action with the platform's objects.
+     * Runs an action with the object store of the platform.
      *
      * @param options The options.
-     * @param environment What the command takes from its surroundings.
+     * @param environment The environment of the command.
      * @param action The action.
-     * @return The result of the action, or that the platform's address is not known.
+     * @return The result of the action, or a failure if the address of the platform is not configured.
      */
     static CommandResult withStore(
             ConnectionOptions options, CommandEnvironment environment, Function<ObjectStore, CommandResult> action) {
@@ -51,8 +51,8 @@
             if (connections.platform().isEmpty()) {
                 return CommandResult.failure(
                         ExitCode.INVALID,
-                        "The platform's address is not known.",
-                        "Give --platform host:port, set YUCCASWITCH_PLATFORM, or name a file with --settings.");
+                        "The platform's address is not configured.",
+                        "Specify --platform host:port, set YUCCASWITCH_PLATFORM, or specify a file with --settings.");
             }
             try (ObjectStore store =
                     environment.stores().apply(connections.platform().get())) {
@@ -65,9 +65,9 @@
      * Runs an action with the addresses of the nodes.
      *
      * @param options The options.
-     * @param environment What the command takes from its surroundings.
+     * @param environment The environment of the command.
      * @param action The action.
-     * @return The result of the action, or that no address is known.
+     * @return The result of the action, or a failure if no address is configured.
      */
     static CommandResult withNodes(
             ConnectionOptions options, CommandEnvironment environment, Function<Connections, CommandResult> action) {
@@ -75,19 +75,19 @@
             if (connections.operators().isEmpty()) {
                 return CommandResult.failure(
                         ExitCode.INVALID,
-                        "The nodes' addresses for operators are not known.",
-                        "Give --operator name=host:port, set YUCCASWITCH_OPERATORS, or name a file with --settings.");
+                        "The operator addresses of the nodes are not configured.",
+                        "Specify --operator name=host:port, set YUCCASWITCH_OPERATORS, or specify a file with --settings.");
             }
             return action.apply(connections);
         });
     }
 
     /**
-     * Reads the newest generation, and runs an action with it.
+     * Reads the latest generation and runs an action with it.
      *
-     * @param store The platform's objects.
-     * @param action The action, which gets nothing if no configuration was ever accepted.
-     * @return The result of the action, or that the newest generation cannot be read.
+     * @param store The object store of the platform.
+     * @param action The action, which receives an empty value if no configuration has been accepted.
+     * @return The result of the action, or a failure if the latest generation cannot be read.
      */
     static CommandResult withCurrent(
             ObjectStore store, Function<Optional<ConfigurationDocument>, CommandResult> action) {
@@ -125,6 +125,6 @@
         return CommandResult.failure(
                 ExitCode.FAILED,
                 "The object " + ConfigurationDocument.KEY + " on the platform is not a configuration.",
-                "Look at the object. If it is lost, delete it and apply a folder: generations go on from the history.");
+                "Inspect the object. If it is lost, delete it and apply a folder: generations continue from the history.");
     }
 }
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/QuarantineCommand.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/QuarantineCommand.java
@@ -19,20 +19,20 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Shows the requests under which endpoints ended, or lets one of them go. */
-@Parameters(commandDescription = "Show the requests under which endpoints ended, or let one of them go.")
+/** Shows the requests during which endpoints terminated, or releases one of them. */
+@Parameters(commandDescription = "Show the requests during which endpoints ended, or release one of them.")
 public final class QuarantineCommand implements Subcommand {
 
     /** The options that every subcommand has. */
     @ParametersDelegate
     private CommonOptions common = new CommonOptions();
 
-    /** The options of the nodes. */
+    /** The options for connecting to the nodes. */
     @ParametersDelegate
     private ConnectionOptions connection = new ConnectionOptions();
 
-    /** The request to let go, or empty to show all. */
-    @Parameter(names = "--release", description = "The fingerprint of a request that is to be let go.")
+    /** The fingerprint of the request to release, or an empty string to show all. */
+    @Parameter(names = "--release", description = "The fingerprint of the request to release.")
     private String release = "";
 
     /** Creates a subcommand. */
@@ -57,7 +57,7 @@
     }
 
     /**
-     * Asks all nodes, as a node that was out of reach may know less than the others.
+     * Calls all nodes, since a node that was unreachable may lack records that others have.
      *
      * @param connections The addresses and tokens.
      * @return The result.
@@ -72,7 +72,7 @@
     }
 
     /**
-     * Describes what the nodes know.
+     * Describes the requests that the nodes have recorded.
      *
      * @param replies The answers of the nodes.
      * @return The result.
@@ -83,17 +83,17 @@
             reply.body().path("requests").forEach(entry -> lines.add(describe(entry)));
         }
         if (lines.isEmpty()) {
-            lines.add("No endpoint ended under a request, as far as the nodes that answered know.");
+            lines.add("No node that answered has recorded an endpoint that ended during a request.");
         }
         lines.addAll(NodeResults.failures(replies));
         return new CommandResult(NodeResults.ofReads(replies), List.copyOf(lines), new QuarantineDocument(replies));
     }
 
     /**
-     * Describes that a request was let go.
+     * Describes the release of a request.
      *
      * @param replies The answers of the nodes.
-     * @return The result. Nodes tell each other, so one that does is enough.
+     * @return The result. Nodes notify each other, so a single success suffices.
      */
     private CommandResult released(List<NodeReply> replies) {
         List<NodeReply> done = replies.stream().filter(NodeReply::isDone).toList();
@@ -101,7 +101,7 @@
         if (done.isEmpty()) {
             lines.addAll(NodeResults.failures(replies));
         } else {
-            lines.add("Let go: " + release + ". All nodes hear of it at once.");
+            lines.add("Released: " + release + ". All nodes are notified.");
         }
         return new CommandResult(
                 NodeResults.ofChanges(done.isEmpty() ? replies : done), lines, new QuarantineDocument(replies));
@@ -111,7 +111,7 @@
      * Describes a request.
      *
      * @param entry The request as JSON.
-     * @return The request in a line.
+     * @return The request as one line of text.
      */
     private static String describe(JsonNode entry) {
         String until = entry.path("heldUntil").asText();
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/ReportCommand.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/ReportCommand.java
@@ -24,7 +24,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Watches the status of the nodes for a while and writes a page with plots. */
+/** Samples the status of the nodes for a period and writes a page with plots. */
 @Parameters(commandDescription = "Read the nodes' status for a while, and write an HTML page with plots.")
 public final class ReportCommand implements Subcommand {
 
@@ -32,7 +32,7 @@
     @ParametersDelegate
     private CommonOptions common = new CommonOptions();
 
-    /** The options of the nodes. */
+    /** The options for connecting to the nodes. */
     @ParametersDelegate
     private ConnectionOptions connection = new ConnectionOptions();
 
@@ -40,11 +40,11 @@
     @Parameter(names = "--output", description = "The file to write.")
     private String output = "yuccaswitch-report.html";
 
-    /** The number of times that the status is read. */
+    /** The number of samples of the status. */
     @Parameter(names = "--samples", description = "The number of times that the status is read.")
     private int samples = 10;
 
-    /** The interval between two readings. */
+    /** The interval between two samples. */
     @Parameter(names = "--interval", description = "The interval between two readings, such as 500ms or 1s.")
     private String interval = "1s";
 
@@ -66,38 +66,38 @@
     /** {@inheritDoc} */
     @Override
     public CommandResult run(CommandEnvironment environment) {
-        Optional<Duration> pause = Durations.parse(interval);
-        if (pause.isEmpty() || samples < 1) {
+        Optional<Duration> sampleInterval = Durations.parse(interval);
+        if (sampleInterval.isEmpty() || samples < 1) {
             return CommandResult.failure(
                     ExitCode.INVALID,
                     "The interval or the number of samples is invalid.",
                     "Write them as in \"report --samples 10 --interval 1s\".");
         }
         return PlatformCalls.withNodes(
-                connection, environment, connections -> report(connections, pause.get(), environment));
+                connection, environment, connections -> report(connections, sampleInterval.get(), environment));
     }
 
     /**
-     * Reads the status and writes the page.
+     * Samples the status and writes the page.
      *
      * @param connections The addresses and tokens.
-     * @param pause The interval between two readings.
-     * @param environment What the command takes from its surroundings.
+     * @param sampleInterval The interval between two samples.
+     * @param environment The environment of the command.
      * @return The result.
      */
-    private CommandResult report(Connections connections, Duration pause, CommandEnvironment environment) {
-        List<StatusSample> read = new ArrayList<>();
+    private CommandResult report(Connections connections, Duration sampleInterval, CommandEnvironment environment) {
+        List<StatusSample> collectedSamples = new ArrayList<>();
         try (OperatorClient client = new OperatorClient(connections.operatorToken())) {
             for (int i = 0; i < samples; i++) {
                 if (i > 0) {
-                    Thread.sleep(pause.toMillis());
+                    Thread.sleep(sampleInterval.toMillis());
                 }
                 List<NodeReply> replies = client.callAll(connections.operators(), OperatorCall.STATUS);
-                read.add(new StatusSample(environment.clock().instant(), replies));
+                collectedSamples.add(new StatusSample(environment.clock().instant(), replies));
             }
             Path file = Path.of(output);
-            Files.writeString(file, FleetReport.html(read));
-            return written(file, read);
+            Files.writeString(file, FleetReport.html(collectedSamples));
+            return written(file, collectedSamples);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return CommandResult.failure(ExitCode.FAILED, "The command was interrupted.", "Run it again.");
@@ -111,25 +111,26 @@
      * Creates the result for a page that was written.
      *
      * @param file The file.
-     * @param read The readings.
+     * @param collectedSamples The samples.
      * @return The result.
      */
-    private static CommandResult written(Path file, List<StatusSample> read) {
-        List<NodeReply> last = read.get(read.size() - 1).replies();
+    private static CommandResult written(Path file, List<StatusSample> collectedSamples) {
+        List<NodeReply> last = collectedSamples.get(collectedSamples.size() - 1).replies();
         List<String> lines = new ArrayList<>(NodeResults.failures(last));
         lines.add("Wrote " + file.toAbsolutePath() + ".");
         return new CommandResult(
                 NodeResults.ofReads(last),
                 lines,
-                new ReportDocument(file.toAbsolutePath().toString(), read.size(), NodeResults.failures(last)));
+                new ReportDocument(
+                        file.toAbsolutePath().toString(), collectedSamples.size(), NodeResults.failures(last)));
     }
 
     /**
      * The result.
      *
      * @param file The file that was written.
-     * @param samples The number of readings.
-     * @param failures The nodes that did not answer the last reading.
+     * @param samples The number of samples.
+     * @param failures The failures of nodes in the last sample.
      */
     record ReportDocument(String file, int samples, List<String> failures) {}
 }
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/StatusCommand.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/StatusCommand.java
@@ -25,11 +25,11 @@
     @ParametersDelegate
     private CommonOptions common = new CommonOptions();
 
-    /** The options of the nodes. */
+    /** The options for connecting to the nodes. */
     @ParametersDelegate
     private ConnectionOptions connection = new ConnectionOptions();
 
-    /** Whether every value is shown. */
+    /** Whether all values are shown. */
     @Parameter(
             names = {"--verbose", "-v"},
             description = "Show every value of the status documents.")
@@ -70,7 +70,7 @@
             long answered = replies.stream().filter(NodeReply::isDone).count();
             lines.add(answered + " of " + replies.size() + " nodes answered.");
             if (answered < replies.size()) {
-                lines.add("Check the VMs that did not, and their addresses for operators.");
+                lines.add("Check the VMs that did not answer, and their operator addresses.");
             }
             return new CommandResult(NodeResults.ofReads(replies), lines, new StatusDocument(replies));
         }
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/package-info.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/package-info.java
@@ -1,2 +1,2 @@
-/** The subcommands of the operators' command. */
+/** The subcommands of the command-line tool for operators. */
 package io.yuccaswitch.command.subcommand;
--- a/yuccaswitch-command/src/test/java/io/yuccaswitch/command/CommandLineTest.java
+++ b/yuccaswitch-command/src/test/java/io/yuccaswitch/command/CommandLineTest.java
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void everyErrorOfAFolderIsNamedAndNothingIsApplied(@TempDir Path folder) throws IOException {
+    void everyErrorOfAFolderIsReportedAndNothingIsApplied(@TempDir Path folder) throws IOException {
         Files.writeString(folder.resolve("10.json"), "{\n\"site\": 1,\n\"leases\": {}\n}");
         assertThat(run("apply", folder.toString())).isEqualTo(ExitCode.INVALID);
         assertThat(text(errors)).contains("10.json:2: site: [wrong-type]").contains("10.json:3: leases: [unknown-key]");
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void aChangeFromAnOlderGenerationIsAConflictThatNamesTheWinner() {
+    void aChangeBasedOnAnOlderGenerationIsAConflictThatNamesTheAcceptedChange() {
         run("apply", PADMA);
         run("apply", ISOMERO, "--author", "sujoy");
         assertThat(run("apply", PADMA, "--expected-generation", "1")).isEqualTo(ExitCode.CONFLICT);
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void anAnswerThatThePlatformLosesIsSettled() throws IOException {
+    void aLostAnswerOfThePlatformIsResolved() throws IOException {
         run("apply", PADMA);
         platform.faults().loseAnswers(1);
         assertThat(run("apply", ISOMERO)).isEqualTo(ExitCode.OK);
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void aPlatformThatIsDownIsUnreachableAndTheMessageSaysWhatToDo() {
+    void anOutageOfThePlatformIsReportedAsUnreachableWithASuggestedNextStep() {
         platform.faults().outage(Outage.ERROR);
         assertThat(run("apply", PADMA)).isEqualTo(ExitCode.UNREACHABLE);
         assertThat(text(errors)).contains("Nothing was changed").contains("run the command again");
@@ -146,7 +146,7 @@
                 "drain vm-1",
                 "report --interval soon",
             })
-    void argumentsThatAreWrongAreRefused(String arguments) {
+    void invalidArgumentsAreRejected(String arguments) {
         String[] split = arguments.isEmpty() ? new String[0] : arguments.split(" ");
         assertThat(run(split)).isEqualTo(ExitCode.INVALID);
     }
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void addressesMayStandInAFileOfSettings(@TempDir Path folder) throws IOException {
+    void addressesCanBeReadFromASettingsFile(@TempDir Path folder) throws IOException {
         Path file = folder.resolve("command.json");
         Files.writeString(
                 file,
--- a/yuccaswitch-command/src/test/java/io/yuccaswitch/command/OperatorCommandsTest.java
+++ b/yuccaswitch-command/src/test/java/io/yuccaswitch/command/OperatorCommandsTest.java
@@ -25,7 +25,7 @@
 
 final class OperatorCommandsTest {
 
-    private static final String STATUS =
+    private static final String STATUS_FORMAT =
             "{\"configuration\":{\"generation\":%d},\"requests\":{\"answered\":%d},\"shutdown\":{\"begun\":false}}";
 
     private static final String EXPLANATION =
@@ -55,7 +55,7 @@
             received.add(exchange.getRequestMethod() + " " + path + " " + body);
             String token = String.valueOf(exchange.getRequestHeaders().getFirst("Authorization"));
             String answer =
-                    path.startsWith("/explain/") ? EXPLANATION : STATUS.formatted(7, answered.incrementAndGet());
+                    path.startsWith("/explain/") ? EXPLANATION : STATUS_FORMAT.formatted(7, answered.incrementAndGet());
             byte[] bytes = answer.getBytes(StandardCharsets.UTF_8);
             exchange.sendResponseHeaders(token.equals("Bearer secret") ? 200 : 401, bytes.length);
             exchange.getResponseBody().write(bytes);
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void theStatusOfEachNodeIsShownAlsoIfOneIsDown() {
+    void theStatusOfEachNodeIsShownEvenIfOneIsDown() {
         assertThat(run("status", "--operator", "vm-1=" + address)).isEqualTo(ExitCode.OK);
         assertThat(text(output)).contains("vm-1 at " + address + ": running, generation in force: 7");
         assertThat(run("status", "--operator", "vm-1=" + address, "--operator", "vm-2=" + unusedAddress))
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void aRefusalIsNotAnUnreachableNode() {
+    void aRefusalIsNotReportedAsAnUnreachableNode() {
         assertThat(run("status", "--operator", address, "--operator-token", "wrong"))
                 .isEqualTo(ExitCode.FAILED);
         assertThat(text(errors)).contains("HTTP status 401");
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void aLevelIsChangedOnAllNodesAndThoseMissedAreNamed() {
+    void aLevelIsChangedOnAllNodesAndFailedNodesAreReported() {
         String[] arguments = {
             "log-level",
             "io.yuccaswitch",
--- a/yuccaswitch-command/src/test/java/io/yuccaswitch/command/configuration/ConfigurationApplyTest.java
+++ b/yuccaswitch-command/src/test/java/io/yuccaswitch/command/configuration/ConfigurationApplyTest.java
@@ -24,7 +24,7 @@
     private final ConfigurationApply apply = new ConfigurationApply(store, new RetryPauses.None());
 
     @Test
-    void eachAcceptedChangeIsTheNextGenerationAndIsKeptInTheHistory() {
+    void eachAcceptedChangeIsTheNextGenerationAndIsAddedToTheHistory() {
         assertThat(generationOf(change("rina", "a"))).isEqualTo(1);
         assertThat(generationOf(change("sujoy", "b"))).isEqualTo(2);
         assertThat(current().changeId()).isEqualTo("change-b");
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void aLostAnswerIsSettledByReadingWithoutASecondWrite() {
+    void aLostAnswerIsResolvedByReadingWithoutASecondWrite() {
         change("rina", "a");
         store.fail(Fault.ANSWER_LOST);
         assertThat(generationOf(change("rina", "b"))).isEqualTo(2);
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aLostAnswerBehindALaggingReplicaIsAcceptedOnce() {
+    void aChangeWithALostAnswerAndALaggingReplicaIsAcceptedOnce() {
         change("rina", "a");
         store.lag(store.object(ConfigurationDocument.KEY).orElseThrow());
         store.fail(Fault.ANSWER_LOST);
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void aReplicaThatFallsBackAfterALostAnswerIsNotTakenForAnotherChange() {
+    void anEarlierVersionReadFromAReplicaAfterALostAnswerIsNotMistakenForAnotherChange() {
         change("rina", "a");
         StoredObject first = store.object(ConfigurationDocument.KEY).orElseThrow();
         change("rina", "b");
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void theLoserOfARaceIsToldWhoWonAndTheDifference() {
+    void aConflictReportsTheAcceptedChangeAndTheDifferences() {
         change("rina", "a");
         store.beforeNextRead(() -> {});
         store.beforeNextRead(() -> change("sujoy", "b"));
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void aLostAnswerFollowedByAnotherChangeIsStillKnownAsAccepted() {
+    void aLostAnswerFollowedByAnotherChangeIsStillReportedAsAccepted() {
         change("rina", "a");
         store.fail(Fault.ANSWER_LOST);
         store.beforeNextRead(() -> {});
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void aLostRequestFollowedByAnotherChangeIsKnownAsLost() {
+    void aLostRequestFollowedByAnotherChangeIsReportedAsLost() {
         change("rina", "a");
         store.fail(Fault.REQUEST_LOST);
         store.beforeNextRead(() -> {});
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void aLostAnswerThatCannotBeSettledIsUnknownAndIsNotWrittenAgain() {
+    void aLostAnswerThatCannotBeResolvedIsUnknownAndIsNotWrittenAgain() {
         change("rina", "a");
         store.fail(Fault.ANSWER_LOST);
         store.beforeNextRead(() -> {});
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void anIdentifierOfAnotherChangeIsRefused() {
+    void anIdentifierOfAnotherChangeIsRejected() {
         change("rina", "a");
         change("rina", "b");
         for (String used : new String[] {"a", "b"}) {
@@ -160,7 +160,7 @@
     }
 
     @Test
-    void aChangeMadeFromAnOlderGenerationIsRefused() {
+    void aChangeBasedOnAnOlderGenerationIsRejected() {
         change("rina", "a");
         change("sujoy", "b");
         ApplyOutcome outcome = apply.apply(request("rina", "c", "change-c", OptionalLong.of(1)));
@@ -181,8 +181,8 @@
     }
 
     @Test
-    void theHistoryKeepsABoundedNumberOfGenerations() {
-        for (long i = 1; i <= ConfigurationHistory.RETAINED + 2; i++) {
+    void theHistoryRetainsALimitedNumberOfGenerations() {
+        for (long i = 1; i <= ConfigurationHistory.RETAINED_GENERATIONS + 2; i++) {
             change("rina", "site-" + i);
         }
         assertThat(store.object(ConfigurationDocument.historyKey(2))).isEmpty();
@@ -190,7 +190,7 @@
     }
 
     @Test
-    void aHistoryThatCannotBeReadToItsEndSaysSo() {
+    void anIncompleteHistoryListingReportsTheFailure() {
         change("rina", "a");
         change("rina", "b");
         change("rina", "c");
@@ -202,7 +202,7 @@
     }
 
     @Test
-    void generationsGoOnFromTheHistoryIfTheObjectWasDeleted() {
+    void generationsContinueFromTheHistoryIfTheObjectWasDeleted() {
         change("rina", "a");
         change("rina", "b");
         store.remove(ConfigurationDocument.KEY);
@@ -210,7 +210,7 @@
     }
 
     @Test
-    void aChangeThatThePlatformCannotHoldIsNotWritten() {
+    void aChangeThatExceedsTheMaximumSizeIsNotWritten() {
         String large = "x".repeat(ConfigurationApply.MAXIMUM_SIZE);
         assertThat(change("rina", large)).isInstanceOf(TooLarge.class);
         assertThat(store.writesOf(ConfigurationDocument.KEY)).isZero();
@@ -223,7 +223,7 @@
     }
 
     @Test
-    void aPlatformThatTakesNoCallLeavesTheConfigurationAsItWas() {
+    void aPlatformThatReceivesNoWriteLeavesTheConfigurationUnchanged() {
         change("rina", "a");
         store.fail(new Fault[] {
             Fault.NOT_SENT, Fault.NOT_SENT, Fault.NOT_SENT, Fault.NOT_SENT,
--- a/yuccaswitch-command/src/test/java/io/yuccaswitch/command/configuration/FaultyObjectStore.java
+++ b/yuccaswitch-command/src/test/java/io/yuccaswitch/command/configuration/FaultyObjectStore.java
@@ -14,13 +14,13 @@
 import java.util.Queue;
 import java.util.TreeMap;
 
-/** Objects in memory whose calls fail as a test scripts them. */
+/** An in-memory object store whose calls fail as scripted by a test. */
 final class FaultyObjectStore implements ObjectStore {
 
-    /** What happens to the next write of the configuration. */
+    /** The effect on the next write of the configuration. */
     enum Fault {
         NONE,
-        /** The write takes effect, and its answer is lost. */
+        /** The write takes effect, but its answer is lost. */
         ANSWER_LOST,
         /** The request is lost before it takes effect. */
         REQUEST_LOST,
@@ -37,7 +37,7 @@
 
     private final List<ObjectKey> writes = new ArrayList<>();
 
-    private Optional<StoredObject> lagging = Optional.empty();
+    private Optional<StoredObject> staleObject = Optional.empty();
 
     private boolean readsFail;
 
@@ -57,12 +57,12 @@
         historyWritesFail = fail;
     }
 
-    /** Makes reads of an object return it as it was, whatever is written later. */
+    /** Makes reads of an object return this version regardless of later writes. */
     void lag(StoredObject object) {
-        lagging = Optional.of(object);
+        staleObject = Optional.of(object);
     }
 
-    /** Runs an action before the next read that has none yet. */
+    /** Runs an action before the next read without a scheduled action. */
     void beforeNextRead(Runnable action) {
         beforeReads.add(action);
     }
@@ -85,8 +85,8 @@
         if (readsFail) {
             return new ReadResult.Unavailable("scripted");
         }
-        if (lagging.filter(object -> object.key().equals(key)).isPresent()) {
-            return new ReadResult.Found(lagging.get());
+        if (staleObject.filter(object -> object.key().equals(key)).isPresent()) {
+            return new ReadResult.Found(staleObject.get());
         }
         return object(key).<ReadResult>map(ReadResult.Found::new).orElseGet(ReadResult.Absent::new);
     }
