--- a/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/ChannelHandler.java
+++ b/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/ChannelHandler.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** Something that waits for its channel on the transport's thread. */
+/** Handles the I/O events of one channel on the transport's thread. */
 interface ChannelHandler {
 
     /**
-     * Called when the channel is ready for something that this handler is interested in.
+     * Called when the channel is ready for an operation that this handler is interested in.
      *
      * @param now The monotonic time in nanoseconds.
      * @throws IOException If the channel failed.
--- a/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/Frame.java
+++ b/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/Frame.java
@@ -4,27 +4,27 @@
 import java.nio.ByteBuffer;
 
 /**
- * A frame as it was received: a type number and the bytes of a message. On the wire a frame is four bytes of length of
- * what follows, one byte of protocol version, two bytes of type number and the message as MessagePack.
+ * A received frame: the type number and the encoded message. On the wire, a frame consists of a four-byte length of the
+ * remaining frame, a one-byte protocol version, a two-byte type number and the message as MessagePack.
  *
  * @param type The type number of the message.
  * @param payload The message as MessagePack.
  */
 record Frame(int type, Bytes payload) {
 
-    /** The version of the protocol that this release speaks. */
+    /** The protocol version of this release. */
     static final byte VERSION = 1;
 
-    /** The type number of a keep-alive, which bears no message, and is answered by the same frame. */
+    /** The type number of a keep-alive, which has no payload and is answered by an identical frame. */
     static final int KEEP_ALIVE = 0xFFFE;
 
-    /** The number of bytes of the length field. */
+    /** The size of the length field in bytes. */
     static final int LENGTH_SIZE = Integer.BYTES;
 
-    /** The number of bytes of the version and the type number, which the length counts. */
+    /** The size in bytes of the version and the type number, which the length field includes. */
     static final int HEADER_SIZE = Byte.BYTES + Short.BYTES;
 
-    /** The mask that makes an unsigned number of two bytes. */
+    /** The mask that converts a short to an unsigned number. */
     private static final int SHORT_MASK = 0xFFFF;
 
     /**
@@ -54,9 +54,9 @@
     }
 
     /**
-     * Decodes what follows the length of a frame.
+     * Decodes the part of a frame that follows the length field.
      *
-     * @param body The bytes after the length, of which the version was checked.
+     * @param body The bytes after the length field, with a version that has been checked.
      * @return The frame.
      */
     static Frame decode(ByteBuffer body) {
--- a/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/FrameDecoder.java
+++ b/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/FrameDecoder.java
@@ -5,55 +5,55 @@
 import java.util.Optional;
 
 /**
- * Cuts a stream of bytes into frames. Bytes are kept only while a frame is incomplete, and space grows with what has
- * truly arrived rather than with the length that a peer claims.
+ * Splits a stream of bytes into frames. Bytes are buffered only while a frame is incomplete, and the buffer grows with
+ * the bytes received rather than with the length that a peer declares.
  */
 final class FrameDecoder {
 
-    /** The size of the buffer that is kept between frames. */
+    /** The size in bytes of the buffer that is retained between frames. */
     private static final int INITIAL_CAPACITY = 512;
 
-    /** The bytes that arrived and are not yet part of a returned frame. */
+    /** The received bytes that are not yet part of a returned frame. */
     private byte[] buffer = new byte[INITIAL_CAPACITY];
 
     /** The position of the first byte that is not yet part of a returned frame. */
     private int start;
 
-    /** The position after the last byte that arrived. */
+    /** The position after the last received byte. */
     private int end;
 
-    /** The largest length that a frame may claim. */
+    /** The maximum declared length of a frame in bytes. */
     private int maximumLength;
 
-    /** The violation that was found, if any. */
+    /** The protocol violation that was detected, if any. */
     private Optional<FrameViolation> violation = Optional.empty();
 
     /**
      * Creates a new decoder.
      *
-     * @param maximumLength The largest length that a frame may claim.
+     * @param maximumLength The maximum declared length of a frame in bytes.
      */
     FrameDecoder(int maximumLength) {
         this.maximumLength = maximumLength;
     }
 
     /**
-     * Changes the largest length that a frame may claim, from the next frame on.
+     * Changes the maximum declared length, starting with the next frame.
      *
-     * @param length The largest length that a frame may claim.
+     * @param length The maximum declared length of a frame in bytes.
      */
-    void limit(int length) {
+    void setMaximumLength(int length) {
         maximumLength = length;
     }
 
     /**
-     * Appends bytes that arrived.
+     * Appends received bytes.
      *
      * @param bytes The bytes, all of which are consumed.
      */
     void append(ByteBuffer bytes) {
         int count = bytes.remaining();
-        makeRoom(count);
+        ensureCapacity(count);
         bytes.get(buffer, end, count);
         end += count;
     }
@@ -61,7 +61,7 @@
     /**
      * Returns the next complete frame.
      *
-     * @return The frame, or empty if more bytes are needed or the peer broke the protocol.
+     * @return The frame, or empty if more bytes are needed or the peer violated the protocol.
      */
     Optional<Frame> next() {
         if (violation.isPresent() || end - start < Frame.LENGTH_SIZE) {
@@ -75,12 +75,12 @@
         }
         Frame frame = Frame.decode(available.slice(available.position(), length));
         start += Frame.LENGTH_SIZE + length;
-        release();
+        shrink();
         return Optional.of(frame);
     }
 
     /**
-     * Returns how the peer broke the protocol.
+     * Returns the peer's protocol violation.
      *
      * @return The violation, or empty if there was none.
      */
@@ -89,10 +89,10 @@
     }
 
     /**
-     * Checks the header of a frame as early as its bytes are there.
+     * Checks as much of a frame's header as has been received.
      *
-     * @param length The length that the frame claims.
-     * @param body The bytes after the length that have arrived.
+     * @param length The declared length of the frame.
+     * @param body The received bytes after the length field.
      * @return The violation, or empty if there is none.
      */
     private Optional<FrameViolation> check(int length, ByteBuffer body) {
@@ -106,11 +106,11 @@
     }
 
     /**
-     * Makes room for more bytes at the end.
+     * Ensures capacity for more bytes at the end of the buffer.
      *
-     * @param count The number of bytes to make room for.
+     * @param count The number of additional bytes.
      */
-    private void makeRoom(int count) {
+    private void ensureCapacity(int count) {
         if (end + count <= buffer.length) {
             return;
         }
@@ -126,8 +126,8 @@
         end = used;
     }
 
-    /** Gives back space that a large frame needed, once it has been returned. */
-    private void release() {
+    /** Shrinks the buffer to its initial capacity after a large frame has been returned. */
+    private void shrink() {
         if (buffer.length > INITIAL_CAPACITY && end - start <= INITIAL_CAPACITY) {
             buffer = Arrays.copyOf(Arrays.copyOfRange(buffer, start, end), INITIAL_CAPACITY);
             end -= start;
--- a/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/FrameViolation.java
+++ b/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/FrameViolation.java
@@ -1,13 +1,13 @@
 package io.yuccaswitch.protocol;
 
-/** How a peer broke the protocol, such that its connection is cut off. */
+/** A protocol violation of a peer, on which its connection is closed. */
 enum FrameViolation {
     /** A frame is too short, or its message can't be decoded. */
     MALFORMED,
-    /** A frame claims to be longer than allowed. */
+    /** The declared length of a frame exceeds the maximum. */
     OVERSIZED,
-    /** A frame bears a version of the protocol that this release does not speak. */
+    /** A frame has a protocol version that this release does not support. */
     UNKNOWN_VERSION,
-    /** The greeting is missing, late, or of another site or token. */
+    /** The greeting is missing, late, or has another site or token. */
     UNWELCOME
 }
--- a/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/Greeting.java
+++ b/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/Greeting.java
@@ -6,28 +6,28 @@
 
 /**
  * The first message in each direction of a connection. The accepting node answers only after it has checked the
- * greeting of the connecting one, such that a stranger learns nothing.
+ * greeting of the connecting node, so that an unauthenticated peer gets no information.
  *
- * @param identity The node that speaks.
+ * @param identity The identity of the sending node.
  * @param site The name of the site that the node belongs to.
  * @param token The token that all nodes of the site share.
  */
 record Greeting(NodeIdentity identity, String site, String token) {
 
-    /** The number of the greeting on the wire. */
+    /** The type number of the greeting on the wire. */
     static final int NUMBER = 0;
 
-    /** The largest size of a greeting's frame, which bounds what a stranger can make a node keep. */
+    /** The maximum size of a greeting's frame in bytes, which bounds the memory use of an unauthenticated peer. */
     static final int MAXIMUM_SIZE = 4096;
 
     /**
-     * Returns whether this greeting comes from a node of the same site that knows the shared token.
+     * Returns whether this greeting comes from a node of the same site with the shared token.
      *
      * @param expectedSite The name of the site.
      * @param expectedToken The shared token.
-     * @return {@code true} if the peer may be talked to.
+     * @return {@code true} if the peer is authenticated.
      */
-    boolean isWelcome(String expectedSite, String expectedToken) {
+    boolean isAuthentic(String expectedSite, String expectedToken) {
         return identity != null
                 && expectedSite.equals(site)
                 && token != null
@@ -36,9 +36,9 @@
     }
 
     /**
-     * Returns a text without the token, for logs.
+     * Returns a representation for logs, which omits the token.
      *
-     * @return A text without the token.
+     * @return The representation without the token.
      */
     @Override
     public String toString() {
--- a/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/IncomingPeer.java
+++ b/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/IncomingPeer.java
@@ -9,13 +9,16 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** A connection that a peer made to this node, and sends messages on. */
+/** A connection that a peer opened to this node and sends messages on. */
 final class IncomingPeer implements ChannelHandler {
 
-    /** An idle connection is closed by the node that made it, and only by its acceptor if that does not happen. */
+    /**
+     * The multiple of the idle timeout after which the accepting node closes a connection. The connecting node closes
+     * it first, after one idle timeout, unless it fails to do so.
+     */
     private static final int IDLE_FACTOR = 2;
 
-    /** What all connections share. */
+    /** The state that all connections share. */
     private final TransportContext context;
 
     /** The channel. */
@@ -24,16 +27,16 @@
     /** Called once the connection has ended. */
     private final Consumer<IncomingPeer> onEnd;
 
-    /** The peer, once it has greeted. */
+    /** The peer's identity, once its greeting was accepted. */
     private Optional<NodeIdentity> sender = Optional.empty();
 
-    /** The monotonic time in nanoseconds at which something last arrived. */
-    private long lastArrival;
+    /** The monotonic time in nanoseconds at which bytes were last received. */
+    private long lastReceived;
 
     /**
      * Accepts a connection.
      *
-     * @param context What all connections share.
+     * @param context The state that all connections share.
      * @param channel The accepted channel.
      * @param onEnd Called once the connection has ended.
      * @param now The monotonic time in nanoseconds.
@@ -43,7 +46,7 @@
             throws IOException {
         this.context = context;
         this.onEnd = onEnd;
-        lastArrival = now;
+        lastReceived = now;
         this.channel = new PeerChannel(context, channel, SelectionKey.OP_READ, this);
     }
 
@@ -54,10 +57,10 @@
             end("closed by peer");
             return;
         }
-        lastArrival = now;
+        lastReceived = now;
         Optional<FrameViolation> violation = receive();
         if (violation.isPresent()) {
-            context.cutOff(violation.get(), this);
+            context.recordViolation(violation.get(), this);
             end(violation.get().name());
         }
     }
@@ -69,21 +72,21 @@
     }
 
     /**
-     * Ends the connection if it was not greeted in time, or has been idle for long.
+     * Closes the connection if the greeting is late or the connection has been idle for too long.
      *
      * @param now The monotonic time in nanoseconds.
      */
     void sweep(long now) {
-        long silence = now - lastArrival;
+        long silence = now - lastReceived;
         if (sender.isEmpty() && silence > context.settings().connectTimeout().toNanos()) {
-            context.cutOff(FrameViolation.UNWELCOME, this);
+            context.recordViolation(FrameViolation.UNWELCOME, this);
             end("no greeting");
         } else if (silence > IDLE_FACTOR * context.settings().idleTimeout().toNanos()) {
             end("idle");
         }
     }
 
-    /** Closes the channel, without telling anyone. */
+    /** Closes the channel without notifying the listener. */
     void close() {
         channel.close();
     }
@@ -95,9 +98,9 @@
     }
 
     /**
-     * Handles all frames that are complete.
+     * Handles all complete frames.
      *
-     * @return How the peer broke the protocol, or empty if it did not.
+     * @return The peer's protocol violation, or empty if there is none.
      * @throws IOException If the channel failed.
      */
     private Optional<FrameViolation> receive() throws IOException {
@@ -105,7 +108,7 @@
         Optional<Frame> frame = decoder.next();
         while (frame.isPresent()) {
             Optional<FrameViolation> violation =
-                    sender.isPresent() ? message(frame.get(), sender.get()) : greeting(frame.get());
+                    sender.isPresent() ? handleMessage(frame.get(), sender.get()) : handleGreeting(frame.get());
             if (violation.isPresent()) {
                 return violation;
             }
@@ -118,41 +121,42 @@
      * Handles the first frame, and answers with this node's own greeting.
      *
      * @param frame The frame.
-     * @return How the peer broke the protocol, or empty if it did not.
+     * @return The peer's protocol violation, or empty if there is none.
      * @throws IOException If the channel failed.
      */
-    private Optional<FrameViolation> greeting(Frame frame) throws IOException {
+    private Optional<FrameViolation> handleGreeting(Frame frame) throws IOException {
         Optional<Greeting> greeting = context.codec()
                 .decodeGreeting(frame)
-                .filter(candidate -> candidate.isWelcome(
+                .filter(candidate -> candidate.isAuthentic(
                         context.settings().site(), context.settings().token()));
         if (greeting.isEmpty()) {
             return Optional.of(FrameViolation.UNWELCOME);
         }
         sender = Optional.of(greeting.get().identity());
-        channel.decoder().limit(context.codec().maximumFrameLength());
+        channel.decoder().setMaximumLength(context.codec().maximumFrameLength());
         if (!channel.write(context.greeting())) {
-            throw new IOException("The peer takes no greeting");
+            throw new IOException("Greeting was not written: socket send buffer is full");
         }
         return Optional.empty();
     }
 
     /**
-     * Handles a frame after the greeting. A type that is not known is skipped, since a peer may be of a newer release.
+     * Handles a frame after the greeting. A message of an unknown type is skipped, since the peer may run a newer
+     * release.
      *
      * @param frame The frame.
      * @param from The peer.
-     * @return How the peer broke the protocol, or empty if it did not.
+     * @return The peer's protocol violation, or empty if there is none.
      * @throws IOException If the channel failed.
      */
-    private Optional<FrameViolation> message(Frame frame, NodeIdentity from) throws IOException {
+    private Optional<FrameViolation> handleMessage(Frame frame, NodeIdentity from) throws IOException {
         if (frame.type() == Frame.KEEP_ALIVE) {
             if (!channel.write(Frame.keepAlive())) {
-                throw new IOException("The peer takes no keep-alive");
+                throw new IOException("Keep-alive was not written: socket send buffer is full");
             }
             return Optional.empty();
         }
-        if (!context.codec().knows(frame)) {
+        if (!context.codec().isKnownType(frame)) {
             context.metrics().unknownType();
             return Optional.empty();
         }
@@ -166,13 +170,13 @@
     }
 
     /**
-     * Ends the connection.
+     * Closes the connection and notifies the listener.
      *
      * @param reason The reason, for logs.
      */
     private void end(String reason) {
         close();
-        context.ended(this, reason);
+        context.logConnectionEnd(this, reason);
         onEnd.accept(this);
     }
 }
--- a/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/MessageQueue.java
+++ b/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/MessageQueue.java
@@ -6,26 +6,26 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The messages that wait for one peer, bounded by number and by bytes. The oldest ones give way to new ones. */
+/** The queue of messages for one peer, bounded by number and by bytes. New messages displace the oldest ones. */
 final class MessageQueue {
 
-    /** The largest number of messages. */
+    /** The maximum number of messages. */
     private final int maximumMessages;
 
-    /** The largest number of bytes. */
+    /** The maximum number of bytes. */
     private final long maximumBytes;
 
     /** The messages, oldest first. */
     private final Deque<QueuedMessage> messages = new ArrayDeque<>();
 
-    /** The number of bytes of all messages. */
+    /** The total size of all messages in bytes. */
     private long bytes;
 
     /**
      * Creates a new queue.
      *
-     * @param maximumMessages The largest number of messages.
-     * @param maximumBytes The largest number of bytes.
+     * @param maximumMessages The maximum number of messages.
+     * @param maximumBytes The maximum number of bytes.
      */
     MessageQueue(int maximumMessages, long maximumBytes) {
         this.maximumMessages = maximumMessages;
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Adds a message and drops the oldest ones as long as there are too many.
+     * Adds a message and drops the oldest ones while the queue exceeds a limit. The newest message is always kept.
      *
      * @param message The message to add.
      * @return The messages that were dropped.
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Puts a message back in front that was taken out and not sent.
+     * Returns a message that was removed but not sent to the head of the queue.
      *
      * @param message The message.
      */
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Takes out the oldest message.
+     * Removes the oldest message.
      *
      * @return The oldest message, or empty if there is none.
      */
@@ -70,7 +70,7 @@
     }
 
     /**
-     * Takes out all messages.
+     * Removes all messages.
      *
      * @return The messages, oldest first.
      */
@@ -82,9 +82,9 @@
     }
 
     /**
-     * Returns whether no message waits.
+     * Returns whether the queue is empty.
      *
-     * @return {@code true} if no message waits.
+     * @return {@code true} if the queue is empty.
      */
     boolean isEmpty() {
         return messages.isEmpty();
--- a/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/OutgoingPeer.java
+++ b/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/OutgoingPeer.java
@@ -10,73 +10,75 @@
 import java.util.Optional;
 
 /**
- * The connection from this node to the peer at one address, made when there is something to send. A message waits until
- * the peer has answered the greeting; while attempts to connect fail, messages are given up at once.
+ * The connection from this node to the peer at one address, opened when there is a message to send. Messages are queued
+ * until the peer has answered the greeting. During the backoff after a failed attempt to connect, messages are reported
+ * as undeliverable immediately.
  */
 final class OutgoingPeer implements ChannelHandler {
 
     /**
-     * How long a keep-alive may stay without its answer. A connection that has gone silent for good shows no error, and
-     * what is written to it is lost; with this it is replaced within about 1.5 s, before a peer is taken to be gone.
+     * The time within which a keep-alive must be answered. A connection that has silently failed reports no error, and
+     * data written to it is lost; with this timeout it is replaced within about 1.5 s, before the peer is considered
+     * failed.
      */
-    private static final Duration SILENCE_TIMEOUT = Duration.ofSeconds(1);
+    private static final Duration KEEP_ALIVE_TIMEOUT = Duration.ofSeconds(1);
 
     /**
-     * After how many messages a keep-alive is sent. A node of a large site writes to most others once in half a minute,
-     * and a keep-alive for each of these messages would treble the frames; what is lost on one is asked again through
-     * others. A connection in regular use is looked at as often as it is used.
+     * The number of messages after which a keep-alive is sent. A node of a large site writes to most other nodes once
+     * in half a minute, and a keep-alive for each of these messages would triple the number of frames; data lost on one
+     * such connection is requested again through others. A connection in regular use is checked as often as it is used.
      */
-    private static final int UNCONFIRMED_MESSAGES = 2;
+    private static final int MESSAGES_PER_KEEP_ALIVE = 2;
 
-    /** What all connections share. */
+    /** The state that all connections share. */
     private final TransportContext context;
 
     /** The address of the peer. */
     private final InetSocketAddress address;
 
-    /** The messages that wait. */
+    /** The messages that are not yet being written. */
     private final MessageQueue queue;
 
-    /** What the connection is at. */
+    /** The state of the connection. */
     private State state = State.IDLE;
 
-    /** The channel, but while idle or backing off. */
+    /** The channel, or empty while idle or backing off. */
     private Optional<PeerChannel> channel = Optional.empty();
 
-    /** The peer, once it has greeted. */
+    /** The peer's identity, once its greeting was accepted. */
     private Optional<NodeIdentity> remote = Optional.empty();
 
     /** The message that is being written. */
     private Optional<QueuedMessage> current = Optional.empty();
 
     /** The bytes that are being written. */
-    private ByteBuffer writing = ByteBuffer.allocate(0);
+    private ByteBuffer frameBuffer = ByteBuffer.allocate(0);
 
-    /** The monotonic time in nanoseconds at which the state began. */
+    /** The monotonic time in nanoseconds at which the current state was entered. */
     private long stateSince;
 
-    /** The monotonic time in nanoseconds at which bytes were last written, or there was last nothing to write. */
+    /** The monotonic time in nanoseconds at which bytes were last written, or the queue was last empty. */
     private long lastProgress;
 
-    /** The monotonic time in nanoseconds at which the keep-alive was sent whose answer is awaited, if any. */
-    private Optional<Long> askedAt = Optional.empty();
+    /** The monotonic time in nanoseconds at which the unanswered keep-alive was sent, if any. */
+    private Optional<Long> keepAliveSentAt = Optional.empty();
 
-    /** Whether the peer has answered a keep-alive on this connection, which older releases do not. */
+    /** Whether the peer has answered a keep-alive on this connection. Older releases do not answer them. */
     private boolean answersKeepAlives;
 
-    /** How many messages were written since the last keep-alive. */
-    private int unconfirmed;
+    /** The number of messages that were written since the last keep-alive. */
+    private int messagesSinceKeepAlive;
 
-    /** The time to wait after the next failed attempt. */
-    private Duration backOff;
+    /** The backoff delay after the next failed attempt. */
+    private Duration nextBackoff;
 
-    /** The time to wait after the latest failed attempt. */
-    private Duration waiting = Duration.ZERO;
+    /** The backoff delay after the latest failed attempt. */
+    private Duration currentBackoff = Duration.ZERO;
 
     /**
-     * Creates a new peer that is not connected.
+     * Creates a peer without a connection.
      *
-     * @param context What all connections share.
+     * @param context The state that all connections share.
      * @param address The address of the peer.
      */
     OutgoingPeer(TransportContext context, InetSocketAddress address) {
@@ -84,18 +86,18 @@
         this.address = address;
         queue = new MessageQueue(
                 context.settings().queuedMessages(), context.settings().queuedBytes());
-        backOff = context.settings().initialBackOff();
+        nextBackoff = context.settings().initialBackoff();
     }
 
     /**
-     * Sends a message, or lets it wait.
+     * Sends a message, or queues it until the connection is ready.
      *
      * @param message The message.
      * @param now The monotonic time in nanoseconds.
      */
     void send(QueuedMessage message, long now) {
-        if (state == State.BACKING_OFF && now - stateSince < waiting.toNanos()) {
-            context.giveUp(message);
+        if (state == State.BACKING_OFF && now - stateSince < currentBackoff.toNanos()) {
+            context.reportUndeliverable(message);
             return;
         }
         if (queue.isEmpty() && current.isEmpty()) {
@@ -103,7 +105,7 @@
         }
         for (QueuedMessage dropped : queue.add(message)) {
             context.metrics().dropped();
-            context.giveUp(dropped);
+            context.reportUndeliverable(dropped);
         }
         if (channel.isEmpty()) {
             connect(now);
@@ -132,32 +134,33 @@
     /** {@inheritDoc} */
     @Override
     public void failed(String reason, long now) {
-        boolean wasUseful = state == State.OPEN
-                && now - stateSince > context.settings().maximumBackOff().toNanos();
+        boolean wasEstablished = state == State.OPEN
+                && now - stateSince > context.settings().maximumBackoff().toNanos();
         disconnect(reason, now);
         current.ifPresent(queue::putBack);
         current = Optional.empty();
-        if (!wasUseful) {
+        if (!wasEstablished) {
             enter(State.BACKING_OFF, now);
-            waiting = backOff;
-            backOff = doubled(backOff);
-            queue.drain().forEach(context::giveUp);
+            currentBackoff = nextBackoff;
+            nextBackoff = doubled(nextBackoff);
+            queue.drain().forEach(context::reportUndeliverable);
         } else if (!queue.isEmpty()) {
             connect(now);
         }
     }
 
     /**
-     * Gives up on a connection that does not get ready or takes no bytes, and closes one that is not used.
+     * Fails a connection that is not established in time, accepts no bytes or leaves a keep-alive unanswered, and
+     * closes an idle one. Sends a keep-alive if one is due.
      *
      * @param now The monotonic time in nanoseconds.
-     * @return {@code true} if this peer holds nothing and can be forgotten.
+     * @return {@code true} if this peer has no connection and no messages, and can be removed.
      */
     boolean sweep(long now) {
         PeerTransportSettings settings = context.settings();
-        boolean opening = state == State.CONNECTING || state == State.GREETING;
+        boolean connecting = state == State.CONNECTING || state == State.GREETING;
         boolean pending = current.isPresent() || !queue.isEmpty();
-        if (opening && now - stateSince > settings.connectTimeout().toNanos()) {
+        if (connecting && now - stateSince > settings.connectTimeout().toNanos()) {
             failed("timeout", now);
         } else if (state == State.OPEN
                 && pending
@@ -167,43 +170,48 @@
                 && !pending
                 && now - lastProgress > settings.idleTimeout().toNanos()) {
             disconnect("idle", now);
-        } else if (state == State.OPEN && isSilent(now)) {
+        } else if (state == State.OPEN && isKeepAliveOverdue(now)) {
             failed("silent", now);
-        } else if (state == State.OPEN && !pending && unconfirmed >= UNCONFIRMED_MESSAGES && askedAt.isEmpty()) {
-            attempt(() -> keepAlive(channel.get(), now), now);
+        } else if (state == State.OPEN
+                && !pending
+                && messagesSinceKeepAlive >= MESSAGES_PER_KEEP_ALIVE
+                && keepAliveSentAt.isEmpty()) {
+            attempt(() -> sendKeepAlive(channel.get(), now), now);
         }
-        boolean waited = now - stateSince > settings.idleTimeout().toNanos();
-        return channel.isEmpty() && queue.isEmpty() && (state == State.IDLE || waited);
+        boolean idleTimeoutPassed = now - stateSince > settings.idleTimeout().toNanos();
+        return channel.isEmpty() && queue.isEmpty() && (state == State.IDLE || idleTimeoutPassed);
     }
 
     /**
-     * Returns whether the peer has left a keep-alive without an answer for too long.
+     * Returns whether a keep-alive has been unanswered for longer than the timeout.
      *
      * @param now The monotonic time in nanoseconds.
-     * @return {@code true} if it has, and answers them otherwise.
+     * @return {@code true} if so, and the peer has answered an earlier keep-alive on this connection.
      */
-    private boolean isSilent(long now) {
+    private boolean isKeepAliveOverdue(long now) {
         return answersKeepAlives
-                && askedAt.filter(at -> now - at > SILENCE_TIMEOUT.toNanos()).isPresent();
+                && keepAliveSentAt
+                        .filter(at -> now - at > KEEP_ALIVE_TIMEOUT.toNanos())
+                        .isPresent();
     }
 
     /**
-     * Asks the peer to show that the connection works.
+     * Sends a keep-alive to check that the connection works.
      *
      * @param connected The channel.
      * @param now The monotonic time in nanoseconds.
      * @throws IOException If the channel failed.
      */
-    private void keepAlive(PeerChannel connected, long now) throws IOException {
-        askedAt = Optional.of(now);
-        unconfirmed = 0;
+    private void sendKeepAlive(PeerChannel connected, long now) throws IOException {
+        keepAliveSentAt = Optional.of(now);
+        messagesSinceKeepAlive = 0;
         if (!connected.write(Frame.keepAlive())) {
-            throw new IOException("The peer takes no keep-alive");
+            throw new IOException("Keep-alive was not written: socket send buffer is full");
         }
     }
 
     /**
-     * Closes the connection, such that the next message makes a new one.
+     * Closes the connection. The next message opens a new one.
      *
      * @param reason The reason, for logs.
      * @param now The monotonic time in nanoseconds.
@@ -213,11 +221,11 @@
         channel = Optional.empty();
         remote = Optional.empty();
         enter(State.IDLE, now);
-        context.ended(address, reason);
+        context.logConnectionEnd(address, reason);
     }
 
     /**
-     * Starts to connect.
+     * Starts to open a connection.
      *
      * @param now The monotonic time in nanoseconds.
      */
@@ -235,7 +243,7 @@
     }
 
     /**
-     * Greets the peer once the connection is made.
+     * Sends the greeting once the connection is established.
      *
      * @param connected The channel.
      * @param now The monotonic time in nanoseconds.
@@ -248,12 +256,12 @@
         enter(State.GREETING, now);
         connected.interest(SelectionKey.OP_READ);
         if (!connected.write(context.greeting())) {
-            throw new IOException("The peer takes no greeting");
+            throw new IOException("Greeting was not written: socket send buffer is full");
         }
     }
 
     /**
-     * Reads the peer's greeting and its answers to keep-alives, which are all that it may send on this connection.
+     * Reads the peer's greeting and its answers to keep-alives, the only frames that it may send on this connection.
      *
      * @param connected The channel.
      * @param now The monotonic time in nanoseconds.
@@ -266,10 +274,10 @@
         Optional<Frame> frame = connected.decoder().next();
         Optional<FrameViolation> violation = connected.decoder().violation();
         if (frame.isPresent() && violation.isEmpty()) {
-            violation = state == State.GREETING ? welcome(frame.get(), now) : answer(frame.get());
+            violation = state == State.GREETING ? handleGreeting(frame.get(), now) : handleKeepAliveAnswer(frame.get());
         }
         if (violation.isPresent()) {
-            context.cutOff(violation.get(), address);
+            context.recordViolation(violation.get(), address);
             throw new IOException(violation.get().name());
         }
         if (state == State.OPEN) {
@@ -278,16 +286,16 @@
     }
 
     /**
-     * Takes the answer to a keep-alive.
+     * Handles the answer to a keep-alive.
      *
-     * @param frame A frame behind the peer's greeting.
-     * @return How the peer broke the protocol, or empty if it did not.
+     * @param frame A frame after the peer's greeting.
+     * @return The peer's protocol violation, or empty if there is none.
      */
-    private Optional<FrameViolation> answer(Frame frame) {
+    private Optional<FrameViolation> handleKeepAliveAnswer(Frame frame) {
         if (frame.type() != Frame.KEEP_ALIVE) {
             return Optional.of(FrameViolation.MALFORMED);
         }
-        askedAt = Optional.empty();
+        keepAliveSentAt = Optional.empty();
         answersKeepAlives = true;
         return Optional.empty();
     }
@@ -295,78 +303,79 @@
     /**
      * Checks the peer's greeting.
      *
-     * @param frame The first frame of the peer.
+     * @param frame The first frame from the peer.
      * @param now The monotonic time in nanoseconds.
-     * @return How the peer broke the protocol, or empty if it did not.
+     * @return The peer's protocol violation, or empty if there is none.
      */
-    private Optional<FrameViolation> welcome(Frame frame, long now) {
+    private Optional<FrameViolation> handleGreeting(Frame frame, long now) {
         Optional<Greeting> greeting = context.codec()
                 .decodeGreeting(frame)
-                .filter(candidate -> candidate.isWelcome(
+                .filter(candidate -> candidate.isAuthentic(
                         context.settings().site(), context.settings().token()));
         if (greeting.isEmpty()) {
             return Optional.of(FrameViolation.UNWELCOME);
         }
         remote = greeting.map(Greeting::identity);
-        backOff = context.settings().initialBackOff();
+        nextBackoff = context.settings().initialBackoff();
         enter(State.OPEN, now);
         return Optional.empty();
     }
 
     /**
-     * Writes messages until there are none or the channel takes no more.
+     * Writes messages until the queue is empty or the channel accepts no more bytes.
      *
      * @param connected The channel.
      * @param now The monotonic time in nanoseconds.
      * @throws IOException If the channel failed.
      */
     private void write(PeerChannel connected, long now) throws IOException {
-        while (current.isPresent() || next()) {
-            int before = writing.remaining();
-            boolean whole = connected.write(writing);
-            lastProgress = writing.remaining() < before ? now : lastProgress;
-            if (!whole) {
+        while (current.isPresent() || takeNext()) {
+            int before = frameBuffer.remaining();
+            boolean complete = connected.write(frameBuffer);
+            lastProgress = frameBuffer.remaining() < before ? now : lastProgress;
+            if (!complete) {
                 connected.interest(SelectionKey.OP_READ | SelectionKey.OP_WRITE);
                 return;
             }
             context.metrics().messageOut();
-            unconfirmed++;
+            messagesSinceKeepAlive++;
             current = Optional.empty();
         }
         connected.interest(SelectionKey.OP_READ);
     }
 
     /**
-     * Takes the next message that is for the peer that listens at the address. A message for another node is given up:
-     * the address has passed to a new node.
+     * Removes the next message for the connected peer from the queue. A message for another node is reported as
+     * undeliverable, since the address now belongs to a different node.
      *
      * @return {@code true} if there is a message to write.
      */
-    private boolean next() {
+    private boolean takeNext() {
         Optional<QueuedMessage> candidate = queue.poll();
         while (candidate.isPresent() && !isForRemote(candidate.get())) {
-            context.giveUp(candidate.get());
+            context.reportUndeliverable(candidate.get());
             candidate = queue.poll();
         }
         current = candidate;
-        current.ifPresent(message -> writing = ByteBuffer.wrap(message.frame().unsafeArray()));
+        current.ifPresent(
+                message -> frameBuffer = ByteBuffer.wrap(message.frame().unsafeArray()));
         return current.isPresent();
     }
 
     /**
-     * Returns whether a message is for the peer that greeted.
+     * Returns whether a message is for the connected peer.
      *
      * @param message The message.
-     * @return {@code true} if the peer is the message's target.
+     * @return {@code true} if the message has no target or the peer is its target.
      */
     private boolean isForRemote(QueuedMessage message) {
         return message.target().isEmpty() || remote.map(NodeIdentity::name).equals(message.target());
     }
 
     /**
-     * Does something with the channel, and handles its failure.
+     * Runs an operation on the channel, and handles its failure.
      *
-     * @param operation What to do.
+     * @param operation The operation.
      * @param now The monotonic time in nanoseconds.
      */
     private void attempt(Operation operation, long now) {
@@ -385,36 +394,36 @@
      */
     private void enter(State entered, long now) {
         state = entered;
-        askedAt = Optional.empty();
+        keepAliveSentAt = Optional.empty();
         answersKeepAlives = false;
-        unconfirmed = UNCONFIRMED_MESSAGES;
+        messagesSinceKeepAlive = MESSAGES_PER_KEEP_ALIVE;
         stateSince = now;
         lastProgress = now;
     }
 
     /**
-     * Doubles the time to wait.
+     * Doubles a backoff delay.
      *
-     * @param duration The time to wait.
-     * @return Twice the time, up to the longest one.
+     * @param duration The backoff delay.
+     * @return Twice the delay, up to the maximum.
      */
     private Duration doubled(Duration duration) {
         Duration twice = duration.multipliedBy(2);
-        Duration longest = context.settings().maximumBackOff();
-        return twice.compareTo(longest) < 0 ? twice : longest;
+        Duration maximum = context.settings().maximumBackoff();
+        return twice.compareTo(maximum) < 0 ? twice : maximum;
     }
 
-    /** What a connection is at. */
+    /** The state of a connection. */
     private enum State {
-        /** There is no connection, since there is nothing to send. */
+        /** There is no connection, since there is no message to send. */
         IDLE,
-        /** The connection is being made. */
+        /** The connection is being established. */
         CONNECTING,
-        /** The connection is made, and the peer has not yet greeted. */
+        /** The connection is established, and the peer's greeting is awaited. */
         GREETING,
         /** Messages can be sent. */
         OPEN,
-        /** The latest attempt failed, and the next one is to come later. */
+        /** The latest attempt failed, and the next one waits for the backoff delay. */
         BACKING_OFF
     }
 
--- a/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/PeerAddresses.java
+++ b/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/PeerAddresses.java
@@ -5,17 +5,17 @@
 import java.net.InetSocketAddress;
 import java.util.Optional;
 
-/** Reads addresses as members and settings state them. */
+/** Parses the peer addresses in membership data and settings. */
 public final class PeerAddresses {
 
     /** This class has no instances. */
     private PeerAddresses() {}
 
     /**
-     * Parses an address. Names are not looked up, since that could block.
+     * Parses an address. Host names are not resolved, since that could block.
      *
-     * @param text The address as {@code host:port}, where the host is an IP number, in brackets if it has colons.
-     * @return The address, or empty if the text is none.
+     * @param text The address as {@code host:port}, where the host is an IP address, in brackets if it contains colons.
+     * @return The address, or empty if the text is invalid.
      */
     public static Optional<InetSocketAddress> parse(String text) {
         try {
--- a/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/PeerChannel.java
+++ b/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/PeerChannel.java
@@ -6,10 +6,10 @@
 import java.nio.channels.SelectionKey;
 import java.nio.channels.SocketChannel;
 
-/** A non-blocking channel to a peer: bytes out, and frames in. */
+/** A non-blocking channel to a peer that writes bytes and reads frames. */
 final class PeerChannel {
 
-    /** What all connections share. */
+    /** The state that all connections share. */
     private final TransportContext context;
 
     /** The channel. */
@@ -18,13 +18,13 @@
     /** The channel's registration with the selector. */
     private final SelectionKey key;
 
-    /** Cuts what arrives into frames. */
+    /** Splits the received bytes into frames. */
     private final FrameDecoder decoder = new FrameDecoder(Greeting.MAXIMUM_SIZE);
 
     /**
      * Registers a channel.
      *
-     * @param context What all connections share.
+     * @param context The state that all connections share.
      * @param channel The channel.
      * @param interest The operations that the handler is interested in.
      * @param handler The handler to call when the channel is ready.
@@ -42,7 +42,7 @@
     }
 
     /**
-     * Reads what has arrived.
+     * Reads the available bytes.
      *
      * @return {@code false} if the peer closed the connection.
      * @throws IOException If the channel failed.
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Returns the decoder of what arrived.
+     * Returns the decoder of the received bytes.
      *
      * @return The decoder.
      */
@@ -68,7 +68,7 @@
     }
 
     /**
-     * Writes as many bytes as the channel takes.
+     * Writes as many bytes as the channel accepts.
      *
      * @param buffer The bytes to write, from its position on.
      * @return {@code true} if all bytes were written.
@@ -80,10 +80,10 @@
     }
 
     /**
-     * Finishes connecting.
+     * Completes the connection attempt.
      *
      * @return {@code true} if the channel is connected.
-     * @throws IOException If no connection could be made.
+     * @throws IOException If the connection attempt failed.
      */
     boolean finishConnect() throws IOException {
         return channel.finishConnect();
@@ -101,18 +101,18 @@
     }
 
     /**
-     * Returns whether a reading is due.
+     * Returns whether the channel is ready for reading.
      *
-     * @return {@code true} if the channel is ready to be read.
+     * @return {@code true} if the channel is readable.
      */
     boolean isReadable() {
         return key.isValid() && key.isReadable();
     }
 
     /**
-     * Returns whether a writing is due.
+     * Returns whether the channel is ready for writing.
      *
-     * @return {@code true} if the channel is ready to be written.
+     * @return {@code true} if the channel is writable.
      */
     boolean isWritable() {
         return key.isValid() && key.isWritable();
@@ -125,7 +125,7 @@
         try {
             channel.close();
         } catch (IOException exception) {
-            context.ended(channel, exception.toString());
+            context.logConnectionEnd(channel, exception.toString());
         }
     }
 }
--- a/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/PeerMessageCodec.java
+++ b/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/PeerMessageCodec.java
@@ -19,25 +19,26 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * Turns messages into frames and back. A message that lacks a value, but for optional ones and numbers, is none: a
- * component that is added to a record in use must be of such a type. Instances are safe for use by several threads.
+ * Encodes messages as frames and decodes them. A message that lacks a component is rejected, unless the component is
+ * optional or a number: a component that is added to a record in use must therefore have such a type. Instances are
+ * thread-safe.
  */
 public final class PeerMessageCodec {
 
     /** The registered types of messages. */
     private final PeerMessageRegistry registry;
 
-    /** The largest number of bytes of a frame after its length. */
+    /** The maximum size in bytes of a frame without its length field. */
     private final int maximumFrameLength;
 
-    /** The mapper that writes and reads MessagePack. */
+    /** The mapper for MessagePack. */
     private final ObjectMapper mapper;
 
     /**
      * Creates a new codec.
      *
      * @param registry The registered types of messages.
-     * @param maximumFrameLength The largest number of bytes of a frame after its length.
+     * @param maximumFrameLength The maximum size in bytes of a frame without its length field.
      */
     public PeerMessageCodec(PeerMessageRegistry registry, int maximumFrameLength) {
         this.registry = registry;
@@ -49,11 +50,12 @@
      * Encodes a message as a frame.
      *
      * @param message The message, of a registered type.
-     * @return The bytes of the frame, or empty if it would be longer than allowed.
+     * @return The bytes of the frame, or empty if it would exceed the maximum size.
      */
     public Optional<Bytes> encode(PeerMessage message) {
         int number = registry.number(message.getClass())
-                .orElseThrow(() -> new IllegalArgumentException("Not a registered type: " + message.getClass()));
+                .orElseThrow(
+                        () -> new IllegalArgumentException("Message type is not registered: " + message.getClass()));
         byte[] payload = write(message);
         if (payload.length + Frame.HEADER_SIZE > maximumFrameLength) {
             return Optional.empty();
@@ -62,9 +64,9 @@
     }
 
     /**
-     * Returns the largest number of bytes of a frame after its length.
+     * Returns the maximum size of a frame.
      *
-     * @return The largest number of bytes of a frame after its length.
+     * @return The maximum size in bytes of a frame without its length field.
      */
     int maximumFrameLength() {
         return maximumFrameLength;
@@ -81,12 +83,12 @@
     }
 
     /**
-     * Returns whether a frame holds a message of a type that this release knows.
+     * Returns whether this release has a message type with the number of a frame.
      *
      * @param frame The frame.
-     * @return {@code true} if the type is known.
+     * @return {@code true} if the type is registered.
      */
-    boolean knows(Frame frame) {
+    boolean isKnownType(Frame frame) {
         return registry.type(frame.type()).isPresent();
     }
 
@@ -94,7 +96,7 @@
      * Decodes a message.
      *
      * @param frame The frame that holds the message.
-     * @return The message, or empty if the bytes are no such message.
+     * @return The message, or empty if the bytes are invalid.
      */
     Optional<PeerMessage> decode(Frame frame) {
         return registry.type(frame.type()).flatMap(type -> read(frame.payload().unsafeArray(), type));
@@ -111,7 +113,7 @@
     }
 
     /**
-     * Writes a value.
+     * Serializes a value.
      *
      * @param value The value.
      * @return The value as MessagePack.
@@ -120,18 +122,18 @@
         try {
             return mapper.writeValueAsBytes(value);
         } catch (JsonProcessingException exception) {
-            throw new UncheckedIOException("Can't be written: " + value.getClass(), exception);
+            throw new UncheckedIOException("Cannot serialize " + value.getClass(), exception);
         }
     }
 
     /**
-     * Reads a value from bytes that need not be well-formed. Jackson and the constructors of records throw whatever
-     * they like at hostile bytes, all of which means the same here.
+     * Deserializes a value from untrusted bytes. Jackson and the constructors of records throw exceptions of various
+     * types on malformed input, all of which are treated the same.
      *
      * @param payload The bytes.
      * @param type The type of the value.
      * @param <T> The type of the value.
-     * @return The value, or empty if the bytes are not of this type.
+     * @return The value, or empty if the bytes are not a valid value of this type.
      */
     private <T> Optional<T> read(byte[] payload, Class<? extends T> type) {
         try {
--- a/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/PeerMessageRange.java
+++ b/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/PeerMessageRange.java
@@ -1,8 +1,8 @@
 package io.yuccaswitch.protocol;
 
-/** The numbers that are reserved for the messages of each concept. Number zero is the greeting's. */
+/** The ranges of type numbers that are reserved for the messages of each concept. Number zero is the greeting. */
 public enum PeerMessageRange {
-    /** Messages by which nodes keep track of each other. */
+    /** Messages that maintain the membership of nodes. */
     MEMBERSHIP(1, 19),
     /** Messages that distribute the configuration. */
     CONFIGURATION(20, 39),
@@ -16,11 +16,11 @@
     ENDPOINT(100, 119),
     /** Messages about batch jobs. */
     BATCH(120, 139),
-    /** Messages by which nodes follow each other's watches of the platform. */
+    /** Messages by which followers receive the changes that a watcher node observes on the platform. */
     WATCH(140, 159),
-    /** Messages about requests under which endpoints ended. */
+    /** Messages about requests during which endpoints ended. */
     QUARANTINE(160, 179),
-    /** Messages about how much each client account uses. */
+    /** Messages about the usage of client accounts. */
     USAGE(180, 189);
 
     /** The first number of the range. */
--- a/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/PeerMessageRegistry.java
+++ b/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/PeerMessageRegistry.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 
 /**
- * The numbers that message types have on the wire. A number is never given to another type later on, since nodes of
- * different releases talk to each other while a release is rolled out.
+ * The type numbers of messages on the wire. A number must never be reused for another type, since nodes of different
+ * releases exchange messages while a release is rolled out.
  */
 public final class PeerMessageRegistry {
 
@@ -28,7 +28,7 @@
     }
 
     /**
-     * Returns a new builder without any types.
+     * Returns a new builder without types.
      *
      * @return A new builder.
      */
@@ -72,8 +72,8 @@
          * Registers a message type.
          *
          * @param range The range of the concept that the type belongs to.
-         * @param number The number on the wire, which lies in the range.
-         * @param type The type, a record.
+         * @param number The number on the wire, which must lie in the range.
+         * @param type The type, which must be a record.
          * @return This builder.
          */
         public Builder register(PeerMessageRange range, int number, Class<? extends PeerMessage> type) {
@@ -81,10 +81,11 @@
                 throw new IllegalArgumentException("Number " + number + " is not in the range " + range);
             }
             if (!type.isRecord()) {
-                throw new IllegalArgumentException("Not a record: " + type);
+                throw new IllegalArgumentException("Message type is not a record: " + type);
             }
             if (types.putIfAbsent(number, type) != null || numbers.putIfAbsent(type, number) != null) {
-                throw new IllegalArgumentException("Registered already: " + number + " or " + type);
+                throw new IllegalArgumentException(
+                        "Number or message type is already registered: " + number + " or " + type);
             }
             return this;
         }
--- a/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/PeerTransport.java
+++ b/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/PeerTransport.java
@@ -31,52 +31,53 @@
 import org.jboss.logging.Logger;
 
 /**
- * Carries messages between this node and others. One thread serves all connections, however many nodes there are. A
- * message that is sent may be lost when a connection breaks; one that was never handed to the network is reported.
+ * Exchanges messages between this node and others. One thread serves all connections, regardless of the number of
+ * nodes. A message may be lost when a connection breaks after it was written; one that was never handed to the network
+ * is reported as undeliverable.
  */
 public final class PeerTransport implements AutoCloseable {
 
-    /** The interval at which timeouts are looked for. */
+    /** The interval between checks for timeouts. */
     private static final Duration SWEEP_INTERVAL = Duration.ofMillis(250);
 
     /** The logger. */
     private static final Logger LOGGER = Logger.getLogger(PeerTransport.class);
 
-    /** What all connections share. */
+    /** The state that all connections share. */
     private final TransportContext context;
 
-    /** Knows where nodes listen. */
+    /** The addresses on which nodes listen. */
     private final PeerAddressBook addresses;
 
     /** The selector that all channels are registered with. */
     private final Selector selector;
 
-    /** The channel that connections arrive on. */
+    /** The channel that accepts connections. */
     private final ServerSocketChannel server;
 
-    /** What other threads want done on the transport's thread. */
+    /** The tasks that other threads submit to the transport's thread. */
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
 
-    /** The connections of this node to others by their addresses, confined to the transport's thread. */
+    /** The connections from this node to others by address, confined to the transport's thread. */
     private final Map<InetSocketAddress, OutgoingPeer> outgoing = new HashMap<>();
 
-    /** The connections of others to this node, confined to the transport's thread. */
+    /** The connections from others to this node, confined to the transport's thread. */
     private final Set<IncomingPeer> incoming = Collections.newSetFromMap(new IdentityHashMap<>());
 
     /** The thread that serves all connections. */
     private final Thread thread;
 
-    /** Whether the transport goes on. */
+    /** Whether the transport has not been closed. */
     private volatile boolean running = true;
 
     /**
-     * Opens a transport that listens but does not serve yet.
+     * Opens a transport that listens, but serves no connection before it is started.
      *
      * @param settings The settings.
      * @param registry The types of messages of all concepts.
-     * @param self The identity that this node greets with.
-     * @param addresses Knows where nodes listen.
-     * @param events Takes events to the decision core, from any thread, without blocking.
+     * @param self The identity in this node's greetings.
+     * @param addresses The addresses on which nodes listen.
+     * @param events The consumer that passes events to the decision core. It must be thread-safe and must not block.
      * @param metrics The registry to count in.
      */
     public PeerTransport(
@@ -102,7 +103,7 @@
         thread.setDaemon(true);
     }
 
-    /** Starts to serve. */
+    /** Starts to serve connections. */
     public void start() {
         thread.start();
     }
@@ -110,7 +111,7 @@
     /**
      * Returns the address that the transport listens on.
      *
-     * @return The address, with its true port.
+     * @return The address with the bound port.
      */
     public InetSocketAddress localAddress() {
         try {
@@ -121,7 +122,7 @@
     }
 
     /**
-     * Carries out the effects of the decision core.
+     * Subscribes to the effects of the decision core and executes them.
      *
      * @param effects The effects.
      * @return The subscription.
@@ -131,7 +132,7 @@
     }
 
     /**
-     * Carries out an effect. This method may be called from any thread and does not block.
+     * Executes an effect. This method is safe to call from any thread and does not block.
      *
      * @param effect The effect.
      */
@@ -144,7 +145,8 @@
     }
 
     /**
-     * Changes the identity that this node greets with. All connections to other nodes are made anew.
+     * Changes the identity in this node's greetings. All connections to other nodes are closed, and opened again when
+     * needed.
      *
      * @param identity The identity of this node.
      */
@@ -179,14 +181,14 @@
         Optional<InetSocketAddress> address = addresses.find(target);
         Optional<Bytes> frame = context.codec().encode(message);
         if (address.isEmpty() || frame.isEmpty()) {
-            context.giveUp(new QueuedMessage(Optional.of(target), message, Bytes.EMPTY));
+            context.reportUndeliverable(new QueuedMessage(Optional.of(target), message, Bytes.EMPTY));
             return;
         }
         enqueue(address.get(), new QueuedMessage(Optional.of(target), message, frame.get()));
     }
 
     /**
-     * Sends a message to whichever node listens at an address.
+     * Sends a message to the node that listens at an address, without checking its name.
      *
      * @param address The address as {@code host:port}.
      * @param message The message.
@@ -202,7 +204,7 @@
     }
 
     /**
-     * Hands a message to the transport's thread.
+     * Passes a message to the transport's thread.
      *
      * @param address The address of the peer.
      * @param message The message.
@@ -213,9 +215,9 @@
     }
 
     /**
-     * Has something done on the transport's thread.
+     * Submits a task to the transport's thread.
      *
-     * @param task What to do.
+     * @param task The task.
      */
     private void submit(Runnable task) {
         tasks.add(task);
@@ -263,7 +265,7 @@
     }
 
     /**
-     * Accepts a connection, unless there are too many.
+     * Accepts a connection, unless the maximum number of connections is reached.
      *
      * @param now The monotonic time in nanoseconds.
      */
@@ -284,7 +286,7 @@
     }
 
     /**
-     * Looks for timeouts.
+     * Checks all connections for timeouts.
      *
      * @param now The monotonic time in nanoseconds.
      */
@@ -293,7 +295,7 @@
         outgoing.values().removeIf(peer -> peer.sweep(now));
     }
 
-    /** Closes everything. */
+    /** Closes all connections, the server channel and the selector. */
     private void release() {
         incoming.forEach(IncomingPeer::close);
         outgoing.values().forEach(peer -> peer.disconnect("closed", System.nanoTime()));
--- a/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/PeerTransportMetrics.java
+++ b/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/PeerTransportMetrics.java
@@ -7,10 +7,10 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** What the transport counts. */
+/** The metrics of the transport. */
 final class PeerTransportMetrics {
 
-    /** The prefix of all names. */
+    /** The prefix of all metric names. */
     private static final String PREFIX = "peer";
 
     /** The messages that were handed to the network. */
@@ -19,26 +19,26 @@
     /** The bytes that were handed to the network. */
     private final Meter bytesOut;
 
-    /** The messages that arrived. */
+    /** The received messages. */
     private final Meter messagesIn;
 
-    /** The bytes that arrived. */
+    /** The received bytes. */
     private final Meter bytesIn;
 
-    /** The messages that were dropped since a peer's queue was full. */
+    /** The messages that were dropped because a peer's queue was full. */
     private final Counter dropped;
 
-    /** The messages that were dropped since their peer can't be reached. */
+    /** The messages that were not handed to the network, such as those to an unreachable peer. */
     private final Counter undeliverable;
 
-    /** The messages of types that this release does not know. */
+    /** The received messages of unknown types. */
     private final Counter unknownTypes;
 
-    /** The connections that are open. */
+    /** The open connections. */
     private final Counter connections;
 
-    /** The connections that were cut off, by the reason. */
-    private final Map<FrameViolation, Counter> cutOff = new EnumMap<>(FrameViolation.class);
+    /** The connections that were closed for a protocol violation, by violation. */
+    private final Map<FrameViolation, Counter> violations = new EnumMap<>(FrameViolation.class);
 
     /**
      * Creates the metrics.
@@ -56,11 +56,11 @@
         connections = registry.counter(MetricRegistry.name(PREFIX, "connections"));
         for (FrameViolation violation : FrameViolation.values()) {
             String name = violation.name().toLowerCase(Locale.ROOT).replace('_', '-');
-            cutOff.put(violation, registry.counter(MetricRegistry.name(PREFIX, "cut-off", name)));
+            violations.put(violation, registry.counter(MetricRegistry.name(PREFIX, "cut-off", name)));
         }
     }
 
-    /** Counts a message that was handed to the network as a whole. */
+    /** Counts a message that was completely handed to the network. */
     void messageOut() {
         messagesOut.mark();
     }
@@ -74,13 +74,13 @@
         bytesOut.mark(count);
     }
 
-    /** Counts a message that arrived. */
+    /** Counts a received message. */
     void messageIn() {
         messagesIn.mark();
     }
 
     /**
-     * Counts bytes that arrived.
+     * Counts received bytes.
      *
      * @param count The number of bytes.
      */
@@ -88,17 +88,17 @@
         bytesIn.mark(count);
     }
 
-    /** Counts a message that was dropped since a peer's queue was full. */
+    /** Counts a message that was dropped because a peer's queue was full. */
     void dropped() {
         dropped.inc();
     }
 
-    /** Counts a message whose peer can't be reached. */
+    /** Counts a message that was not handed to the network. */
     void undeliverable() {
         undeliverable.inc();
     }
 
-    /** Counts a message of a type that this release does not know. */
+    /** Counts a received message of an unknown type. */
     void unknownType() {
         unknownTypes.inc();
     }
@@ -114,11 +114,11 @@
     }
 
     /**
-     * Counts a connection that was cut off.
+     * Counts a connection that was closed for a protocol violation.
      *
-     * @param violation The reason.
+     * @param violation The violation.
      */
-    void cutOff(FrameViolation violation) {
-        cutOff.get(violation).inc();
+    void recordViolation(FrameViolation violation) {
+        violations.get(violation).inc();
     }
 }
--- a/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/PeerTransportSettings.java
+++ b/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/PeerTransportSettings.java
@@ -6,18 +6,17 @@
 /**
  * The settings of a node's transport.
  *
- * @param bindAddress The address to listen on, whose port may be zero for any free one.
- * @param site The name of the site, which peers must share.
+ * @param bindAddress The address to listen on, where port zero selects any free port.
+ * @param site The name of the site, which must be the same at all peers.
  * @param token The token that all nodes of the site share.
- * @param queuedMessages The largest number of messages that wait for one peer.
- * @param queuedBytes The largest number of bytes that wait for one peer.
- * @param incomingConnections The largest number of connections that peers may hold open to this node.
- * @param connectTimeout The time in which a connection must be made and greeted.
- * @param stallTimeout The time after which a connection that takes no bytes while messages wait is given up.
- * @param idleTimeout The time after which a connection that carries nothing is closed.
- * @param initialBackOff The time to wait after the first failed attempt to connect, which doubles with each further
- *     one.
- * @param maximumBackOff The longest time to wait between attempts to connect.
+ * @param queuedMessages The maximum number of queued messages for one peer.
+ * @param queuedBytes The maximum number of queued bytes for one peer.
+ * @param incomingConnections The maximum number of open connections from peers to this node.
+ * @param connectTimeout The time within which a connection must be established and the greeting received.
+ * @param stallTimeout The time after which a connection fails that accepts no bytes while messages are queued.
+ * @param idleTimeout The time after which a connection without traffic is closed.
+ * @param initialBackoff The delay after the first failed attempt to connect, which doubles with each further failure.
+ * @param maximumBackoff The maximum delay between attempts to connect.
  */
 public record PeerTransportSettings(
         InetSocketAddress bindAddress,
@@ -29,23 +28,23 @@
         Duration connectTimeout,
         Duration stallTimeout,
         Duration idleTimeout,
-        Duration initialBackOff,
-        Duration maximumBackOff) {
+        Duration initialBackoff,
+        Duration maximumBackoff) {
 
-    /** The largest length of a frame. */
+    /** The maximum length of a frame in bytes. */
     public static final int MAXIMUM_FRAME_LENGTH = 8 * 1024 * 1024;
 
-    /** The default number of messages that wait for one peer. */
-    private static final int QUEUED_MESSAGES = 4096;
+    /** The default maximum number of queued messages for one peer. */
+    private static final int MAXIMUM_QUEUED_MESSAGES = 4096;
 
-    /** The default number of bytes that wait for one peer. */
-    private static final long QUEUED_BYTES = 2L * MAXIMUM_FRAME_LENGTH;
+    /** The default maximum number of queued bytes for one peer. */
+    private static final long MAXIMUM_QUEUED_BYTES = 2L * MAXIMUM_FRAME_LENGTH;
 
-    /** The default number of incoming connections. */
-    private static final int INCOMING_CONNECTIONS = 4096;
+    /** The default maximum number of incoming connections. */
+    private static final int MAXIMUM_INCOMING_CONNECTIONS = 4096;
 
     /**
-     * Creates the settings that a node uses.
+     * Creates the default settings of a node.
      *
      * @param bindAddress The address to listen on.
      * @param site The name of the site.
@@ -57,9 +56,9 @@
                 bindAddress,
                 site,
                 token,
-                QUEUED_MESSAGES,
-                QUEUED_BYTES,
-                INCOMING_CONNECTIONS,
+                MAXIMUM_QUEUED_MESSAGES,
+                MAXIMUM_QUEUED_BYTES,
+                MAXIMUM_INCOMING_CONNECTIONS,
                 Duration.ofSeconds(2),
                 Duration.ofSeconds(5),
                 Duration.ofSeconds(30),
--- a/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/QueuedMessage.java
+++ b/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/QueuedMessage.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 
 /**
- * A message that waits for its connection.
+ * A message that is queued for a connection.
  *
  * @param target The node that the message is for, or empty if it is for whichever node listens at the address.
  * @param message The message.
--- a/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/SealedTypeIntrospector.java
+++ b/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/SealedTypeIntrospector.java
@@ -17,9 +17,9 @@
 import java.util.List;
 
 /**
- * Tells Jackson how the core's plain types look on the wire without annotations in the core: a record is an array of
- * its components, and a value of a sealed interface is a pair of its record's simple name and the record. Components
- * may therefore only be added at the end of a record that is already in use, and no record may be renamed.
+ * Defines the wire format of the core's types for Jackson, without annotations in the core: a record is written as an
+ * array of its components, and a value of a sealed interface as a pair of its record's simple name and the record.
+ * Components may therefore only be added at the end of a record that is already in use, and no record may be renamed.
  */
 final class SealedTypeIntrospector extends NopAnnotationIntrospector {
 
@@ -67,7 +67,7 @@
     }
 
     /**
-     * Collects the records of a sealed interface and of the sealed interfaces below it.
+     * Collects the records of a sealed interface and of its sealed subinterfaces.
      *
      * @param parent The sealed interface.
      * @param types The list to add to.
@@ -83,8 +83,8 @@
     }
 
     /**
-     * Returns whether a type is written with its name, since it is or implements a sealed interface. Messages
-     * themselves are numbered by the registry, and need no name on the wire.
+     * Returns whether a type is written with its name, which applies to sealed interfaces and their implementations.
+     * Messages themselves have a number in the registry, and need no name on the wire.
      *
      * @param type The type.
      * @return {@code true} if the type is written with its name.
--- a/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/TransportContext.java
+++ b/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/TransportContext.java
@@ -8,10 +8,10 @@
 import java.util.function.Consumer;
 import org.jboss.logging.Logger;
 
-/** What all connections of a transport share, confined to the transport's thread. */
+/** The state that all connections of a transport share, confined to the transport's thread. */
 final class TransportContext {
 
-    /** The number of bytes that are read from a channel at once. */
+    /** The maximum number of bytes of one read from a channel. */
     private static final int READ_BUFFER_SIZE = 64 * 1024;
 
     /** The logger. */
@@ -26,16 +26,16 @@
     /** The metrics. */
     private final PeerTransportMetrics metrics;
 
-    /** Takes events to the decision core. */
+    /** The consumer that passes events to the decision core. */
     private final Consumer<? super Event> events;
 
     /** The selector that all channels are registered with. */
     private final Selector selector;
 
-    /** The buffer that all channels are read into, one at a time. */
+    /** The buffer for reads, which all channels share. */
     private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_SIZE);
 
-    /** The identity that this node greets with. */
+    /** The identity in this node's greetings. */
     private volatile NodeIdentity self;
 
     /**
@@ -44,9 +44,9 @@
      * @param settings The settings.
      * @param codec The codec.
      * @param metrics The metrics.
-     * @param events Takes events to the decision core.
+     * @param events The consumer that passes events to the decision core.
      * @param selector The selector that all channels are registered with.
-     * @param self The identity that this node greets with.
+     * @param self The identity in this node's greetings.
      */
     TransportContext(
             PeerTransportSettings settings,
@@ -100,16 +100,16 @@
     }
 
     /**
-     * Returns the buffer to read into, empty.
+     * Returns the cleared read buffer.
      *
-     * @return The buffer to read into.
+     * @return The read buffer.
      */
     ByteBuffer readBuffer() {
         return readBuffer.clear();
     }
 
     /**
-     * Returns the identity that this node greets with.
+     * Returns the identity in this node's greetings.
      *
      * @return The identity of this node.
      */
@@ -118,7 +118,7 @@
     }
 
     /**
-     * Changes the identity that this node greets with on new connections.
+     * Changes the identity in this node's greetings on new connections.
      *
      * @param identity The identity of this node.
      */
@@ -137,7 +137,7 @@
     }
 
     /**
-     * Hands an event to the decision core.
+     * Passes an event to the decision core.
      *
      * @param event The event.
      */
@@ -146,33 +146,33 @@
     }
 
     /**
-     * Gives up on a message that was not handed to the network.
+     * Counts a message that was not handed to the network, and reports it as undeliverable if it has a target.
      *
      * @param message The message.
      */
-    void giveUp(QueuedMessage message) {
+    void reportUndeliverable(QueuedMessage message) {
         metrics.undeliverable();
         message.target().ifPresent(target -> raise(new PeerEvent.Undeliverable(target, message.message())));
     }
 
     /**
-     * Counts and logs a peer that broke the protocol.
+     * Counts and logs a protocol violation of a peer.
      *
-     * @param violation How it broke the protocol.
-     * @param remote Who it is, for logs.
+     * @param violation The violation.
+     * @param remote The peer, for logs.
      */
-    void cutOff(FrameViolation violation, Object remote) {
-        metrics.cutOff(violation);
+    void recordViolation(FrameViolation violation, Object remote) {
+        metrics.recordViolation(violation);
         LOGGER.infof("event=peer-cut-off peer=%s violation=%s", remote, violation);
     }
 
     /**
-     * Logs that a connection ended.
+     * Logs that a connection has ended.
      *
-     * @param remote Who it was to.
+     * @param remote The peer, for logs.
      * @param reason The reason.
      */
-    void ended(Object remote, String reason) {
+    void logConnectionEnd(Object remote, String reason) {
         LOGGER.debugf("event=peer-connection-ended peer=%s reason=\"%s\"", remote, reason);
     }
 }
--- a/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/WireModule.java
+++ b/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/WireModule.java
@@ -20,7 +20,7 @@
 import java.io.IOException;
 import java.util.function.Function;
 
-/** The core's small values on the wire: names as texts, also as keys of maps, and bytes as MessagePack's binary. */
+/** Serializes the core's value types: names as strings, also as keys of maps, and bytes as MessagePack binary data. */
 final class WireModule extends SimpleModule {
 
     /** The version of the serialized form of this class, which is never used. */
@@ -41,10 +41,10 @@
     }
 
     /**
-     * Adds a type that is written as its text.
+     * Registers a type that is written as its string representation.
      *
      * @param type The type.
-     * @param parser Makes a value of its text.
+     * @param parser The parser of the string representation.
      * @param <T> The type.
      */
     private <T> void addText(Class<T> type, Function<String, T> parser) {
@@ -55,8 +55,8 @@
     }
 
     /**
-     * Parses an endpoint's name, which is the name of its pool, a slash and the name within the pool, and behind an at
-     * sign the incarnation, if it is told.
+     * Parses an endpoint's name, which consists of the name of its pool, a slash and the name within the pool, followed
+     * by an at sign and the incarnation if that is specified.
      *
      * @param text The text.
      * @return The name.
@@ -71,7 +71,7 @@
     }
 
     /**
-     * Parses a node's identity, which is its name, an at sign and its incarnation.
+     * Parses a node's identity, which consists of its name, an at sign and its incarnation.
      *
      * @param text The text.
      * @return The identity.
@@ -81,7 +81,7 @@
         return new NodeIdentity(new NodeName(text.substring(0, at)), Long.parseLong(text.substring(at + 1)));
     }
 
-    /** Writes a key of a map as its text. */
+    /** Writes a key of a map as its string representation. */
     private static final class TextKeySerializer extends JsonSerializer<Object> {
 
         /** {@inheritDoc} */
@@ -92,19 +92,19 @@
     }
 
     /**
-     * Reads a value from its text.
+     * Reads a value from its string representation.
      *
      * @param <T> The type of the value.
      */
     private static final class TextDeserializer<T> extends JsonDeserializer<T> {
 
-        /** Makes a value of its text. */
+        /** The parser of the string representation. */
         private final Function<String, T> parser;
 
         /**
          * Creates a new deserializer.
          *
-         * @param parser Makes a value of its text.
+         * @param parser The parser of the string representation.
          */
         TextDeserializer(Function<String, T> parser) {
             this.parser = parser;
@@ -117,16 +117,16 @@
         }
     }
 
-    /** Reads a key of a map from its text. */
+    /** Reads a key of a map from its string representation. */
     private static final class TextKeyDeserializer extends KeyDeserializer {
 
-        /** Makes a value of its text. */
+        /** The parser of the string representation. */
         private final Function<String, ?> parser;
 
         /**
          * Creates a new deserializer.
          *
-         * @param parser Makes a value of its text.
+         * @param parser The parser of the string representation.
          */
         TextKeyDeserializer(Function<String, ?> parser) {
             this.parser = parser;
--- a/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/package-info.java
+++ b/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The protocol between nodes: messages of the decision core as length-framed MessagePack over TCP, and the transport
- * that carries them on one thread.
+ * The protocol between nodes: messages of the decision core as length-prefixed MessagePack over TCP, and the transport
+ * that exchanges them on one thread.
  */
 package io.yuccaswitch.protocol;
--- a/yuccaswitch-protocol/src/test/java/io/yuccaswitch/protocol/FrameDecoderTest.java
+++ b/yuccaswitch-protocol/src/test/java/io/yuccaswitch/protocol/FrameDecoderTest.java
@@ -16,12 +16,12 @@
 
 class FrameDecoderTest {
 
-    private static final int LIMIT = 2000;
+    private static final int MAXIMUM_LENGTH = 2000;
 
     @Property(tries = 300)
-    void framesSurviveAnyCutOfTheStream(
+    void framesAreDecodedFromChunksOfAnySize(
             @ForAll @Size(max = 20) List<@Size(max = 1500) byte[]> payloads,
-            @ForAll @IntRange(min = 1, max = 700) int cut) {
+            @ForAll @IntRange(min = 1, max = 700) int chunkSize) {
         ByteArrayOutputStream stream = new ByteArrayOutputStream();
         List<Frame> expected = new ArrayList<>();
         for (byte[] payload : payloads) {
@@ -29,46 +29,47 @@
             expected.add(new Frame(payload.length, Bytes.wrap(payload)));
         }
 
-        FrameDecoder decoder = new FrameDecoder(LIMIT);
-        assertThat(feed(decoder, stream.toByteArray(), cut)).isEqualTo(expected);
+        FrameDecoder decoder = new FrameDecoder(MAXIMUM_LENGTH);
+        assertThat(feed(decoder, stream.toByteArray(), chunkSize)).isEqualTo(expected);
         assertThat(decoder.violation()).isEmpty();
     }
 
     @Property(tries = 500)
-    void hostileBytesNeitherThrowNorMakeALargeFrame(@ForAll byte[] bytes, @ForAll @IntRange(min = 1, max = 9) int cut) {
-        FrameDecoder decoder = new FrameDecoder(LIMIT);
-        assertThat(feed(decoder, bytes, cut))
-                .allSatisfy(frame -> assertThat(frame.payload().size()).isLessThan(LIMIT));
+    void malformedBytesNeitherThrowNorYieldAnOversizedFrame(
+            @ForAll byte[] bytes, @ForAll @IntRange(min = 1, max = 9) int chunkSize) {
+        FrameDecoder decoder = new FrameDecoder(MAXIMUM_LENGTH);
+        assertThat(feed(decoder, bytes, chunkSize))
+                .allSatisfy(frame -> assertThat(frame.payload().size()).isLessThan(MAXIMUM_LENGTH));
     }
 
     @Test
-    void aFrameThatClaimsToBeTooLongIsRefusedBeforeItArrives() {
-        assertThat(violation(ByteBuffer.allocate(4).putInt(LIMIT + 1))).contains(FrameViolation.OVERSIZED);
-        assertThat(violation(ByteBuffer.allocate(4).putInt(LIMIT))).isEmpty();
+    void aFrameWithAnExcessiveDeclaredLengthIsRejectedBeforeItsBodyArrives() {
+        assertThat(violation(ByteBuffer.allocate(4).putInt(MAXIMUM_LENGTH + 1))).contains(FrameViolation.OVERSIZED);
+        assertThat(violation(ByteBuffer.allocate(4).putInt(MAXIMUM_LENGTH))).isEmpty();
     }
 
     @Test
-    void aFrameThatIsTooShortOrHasANegativeLengthIsRefused() {
+    void aFrameThatIsTooShortOrHasANegativeLengthIsRejected() {
         assertThat(violation(ByteBuffer.allocate(4).putInt(2))).contains(FrameViolation.MALFORMED);
         assertThat(violation(ByteBuffer.allocate(4).putInt(-1))).contains(FrameViolation.MALFORMED);
     }
 
     @Test
-    void anUnknownVersionIsRefused() {
+    void anUnknownVersionIsRejected() {
         assertThat(violation(ByteBuffer.allocate(5).putInt(10).put((byte) 2))).contains(FrameViolation.UNKNOWN_VERSION);
     }
 
     private static Optional<FrameViolation> violation(ByteBuffer bytes) {
-        FrameDecoder decoder = new FrameDecoder(LIMIT);
+        FrameDecoder decoder = new FrameDecoder(MAXIMUM_LENGTH);
         decoder.append(bytes.flip());
         assertThat(decoder.next()).isEmpty();
         return decoder.violation();
     }
 
-    private static List<Frame> feed(FrameDecoder decoder, byte[] bytes, int cut) {
+    private static List<Frame> feed(FrameDecoder decoder, byte[] bytes, int chunkSize) {
         List<Frame> frames = new ArrayList<>();
-        for (int i = 0; i < bytes.length; i += cut) {
-            decoder.append(ByteBuffer.wrap(bytes, i, Math.min(cut, bytes.length - i)));
+        for (int i = 0; i < bytes.length; i += chunkSize) {
+            decoder.append(ByteBuffer.wrap(bytes, i, Math.min(chunkSize, bytes.length - i)));
             Optional<Frame> frame = decoder.next();
             while (frame.isPresent()) {
                 frames.add(frame.get());
--- a/yuccaswitch-protocol/src/test/java/io/yuccaswitch/protocol/PeerMessageCodecTest.java
+++ b/yuccaswitch-protocol/src/test/java/io/yuccaswitch/protocol/PeerMessageCodecTest.java
@@ -23,15 +23,15 @@
 class PeerMessageCodecTest {
 
     private static final PeerMessageRegistry REGISTRY = PeerMessageRegistry.builder()
-            .register(PeerMessageRange.REQUEST, 40, Everything.class)
+            .register(PeerMessageRange.REQUEST, 40, AllTypes.class)
             .register(PeerMessageRange.REQUEST, 41, Empty.class)
             .build();
 
     private final PeerMessageCodec codec = new PeerMessageCodec(REGISTRY, 100_000);
 
     @Test
-    void everyKindOfValueSurvivesTheWire() {
-        Everything message = everything(Bytes.wrap(new byte[] {0, 1, -1}));
+    void everyTypeOfValueIsEncodedAndDecoded() {
+        AllTypes message = allTypes(Bytes.wrap(new byte[] {0, 1, -1}));
 
         assertThat(roundTrip(message)).contains(message);
         assertThat(roundTrip(new Empty())).contains(new Empty());
@@ -39,66 +39,66 @@
 
     @Test
     void anOversizedMessageIsNotEncoded() {
-        assertThat(codec.encode(everything(Bytes.wrap(new byte[100_001])))).isEmpty();
+        assertThat(codec.encode(allTypes(Bytes.wrap(new byte[100_001])))).isEmpty();
     }
 
     @Test
-    void aComponentThatAnOlderPeerDoesNotSendIsItsNullObject() {
+    void aComponentThatAnOlderPeerOmitsIsDecodedAsZeroOrEmpty() {
         PeerMessageCodec older = new PeerMessageCodec(
                 PeerMessageRegistry.builder()
-                        .register(PeerMessageRange.REQUEST, 42, Brief.class)
+                        .register(PeerMessageRange.REQUEST, 42, OldVersion.class)
                         .build(),
                 1000);
         PeerMessageCodec newer = new PeerMessageCodec(
                 PeerMessageRegistry.builder()
-                        .register(PeerMessageRange.REQUEST, 42, Longer.class)
+                        .register(PeerMessageRange.REQUEST, 42, NewVersion.class)
                         .build(),
                 1000);
 
-        assertThat(newer.decode(frame(older.encode(new Brief(7)).orElseThrow())))
-                .contains(new Longer(7, 0, Optional.empty()));
-        assertThat(older.decode(
-                        frame(newer.encode(new Longer(7, 8, Optional.of("x"))).orElseThrow())))
-                .contains(new Brief(7));
+        assertThat(newer.decode(frame(older.encode(new OldVersion(7)).orElseThrow())))
+                .contains(new NewVersion(7, 0, Optional.empty()));
+        assertThat(older.decode(frame(
+                        newer.encode(new NewVersion(7, 8, Optional.of("x"))).orElseThrow())))
+                .contains(new OldVersion(7));
     }
 
     @Test
-    void aMessageThatLacksAValueIsNone() {
-        byte[] nothing = new byte[] {(byte) 0x99, -64, -64, -64, -64, -64, -64, -64, -64, -64};
-        byte[] listOfNothing = new byte[] {(byte) 0x91, (byte) 0x91, (byte) 0xC0};
+    void aMessageThatLacksARequiredValueIsRejected() {
+        byte[] nils = new byte[] {(byte) 0x99, -64, -64, -64, -64, -64, -64, -64, -64, -64};
+        byte[] listOfNil = new byte[] {(byte) 0x91, (byte) 0x91, (byte) 0xC0};
         PeerMessageCodec lists = new PeerMessageCodec(
                 PeerMessageRegistry.builder()
                         .register(PeerMessageRange.REQUEST, 43, Names.class)
                         .build(),
                 1000);
 
-        assertThat(codec.decode(new Frame(40, Bytes.wrap(nothing)))).isEmpty();
+        assertThat(codec.decode(new Frame(40, Bytes.wrap(nils)))).isEmpty();
         assertThat(codec.decode(new Frame(40, Bytes.wrap(new byte[] {(byte) 0x90}))))
                 .isEmpty();
-        assertThat(lists.decode(new Frame(43, Bytes.wrap(listOfNothing)))).isEmpty();
+        assertThat(lists.decode(new Frame(43, Bytes.wrap(listOfNil)))).isEmpty();
     }
 
     @Test
-    void aNumberIsNeverGivenTwice() {
+    void aDuplicateOrOutOfRangeNumberIsRejected() {
         PeerMessageRegistry.Builder builder =
-                PeerMessageRegistry.builder().register(PeerMessageRange.SAMPLE, 60, Brief.class);
+                PeerMessageRegistry.builder().register(PeerMessageRange.SAMPLE, 60, OldVersion.class);
 
-        assertThatThrownBy(() -> builder.register(PeerMessageRange.SAMPLE, 60, Longer.class))
+        assertThatThrownBy(() -> builder.register(PeerMessageRange.SAMPLE, 60, NewVersion.class))
                 .isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> builder.register(PeerMessageRange.SAMPLE, 59, Longer.class))
+        assertThatThrownBy(() -> builder.register(PeerMessageRange.SAMPLE, 59, NewVersion.class))
                 .isInstanceOf(IllegalArgumentException.class);
     }
 
     @Property(tries = 500)
-    void hostilePayloadsAreNoMessagesAndThrowNothing(@ForAll byte[] payload) {
+    void malformedPayloadsAreRejectedWithoutAnException(@ForAll byte[] payload) {
         codec.decode(new Frame(40, Bytes.wrap(payload)));
         codec.decodeGreeting(new Frame(Greeting.NUMBER, Bytes.wrap(payload)));
         assertThat(codec.decode(new Frame(99, Bytes.wrap(payload)))).isEmpty();
     }
 
     @Property(tries = 300)
-    void aDamagedMessageThrowsNothing(@ForAll byte damage, @ForAll int position) {
-        byte[] frame = codec.encode(everything(Bytes.ofUtf8("content")))
+    void aCorruptedMessageDoesNotThrow(@ForAll byte damage, @ForAll int position) {
+        byte[] frame = codec.encode(allTypes(Bytes.ofUtf8("content")))
                 .orElseThrow()
                 .unsafeArray()
                 .clone();
@@ -116,10 +116,10 @@
         return Frame.decode(buffer.slice());
     }
 
-    private static Everything everything(Bytes bytes) {
+    private static AllTypes allTypes(Bytes bytes) {
         NodeName node = new NodeName("vm-1");
         EndpointName endpoint = new EndpointName(new PoolName("matcher-lm"), "e1", 1796257057572L);
-        return new Everything(
+        return new AllTypes(
                 new NodeIdentity(node, 17),
                 Optional.of(endpoint),
                 Optional.empty(),
@@ -131,7 +131,7 @@
                 bytes);
     }
 
-    record Everything(
+    record AllTypes(
             NodeIdentity identity,
             Optional<EndpointName> endpoint,
             Optional<String> nothing,
@@ -152,9 +152,9 @@
 
     record Empty() implements PeerMessage {}
 
-    record Brief(long first) implements PeerMessage {}
+    record OldVersion(long first) implements PeerMessage {}
 
-    record Longer(long first, long second, Optional<String> third) implements PeerMessage {}
+    record NewVersion(long first, long second, Optional<String> third) implements PeerMessage {}
 
     sealed interface Shape {
         record Circle(double radius) implements Shape {}
--- a/yuccaswitch-protocol/src/test/java/io/yuccaswitch/protocol/PeerTransportTest.java
+++ b/yuccaswitch-protocol/src/test/java/io/yuccaswitch/protocol/PeerTransportTest.java
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void aMessageOfMegabytesArrivesWhole() {
+    void aMessageOfSevenMegabytesArrivesComplete() {
         Node a = node("a", 1);
         Node b = node("b", 1);
         String text = "x".repeat(7_000_000);
@@ -74,14 +74,14 @@
     }
 
     @Test
-    void aMessageToItselfIsReceived() {
+    void aNodeReceivesAMessageToItself() {
         Node a = node("a", 1);
         a.send("a", "self");
         await().until(() -> a.received.size() == 1);
     }
 
     @Test
-    void aMessageToAnAddressReachesWhoeverListensThere() {
+    void aMessageToAnAddressReachesTheNodeThatListensThere() {
         Node a = node("a", 1);
         Node b = node("b", 1);
         a.transport.carryOut(new PeerEffect.SendToAddress(
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void aMessageForANodeWhoseAddressPassedToAnotherIsUndeliverable() {
+    void aMessageForANodeWhoseAddressNowBelongsToAnotherNodeIsUndeliverable() {
         Node a = node("a", 1);
         Node b = node("b", 1);
         addresses.put(new NodeName("c"), b.transport.localAddress());
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void aConnectionThatGoesSilentForGoodIsReplacedWithinSeconds() throws IOException {
+    void aConnectionThatSilentlyFailsIsReplacedWithinSeconds() throws IOException {
         Node a = node("a", 1);
         Node b = node("b", 1);
         try (SilencingRelay relay = new SilencingRelay(b.transport.localAddress())) {
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void aConnectionWithoutTrafficIsNotReplaced() throws IOException, InterruptedException {
+    void aConnectionWithoutTrafficIsReused() throws IOException, InterruptedException {
         Node a = node("a", 1);
         Node b = node("b", 1);
         try (SilencingRelay relay = new SilencingRelay(b.transport.localAddress())) {
@@ -134,14 +134,14 @@
     }
 
     @Test
-    void messagesToANodeThatDoesNotListenAreUndeliverableAndLaterOnesArriveOnceItDoes() throws IOException {
+    void messagesToANodeThatDoesNotListenAreUndeliverableUntilItListens() throws IOException {
         Node a = node("a", 1);
-        InetSocketAddress free = free();
-        addresses.put(new NodeName("b"), free);
+        InetSocketAddress unusedAddress = unusedAddress();
+        addresses.put(new NodeName("b"), unusedAddress);
         a.send("b", "lost");
         await().until(() -> a.undeliverable.size() == 1);
 
-        Node b = node("b", 1, settings -> at(settings, free));
+        Node b = node("b", 1, settings -> withAddress(settings, unusedAddress));
         await().until(() -> {
             a.send("b", "again");
             return !b.received.isEmpty();
@@ -150,7 +150,7 @@
     }
 
     @Test
-    void aRestartedNodeIsReachedAgain() {
+    void aRestartedNodeReceivesMessages() {
         Node a = node("a", 1);
         Node b = node("b", 1);
         a.send("b", "first");
@@ -163,15 +163,15 @@
             again.ifPresent(nodes::add);
             return again.isPresent();
         });
-        Node reborn = nodes.get(nodes.size() - 1);
+        Node restarted = nodes.get(nodes.size() - 1);
         await().until(() -> {
             a.send("b", "second");
-            return !reborn.received.isEmpty();
+            return !restarted.received.isEmpty();
         });
     }
 
     @Test
-    void aNewIdentityIsGreetedWith() {
+    void aNewIdentityIsSentInTheGreeting() {
         Node a = node("a", 1);
         Node b = node("b", 1);
         a.send("b", "old");
@@ -183,10 +183,10 @@
     }
 
     @Test
-    void aPeerWithAnotherTokenOrSiteIsCutOff() {
+    void aPeerWithAnotherTokenOrSiteIsDisconnected() {
         Node b = node("b", 1);
-        Node stranger = node("s", 1, settings -> with(settings, "padma", "wrong"));
-        Node elsewhere = node("e", 1, settings -> with(settings, "isomero", "secret"));
+        Node stranger = node("s", 1, settings -> withSiteAndToken(settings, "padma", "wrong"));
+        Node elsewhere = node("e", 1, settings -> withSiteAndToken(settings, "isomero", "secret"));
         stranger.send("b", "let me in");
         elsewhere.send("b", "let me in");
 
@@ -196,14 +196,16 @@
     }
 
     @Test
-    void rubbishIsCutOffAndOthersGoOn() throws IOException {
+    void aPeerThatSendsMalformedBytesIsDisconnectedAndOthersAreNotAffected() throws IOException {
         Node a = node("a", 1);
         Node b = node("b", 1);
-        assertThat(isCutOff(b, "GET / HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII)))
+        assertThat(isDisconnectedAfter(b, "GET / HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII)))
                 .isTrue();
-        assertThat(isCutOff(b, ByteBuffer.allocate(5).putInt(100).put((byte) 9).array()))
+        assertThat(isDisconnectedAfter(
+                        b, ByteBuffer.allocate(5).putInt(100).put((byte) 9).array()))
+                .isTrue();
+        assertThat(isDisconnectedAfter(b, Frame.encode(40, new byte[10]).unsafeArray()))
                 .isTrue();
-        assertThat(isCutOff(b, Frame.encode(40, new byte[10]).unsafeArray())).isTrue();
         assertThat(b.counter("peer.cut-off.oversized") + b.counter("peer.cut-off.unknown-version"))
                 .isEqualTo(2);
         assertThat(b.counter("peer.cut-off.unwelcome")).isEqualTo(1);
@@ -213,7 +215,7 @@
     }
 
     @Test
-    void aGreetedPeerThatSendsAnUndecodableMessageIsCutOffAndAnUnknownTypeIsSkipped() throws IOException {
+    void anUndecodableMessageDisconnectsAnAuthenticatedPeerAndAnUnknownTypeIsSkipped() throws IOException {
         Node b = node("b", 1);
         PeerMessageCodec codec = new PeerMessageCodec(REGISTRY, 1000);
         byte[] greeting = codec.encode(new Greeting(new NodeIdentity(new NodeName("x"), 1), "padma", "secret"))
@@ -222,23 +224,24 @@
         byte[] known = codec.encode(new Text("known")).orElseThrow().unsafeArray();
         byte[] broken = Frame.encode(40, new byte[] {(byte) 0xC1}).unsafeArray();
 
-        assertThat(isCutOff(b, concat(greeting, unknown, known, broken))).isTrue();
+        assertThat(isDisconnectedAfter(b, concat(greeting, unknown, known, broken)))
+                .isTrue();
         assertThat(b.received).hasSize(1);
         assertThat(b.counter("peer.messages.unknown-type")).isEqualTo(1);
         assertThat(b.counter("peer.cut-off.malformed")).isEqualTo(1);
     }
 
     @Test
-    void aPeerThatNeverGreetsIsCutOff() throws IOException {
-        Node b = node("b", 1, PeerTransportTest::fast);
-        assertThat(isCutOff(b, new byte[0])).isTrue();
+    void aPeerThatNeverGreetsIsDisconnected() throws IOException {
+        Node b = node("b", 1, PeerTransportTest::withShortTimeouts);
+        assertThat(isDisconnectedAfter(b, new byte[0])).isTrue();
         assertThat(b.counter("peer.cut-off.unwelcome")).isEqualTo(1);
     }
 
     @Test
-    void anIdleConnectionIsClosedAndMadeAnewWhenNeeded() {
-        Node a = node("a", 1, PeerTransportTest::fast);
-        Node b = node("b", 1, PeerTransportTest::fast);
+    void anIdleConnectionIsClosedAndReopenedWhenNeeded() {
+        Node a = node("a", 1, PeerTransportTest::withShortTimeouts);
+        Node b = node("b", 1, PeerTransportTest::withShortTimeouts);
         a.send("b", "first");
         await().until(() -> b.received.size() == 1);
         await().until(() -> a.counter("peer.connections") == 0 && b.counter("peer.connections") == 0);
@@ -247,9 +250,9 @@
     }
 
     @Test
-    void aPeerThatDoesNotReadLosesTheOldestMessagesAndIsGivenUp() throws IOException {
+    void forAPeerThatDoesNotReadTheOldestMessagesAreDroppedAndTheConnectionFails() throws IOException {
         try (ServerSocket silent = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            Node a = node("a", 1, PeerTransportTest::small);
+            Node a = node("a", 1, PeerTransportTest::withSmallQueue);
             addresses.put(new NodeName("b"), (InetSocketAddress) silent.getLocalSocketAddress());
             for (int i = 0; i < 20; i++) {
                 a.send("b", "message " + i);
@@ -260,7 +263,7 @@
         }
     }
 
-    private static boolean isCutOff(Node node, byte[] bytes) throws IOException {
+    private static boolean isDisconnectedAfter(Node node, byte[] bytes) throws IOException {
         try (Socket socket = new Socket(
                 node.transport.localAddress().getAddress(),
                 node.transport.localAddress().getPort())) {
@@ -283,8 +286,10 @@
         return all.toByteArray();
     }
 
-    /** Returns an address at an IP that outgoing connections don't have, so none takes its port before a node does. */
-    private static InetSocketAddress free() throws IOException {
+    /**
+     * Returns an address with an IP that outgoing connections do not use, so none takes its port before a node does.
+     */
+    private static InetSocketAddress unusedAddress() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.2"))) {
             return (InetSocketAddress) socket.getLocalSocketAddress();
         }
@@ -309,23 +314,24 @@
         }
     }
 
-    private static PeerTransportSettings at(PeerTransportSettings settings, InetSocketAddress address) {
+    private static PeerTransportSettings withAddress(PeerTransportSettings settings, InetSocketAddress address) {
         return PeerTransportSettings.of(address, settings.site(), settings.token());
     }
 
-    private static PeerTransportSettings with(PeerTransportSettings settings, String site, String token) {
+    private static PeerTransportSettings withSiteAndToken(PeerTransportSettings settings, String site, String token) {
         return PeerTransportSettings.of(settings.bindAddress(), site, token);
     }
 
-    private static PeerTransportSettings fast(PeerTransportSettings settings) {
-        return limited(settings, settings.queuedMessages(), Duration.ofMillis(200));
+    private static PeerTransportSettings withShortTimeouts(PeerTransportSettings settings) {
+        return withQueueAndTimeouts(settings, settings.queuedMessages(), Duration.ofMillis(200));
     }
 
-    private static PeerTransportSettings small(PeerTransportSettings settings) {
-        return limited(settings, 8, Duration.ofSeconds(1));
+    private static PeerTransportSettings withSmallQueue(PeerTransportSettings settings) {
+        return withQueueAndTimeouts(settings, 8, Duration.ofSeconds(1));
     }
 
-    private static PeerTransportSettings limited(PeerTransportSettings settings, int messages, Duration timeout) {
+    private static PeerTransportSettings withQueueAndTimeouts(
+            PeerTransportSettings settings, int messages, Duration timeout) {
         return new PeerTransportSettings(
                 settings.bindAddress(),
                 settings.site(),
@@ -336,8 +342,8 @@
                 timeout,
                 timeout,
                 timeout,
-                settings.initialBackOff(),
-                settings.maximumBackOff());
+                settings.initialBackoff(),
+                settings.maximumBackoff());
     }
 
     record Text(String text) implements PeerMessage {}
@@ -356,13 +362,13 @@
                     REGISTRY,
                     new NodeIdentity(own, incarnation),
                     node -> Optional.ofNullable(addresses.get(node)),
-                    this::take,
+                    this::onEvent,
                     metrics);
             addresses.put(own, transport.localAddress());
             transport.start();
         }
 
-        private void take(Event event) {
+        private void onEvent(Event event) {
             if (event instanceof PeerEvent.Received message) {
                 received.add(message);
             } else if (event instanceof PeerEvent.Undeliverable message) {
--- a/yuccaswitch-protocol/src/test/java/io/yuccaswitch/protocol/RequestMessageCodecTest.java
+++ b/yuccaswitch-protocol/src/test/java/io/yuccaswitch/protocol/RequestMessageCodecTest.java
@@ -77,7 +77,7 @@
 
     @ParameterizedTest
     @MethodSource("messages")
-    void everyMessageSurvivesTheWire(RequestMessage message) {
+    void everyMessageIsEncodedAndDecoded(RequestMessage message) {
         ByteBuffer encoded = ByteBuffer.wrap(codec.encode(message).orElseThrow().unsafeArray());
         encoded.getInt();
 
--- a/yuccaswitch-protocol/src/test/java/io/yuccaswitch/protocol/SilencingRelay.java
+++ b/yuccaswitch-protocol/src/test/java/io/yuccaswitch/protocol/SilencingRelay.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Passes connections on to a target, and lets those that are open fall silent without closing them. */
+/** A TCP relay to a target that can stop forwarding on its open connections without closing them. */
 final class SilencingRelay implements AutoCloseable {
 
     private final ServerSocket server = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
@@ -20,19 +20,19 @@
 
     SilencingRelay(InetSocketAddress target) throws IOException {
         this.target = target;
-        daemon(this::accept);
+        startDaemon(this::accept);
     }
 
     InetSocketAddress address() {
         return new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
     }
 
-    /** Returns the number of bytes that the target has sent behind the first read of each connection. */
+    /** Returns the number of bytes that the target has sent after the first read of each connection. */
     long answeredBytes() {
         return answered.get();
     }
 
-    /** Returns the number of connections that were made. */
+    /** Returns the number of accepted connections. */
     int connections() {
         return links.size();
     }
@@ -45,26 +45,26 @@
     public void close() throws IOException {
         server.close();
         for (Link link : links) {
-            link.near.close();
-            link.far.close();
+            link.clientSocket.close();
+            link.targetSocket.close();
         }
     }
 
     private void accept() {
         try {
             while (true) {
-                Socket near = server.accept();
-                Link link = new Link(near, new Socket(target.getAddress(), target.getPort()));
+                Socket clientSocket = server.accept();
+                Link link = new Link(clientSocket, new Socket(target.getAddress(), target.getPort()));
                 links.add(link);
-                daemon(() -> link.pump(link.near, link.far, false));
-                daemon(() -> link.pump(link.far, link.near, true));
+                startDaemon(() -> link.forward(link.clientSocket, link.targetSocket, false));
+                startDaemon(() -> link.forward(link.targetSocket, link.clientSocket, true));
             }
         } catch (IOException _exception) {
             // The relay was closed.
         }
     }
 
-    private static void daemon(Runnable task) {
+    private static void startDaemon(Runnable task) {
         Thread thread = new Thread(task, "relay");
         thread.setDaemon(true);
         thread.start();
@@ -72,16 +72,16 @@
 
     private final class Link {
 
-        private final Socket near;
-        private final Socket far;
+        private final Socket clientSocket;
+        private final Socket targetSocket;
         private volatile boolean silent;
 
-        Link(Socket near, Socket far) {
-            this.near = near;
-            this.far = far;
+        Link(Socket clientSocket, Socket targetSocket) {
+            this.clientSocket = clientSocket;
+            this.targetSocket = targetSocket;
         }
 
-        void pump(Socket from, Socket to, boolean answers) {
+        void forward(Socket from, Socket to, boolean answers) {
             byte[] buffer = new byte[8192];
             boolean first = true;
             try {
