--- a/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/Attempt.java
+++ b/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/Attempt.java
@@ -5,7 +5,7 @@
 /**
  * The result of one attempt of a call.
  *
- * @param event The event that answers the call, unless it is repeated.
+ * @param event The event that answers the call, unless the call is repeated.
  * @param outcome The outcome.
  */
 record Attempt(PlatformEvent event, Outcome outcome) {
@@ -14,7 +14,7 @@
      * Creates the result of an attempt without a usable answer.
      *
      * @param token The token of the call.
-     * @param maybeApplied Whether a write may have taken effect all the same.
+     * @param maybeApplied Whether a write may have taken effect nevertheless.
      * @param reason The reason.
      * @param outcome The outcome.
      * @return The result.
--- a/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/BlockingPlatformClient.java
+++ b/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/BlockingPlatformClient.java
@@ -11,9 +11,9 @@
 import java.util.function.Predicate;
 
 /**
- * A client that waits for each answer on the caller's thread, for the command line and for tests. A node must never use
- * it. It has the rates, repetitions and outcomes of {@link PlatformClient}, and closing it ends all its threads, such
- * that a command can end.
+ * A client that blocks the calling thread until each answer arrives, for the command line and for tests. A node must
+ * never use it. It has the same rate limits, retries and outcomes as {@link PlatformClient}. Closing it stops all its
+ * threads, so that the process of a command can exit.
  */
 public final class BlockingPlatformClient implements AutoCloseable {
 
@@ -27,7 +27,7 @@
     private final AtomicLong token = new AtomicLong();
 
     /**
-     * Creates a client, which does not connect before the first call.
+     * Creates a client, which connects on the first call.
      *
      * @param settings The settings.
      * @param purpose The purpose of all calls.
@@ -38,7 +38,7 @@
     }
 
     /**
-     * Makes any call.
+     * Makes a call.
      *
      * @param effect The call.
      * @return The event that answers it.
@@ -68,10 +68,10 @@
     }
 
     /**
-     * Waits once for changes of a kind.
+     * Waits once for changes to objects of a kind.
      *
      * @param kind The kind.
-     * @param afterVersion The version after which changes count.
+     * @param afterVersion The version after which changes are returned.
      * @return {@link PlatformEvent.ObjectsListed} or {@link PlatformEvent.Unavailable}.
      */
     public PlatformEvent watch(String kind, long afterVersion) {
@@ -79,17 +79,17 @@
     }
 
     /**
-     * Writes an object and settles the write if its answer is lost.
+     * Writes an object, and determines whether the write took effect if its answer is lost.
      *
      * @param key The object's key.
      * @param expectedVersion The version that the object must have, or empty if it must not exist.
-     * @param value The value to write, which contains an identifier that no other write ever uses.
-     * @param bearsIdentifier Recognises a value that bears the identifier.
+     * @param value The value to write, which must contain an identifier that no other write uses.
+     * @param hasIdentifier Tests whether a value contains the identifier.
      * @return The outcome.
      */
     public SettledWrite.Outcome write(
-            ObjectKey key, OptionalLong expectedVersion, Bytes value, Predicate<Bytes> bearsIdentifier) {
-        return new SettledWrite(client, purpose, key, expectedVersion, value, bearsIdentifier)
+            ObjectKey key, OptionalLong expectedVersion, Bytes value, Predicate<Bytes> hasIdentifier) {
+        return new SettledWrite(client, purpose, key, expectedVersion, value, hasIdentifier)
                 .execute()
                 .blockingGet();
     }
--- a/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/CallBudget.java
+++ b/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/CallBudget.java
@@ -7,22 +7,22 @@
 import java.util.function.LongSupplier;
 
 /**
- * The calls that one client may make now. Writes and reads have a bucket each. Leases and configuration go first: the
- * other purposes leave a reserve to them, and none of the others takes more than its share. Leases and configuration
- * together leave a share to the others, such that a fault in one of them can't stop all else.
+ * The rate limits of one client. Writes and reads have separate buckets. Leases and configuration have priority: the
+ * other purposes leave a reserve to them, and each of the others is limited to its share. Leases and configuration
+ * together leave a share to the others, so that a fault in one of them cannot block all other calls.
  */
 final class CallBudget {
 
-    /** The purposes that go first. */
+    /** The purposes with priority. */
     private static final Set<PlatformPurpose> URGENT = Set.of(PlatformPurpose.LEASE, PlatformPurpose.CONFIGURATION);
 
-    /** The share of a bucket that only the urgent purposes may use. */
+    /** The share of a bucket's capacity that is reserved for the urgent purposes. */
     private static final double URGENT_RESERVE = 0.3;
 
-    /** The share of the rate that the urgent purposes together may use at most. */
+    /** The maximum share of the rate for all urgent purposes together. */
     private static final double URGENT_SHARE = 0.8;
 
-    /** The share of the rate that each of the other purposes may use at most. */
+    /** The maximum share of the rate for each of the other purposes. */
     private static final double PURPOSE_SHARE = 0.5;
 
     /** The monotonic clock in nanoseconds. */
@@ -57,7 +57,7 @@
     }
 
     /**
-     * Takes one call's worth.
+     * Takes a token for one call if the limits allow it.
      *
      * @param purpose The purpose of the call.
      * @param changing Whether the call is a write or deletion.
@@ -67,7 +67,7 @@
         return (changing ? writes : reads).tryAcquire(purpose, clock.getAsLong());
     }
 
-    /** Drops what was saved except for the reserve, such that the next calls come at the steady rate. */
+    /** Discards the saved tokens above the reserve, so that the next ordinary calls are limited to the steady rate. */
     synchronized void drain() {
         long now = clock.getAsLong();
         writes.total.drain(URGENT_RESERVE, now);
@@ -80,14 +80,14 @@
         /** The bucket that all purposes share. */
         private final TokenBucket total;
 
-        /** The buckets that limit the purposes, of which the urgent ones have one together. */
+        /** The buckets that limit the purposes. The urgent purposes share one. */
         private final Map<PlatformPurpose, TokenBucket> shares = new EnumMap<>(PlatformPurpose.class);
 
         /**
          * Creates full buckets.
          *
          * @param perSecond The rate of all purposes together.
-         * @param now The time in nanoseconds.
+         * @param now The monotonic time in nanoseconds.
          */
         private Buckets(double perSecond, long now) {
             total = new TokenBucket(perSecond, now);
@@ -102,7 +102,7 @@
          * Changes the rate.
          *
          * @param perSecond The rate of all purposes together.
-         * @param now The time in nanoseconds.
+         * @param now The monotonic time in nanoseconds.
          */
         private void changeRate(double perSecond, long now) {
             total.changeRate(perSecond, now);
@@ -111,16 +111,16 @@
         }
 
         /**
-         * Takes one call's worth.
+         * Takes a token for one call if the limits allow it.
          *
          * @param purpose The purpose of the call.
-         * @param now The time in nanoseconds.
+         * @param now The monotonic time in nanoseconds.
          * @return {@code true} if the call may be made.
          */
         private boolean tryAcquire(PlatformPurpose purpose, long now) {
             TokenBucket share = shares.get(purpose);
             double reserve = URGENT.contains(purpose) ? 0 : URGENT_RESERVE;
-            if (!total.has(reserve, now) || !share.has(0, now)) {
+            if (!total.hasToken(reserve, now) || !share.hasToken(0, now)) {
                 return false;
             }
             share.take();
--- a/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/CallMetrics.java
+++ b/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/CallMetrics.java
@@ -12,13 +12,13 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.LongSupplier;
 
-/** The metrics of the client: calls by purpose and outcome, their durations, and when the platform last answered. */
+/** The metrics of the client: calls by purpose and outcome, their latencies, and the time since the last answer. */
 final class CallMetrics {
 
-    /** The first part of all names. */
+    /** The prefix of all metric names. */
     private static final String PREFIX = "platform";
 
-    /** The value of the gauge while the platform has never answered. */
+    /** The value of the gauge if the platform has never answered. */
     private static final long NEVER = -1;
 
     /** The registry. */
@@ -27,28 +27,28 @@
     /** The monotonic clock in nanoseconds. */
     private final LongSupplier clock;
 
-    /** The time in nanoseconds at which the platform last answered. */
-    private final AtomicReference<Optional<Long>> heardAt = new AtomicReference<>(Optional.empty());
+    /** The monotonic time in nanoseconds at which the platform last answered. */
+    private final AtomicReference<Optional<Long>> lastAnswerAt = new AtomicReference<>(Optional.empty());
 
     /**
      * Creates the metrics.
      *
-     * @param registry The registry to fill.
+     * @param registry The registry to add the metrics to.
      * @param clock The monotonic clock in nanoseconds.
      */
     CallMetrics(MetricRegistry registry, LongSupplier clock) {
         this.registry = registry;
         this.clock = clock;
-        Gauge<Long> gauge = () -> sinceHeard().map(Duration::toMillis).orElse(NEVER);
+        Gauge<Long> gauge = () -> timeSinceLastAnswer().map(Duration::toMillis).orElse(NEVER);
         registry.gauge(MetricRegistry.name(PREFIX, "since-heard-millis"), () -> gauge);
     }
 
     /**
-     * Adds the gauge of the circuit, which is one while it is open.
+     * Registers the gauge of the circuit, whose value is one while the circuit is open and zero otherwise.
      *
      * @param circuit The circuit.
      */
-    void observe(Circuit circuit) {
+    void registerCircuitGauge(Circuit circuit) {
         Gauge<Integer> gauge = () -> circuit.isOpen() ? 1 : 0;
         registry.gauge(MetricRegistry.name(PREFIX, "circuit-open"), () -> gauge);
     }
@@ -68,9 +68,9 @@
     }
 
     /**
-     * Returns the numbers of attempts that were sent.
+     * Returns the number of sent attempts for each purpose.
      *
-     * @return The numbers by the purposes of the calls, without those of which none was sent.
+     * @return The number of attempts by purpose, without purposes that have none.
      */
     Map<PlatformPurpose, Long> sent() {
         Map<PlatformPurpose, Long> numbers = new EnumMap<>(PlatformPurpose.class);
@@ -85,27 +85,28 @@
     }
 
     /**
-     * Counts an outcome.
+     * Counts the outcome of an attempt.
      *
      * @param purpose The purpose.
      * @param outcome The outcome.
      */
-    void finished(PlatformPurpose purpose, Outcome outcome) {
+    void recordOutcome(PlatformPurpose purpose, Outcome outcome) {
         registry.counter(MetricRegistry.name(PREFIX, "calls", label(purpose), outcome.label()))
                 .inc();
     }
 
     /**
-     * Notes an answer of the platform.
+     * Records an answer of the platform.
      *
      * @param purpose The purpose of the call.
-     * @param sentAt The time in nanoseconds at which the call was sent.
-     * @param timed Whether the call's duration tells how fast the platform is, which is not so for watches.
+     * @param sentAt The monotonic time in nanoseconds at which the call was sent.
+     * @param recordsLatency Whether to record the latency. That of a watch is not meaningful, since it waits for
+     *     changes.
      */
-    void heard(PlatformPurpose purpose, long sentAt, boolean timed) {
+    void recordAnswer(PlatformPurpose purpose, long sentAt, boolean recordsLatency) {
         long now = clock.getAsLong();
-        heardAt.set(Optional.of(now));
-        if (timed) {
+        lastAnswerAt.set(Optional.of(now));
+        if (recordsLatency) {
             registry.timer(MetricRegistry.name(PREFIX, "latency", label(purpose)))
                     .update(now - sentAt, TimeUnit.NANOSECONDS);
         }
@@ -116,8 +117,8 @@
      *
      * @return The time, or empty if it never answered.
      */
-    Optional<Duration> sinceHeard() {
-        return heardAt.get().map(time -> Duration.ofNanos(clock.getAsLong() - time));
+    Optional<Duration> timeSinceLastAnswer() {
+        return lastAnswerAt.get().map(time -> Duration.ofNanos(clock.getAsLong() - time));
     }
 
     /**
--- a/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/Circuit.java
+++ b/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/Circuit.java
@@ -5,97 +5,102 @@
 import java.util.function.LongSupplier;
 
 /**
- * Keeps calls from a platform that fails. After a few failures in a row the circuit opens, and calls are refused
- * without being sent. After a random wait one call is let through as a probe. Its success closes the circuit, and its
- * failure starts a longer wait. A call for a lease waits less long than others: few nodes hold leases, and a lease
- * would lapse.
+ * A circuit breaker that stops calls to a failing platform. After several consecutive failures the circuit opens, and
+ * calls are rejected without being sent. After a random delay one call is admitted as a probe. Its success closes the
+ * circuit, and its failure starts a longer delay. The delay is shorter for lease calls than for others: few nodes hold
+ * leases, and a lease would expire.
  */
 final class Circuit {
 
     /** The monotonic clock in nanoseconds. */
     private final LongSupplier clock;
 
-    /** The number of failures in a row after which the circuit opens. */
-    private final int threshold;
+    /** The number of consecutive failures after which the circuit opens. */
+    private final int failureThreshold;
 
-    /** The waits before probes. */
+    /** The backoff before probes. */
     private final FullJitterBackoff backoff;
 
-    /** The waits before probes that are made for leases. */
+    /** The backoff before probes for leases. */
     private final FullJitterBackoff leaseBackoff;
 
-    /** What to do when the circuit closes. */
+    /** The callback to run when the circuit closes. */
     private final Runnable onClose;
 
-    /** The failures in a row while the circuit is closed. */
-    private int failures;
+    /** The number of consecutive failures while the circuit is closed. */
+    private int consecutiveFailures;
 
-    /** The openings and failed probes in a row, zero while the circuit is closed. */
-    private int openings;
+    /** The number of consecutive openings and failed probes, which is zero while the circuit is closed. */
+    private int consecutiveOpenings;
 
-    /** The time in nanoseconds from which a probe is let through. */
+    /** The monotonic time in nanoseconds from which a probe is admitted. */
     private long probeAt;
 
-    /** The time in nanoseconds from which a probe for a lease is let through. */
+    /** The monotonic time in nanoseconds from which a probe for a lease is admitted. */
     private long leaseProbeAt;
 
-    /** Whether a probe is on its way. */
-    private boolean probing;
+    /** Whether a probe is in flight. */
+    private boolean probeInFlight;
 
     /**
      * Creates a closed circuit.
      *
-     * @param threshold The number of failures in a row after which the circuit opens.
-     * @param backoff The waits before probes.
-     * @param maximumLeaseWait The largest bound of the waits before probes that are made for leases.
+     * @param failureThreshold The number of consecutive failures after which the circuit opens.
+     * @param backoff The backoff before probes.
+     * @param maximumLeaseDelay The maximum bound of the delay before a probe for a lease.
      * @param clock The monotonic clock in nanoseconds.
-     * @param onClose What to do when the circuit closes.
+     * @param onClose The callback to run when the circuit closes.
      */
-    Circuit(int threshold, FullJitterBackoff backoff, Duration maximumLeaseWait, LongSupplier clock, Runnable onClose) {
-        this.threshold = threshold;
+    Circuit(
+            int failureThreshold,
+            FullJitterBackoff backoff,
+            Duration maximumLeaseDelay,
+            LongSupplier clock,
+            Runnable onClose) {
+        this.failureThreshold = failureThreshold;
         this.backoff = backoff;
-        leaseBackoff = backoff.withMaximum(maximumLeaseWait);
+        leaseBackoff = backoff.withMaximumBound(maximumLeaseDelay);
         this.clock = clock;
         this.onClose = onClose;
     }
 
     /**
-     * Decides whether a call is let through.
+     * Decides whether a call is admitted.
      *
      * @param purpose The purpose of the call.
-     * @return How the call is let through, or that it is not.
+     * @return The admission decision.
      */
     synchronized Admission admit(PlatformPurpose purpose) {
-        if (openings == 0) {
+        if (consecutiveOpenings == 0) {
             return Admission.PASS;
         }
         long allowedAt = purpose == PlatformPurpose.LEASE ? leaseProbeAt : probeAt;
-        if (probing || clock.getAsLong() - allowedAt < 0) {
+        if (probeInFlight || clock.getAsLong() - allowedAt < 0) {
             return Admission.REFUSE;
         }
-        probing = true;
+        probeInFlight = true;
         return Admission.PROBE;
     }
 
     /**
      * Returns whether the circuit is open.
      *
-     * @return {@code true} while calls are refused or a probe is on its way.
+     * @return {@code true} while calls are rejected or a probe is in flight.
      */
     synchronized boolean isOpen() {
-        return openings > 0;
+        return consecutiveOpenings > 0;
     }
 
     /**
-     * Returns the time until a probe that is not made for a lease may be let through.
+     * Returns the time until a probe for a purpose other than leases may be admitted.
      *
-     * @return The time, zero if the circuit is closed or a probe may be made now.
+     * @return The time, which is zero if the circuit is closed or a probe is admitted now.
      */
-    synchronized Duration untilProbe() {
-        return openings == 0 ? Duration.ZERO : Duration.ofNanos(Math.max(0, probeAt - clock.getAsLong()));
+    synchronized Duration timeUntilProbe() {
+        return consecutiveOpenings == 0 ? Duration.ZERO : Duration.ofNanos(Math.max(0, probeAt - clock.getAsLong()));
     }
 
-    /** Notes that the platform answered, whatever call it was. */
+    /** Records that the platform answered a call, and closes the circuit if it is open. */
     void succeeded() {
         if (close()) {
             onClose.run();
@@ -103,30 +108,30 @@
     }
 
     /**
-     * Notes that a call failed.
+     * Records that a call failed.
      *
-     * @param admission How the call was let through.
+     * @param admission The admission decision for the call.
      */
     synchronized void failed(Admission admission) {
-        if (openings == 0) {
-            failures++;
-            if (failures >= threshold) {
+        if (consecutiveOpenings == 0) {
+            consecutiveFailures++;
+            if (consecutiveFailures >= failureThreshold) {
                 open();
             }
         } else if (admission == Admission.PROBE) {
-            probing = false;
+            probeInFlight = false;
             open();
         }
     }
 
     /**
-     * Notes that nobody waits for a call any longer, such that its result stays unknown.
+     * Records that a call was abandoned, so that its result is unknown.
      *
-     * @param admission How the call was let through.
+     * @param admission The admission decision for the call.
      */
     synchronized void abandoned(Admission admission) {
         if (admission == Admission.PROBE) {
-            probing = false;
+            probeInFlight = false;
         }
     }
 
@@ -136,27 +141,28 @@
      * @return {@code true} if it was open.
      */
     private synchronized boolean close() {
-        boolean wasOpen = openings > 0;
-        failures = 0;
-        openings = 0;
-        probing = false;
+        boolean wasOpen = consecutiveOpenings > 0;
+        consecutiveFailures = 0;
+        consecutiveOpenings = 0;
+        probeInFlight = false;
         return wasOpen;
     }
 
-    /** Opens the circuit, or keeps it open for a longer wait. */
+    /** Opens the circuit, or keeps it open for a longer delay. */
     private void open() {
-        openings++;
-        double drawn = backoff.random().nextDouble();
+        consecutiveOpenings++;
+        double fraction = backoff.random().nextDouble();
         long now = clock.getAsLong();
-        probeAt = now + backoff.wait(openings, drawn).toNanos();
-        leaseProbeAt = now + leaseBackoff.wait(openings, drawn).toNanos();
+        probeAt = now + backoff.delayAfter(consecutiveOpenings, fraction).toNanos();
+        leaseProbeAt =
+                now + leaseBackoff.delayAfter(consecutiveOpenings, fraction).toNanos();
     }
 
-    /** How a call is let through. */
+    /** The decision whether a call is sent. */
     enum Admission {
-        /** The call is sent as usual. */
+        /** The call is sent normally. */
         PASS,
-        /** The call is sent as the only one while the circuit is open. */
+        /** The call is sent as a probe, while the circuit rejects all other calls. */
         PROBE,
         /** The call is not sent. */
         REFUSE
--- a/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/CircuitSettings.java
+++ b/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/CircuitSettings.java
@@ -3,14 +3,14 @@
 import java.time.Duration;
 
 /**
- * When a client stops calling a platform that fails, and how it finds out that the platform is back.
+ * The settings of the circuit breaker that stops calls to a failing platform and probes whether it has recovered.
  *
- * @param failures The number of failures in a row after which the circuit opens.
- * @param firstWait The bound of the random wait before the first probe.
- * @param maximumWait The largest bound of the random wait before a probe, which doubles with each failed probe.
- * @param maximumLeaseWait The largest bound if the probe is made for a lease, which would lapse otherwise.
+ * @param failures The number of consecutive failures after which the circuit opens.
+ * @param initialDelay The bound of the random delay before the first probe, which doubles with each failed probe.
+ * @param maximumDelay The maximum bound of the random delay before a probe.
+ * @param maximumLeaseDelay The maximum bound for a probe for a lease, which would expire during a longer delay.
  */
-public record CircuitSettings(int failures, Duration firstWait, Duration maximumWait, Duration maximumLeaseWait) {
+public record CircuitSettings(int failures, Duration initialDelay, Duration maximumDelay, Duration maximumLeaseDelay) {
 
     /** The default settings. */
     public static final CircuitSettings DEFAULT =
@@ -19,11 +19,11 @@
     /** Checks the settings. */
     public CircuitSettings {
         if (failures < 1
-                || firstWait.isNegative()
-                || maximumWait.compareTo(firstWait) < 0
-                || maximumLeaseWait.isNegative()) {
+                || initialDelay.isNegative()
+                || maximumDelay.compareTo(initialDelay) < 0
+                || maximumLeaseDelay.isNegative()) {
             throw new IllegalArgumentException(
-                    "Not settings of a circuit: " + failures + ", " + firstWait + ", " + maximumWait);
+                    "Invalid circuit settings: " + failures + ", " + initialDelay + ", " + maximumDelay);
         }
     }
 }
--- a/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/FullJitterBackoff.java
+++ b/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/FullJitterBackoff.java
@@ -4,48 +4,48 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Waits that are drawn evenly between zero and a bound, which doubles with each failure in a row. Clients that failed
- * together thereby come back spread over the bound.
+ * Backoff with full jitter: delays are uniformly distributed between zero and a bound, which doubles with each
+ * consecutive failure. This spreads the retries of clients that failed at the same time.
  *
- * @param first The bound of the first wait.
- * @param maximum The largest bound.
- * @param random The source of randomness, safe for use by several threads.
+ * @param initialBound The bound of the first delay.
+ * @param maximumBound The maximum bound.
+ * @param random The random number generator, which must be thread-safe.
  */
-record FullJitterBackoff(Duration first, Duration maximum, RandomGenerator random) {
+record FullJitterBackoff(Duration initialBound, Duration maximumBound, RandomGenerator random) {
 
-    /** The largest exponent, which keeps the doubled bound from overflowing. */
+    /** The maximum exponent, which prevents overflow of the bound. */
     private static final int MAXIMUM_EXPONENT = 30;
 
     /**
-     * Draws a wait.
+     * Returns a random delay.
      *
-     * @param failures The number of failures in a row before this wait, at least one.
-     * @return The wait.
+     * @param failures The number of consecutive failures before this delay, at least one.
+     * @return The delay.
      */
-    Duration wait(int failures) {
-        return wait(failures, random.nextDouble());
+    Duration delayAfter(int failures) {
+        return delayAfter(failures, random.nextDouble());
     }
 
     /**
-     * Returns the wait for a number that was drawn before.
+     * Returns the delay for a given random number.
      *
-     * @param failures The number of failures in a row before this wait, at least one.
-     * @param drawn The number, between zero and one.
-     * @return The wait.
+     * @param failures The number of consecutive failures before this delay, at least one.
+     * @param fraction The fraction of the bound, between zero and one.
+     * @return The delay.
      */
-    Duration wait(int failures, double drawn) {
+    Duration delayAfter(int failures, double fraction) {
         int exponent = Math.min(MAXIMUM_EXPONENT, failures - 1);
-        double bound = Math.min((double) maximum.toNanos(), Math.scalb((double) first.toNanos(), exponent));
-        return Duration.ofNanos((long) (drawn * bound));
+        double bound = Math.min((double) maximumBound.toNanos(), Math.scalb((double) initialBound.toNanos(), exponent));
+        return Duration.ofNanos((long) (fraction * bound));
     }
 
     /**
-     * Returns these waits with another largest bound.
+     * Returns this backoff with another maximum bound.
      *
-     * @param newMaximum The largest bound.
-     * @return The changed waits.
+     * @param newMaximumBound The maximum bound.
+     * @return The changed backoff.
      */
-    FullJitterBackoff withMaximum(Duration newMaximum) {
-        return new FullJitterBackoff(first, newMaximum, random);
+    FullJitterBackoff withMaximumBound(Duration newMaximumBound) {
+        return new FullJitterBackoff(initialBound, newMaximumBound, random);
     }
 }
--- a/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/HttpTransport.java
+++ b/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/HttpTransport.java
@@ -25,40 +25,40 @@
 import okio.BufferedSource;
 
 /**
- * Sends each request at most once over HTTP. All that OkHttp would repeat on its own is turned off, since a repeated
- * write would run the risk of a conflict with itself.
+ * Sends each request at most once over HTTP. All automatic retries of OkHttp are disabled, since a repeated write could
+ * conflict with itself.
  */
 final class HttpTransport implements AutoCloseable {
 
-    /** The header that bears an object's version. */
+    /** The header that contains an object's version. */
     private static final String VERSION_HEADER = "X-Object-Version";
 
-    /** The header on which OkHttp may repeat a request that was answered with 503. */
+    /** The response header that lets OkHttp repeat a request that was answered with status 503. */
     private static final String RETRY_AFTER_HEADER = "Retry-After";
 
-    /** The largest number of calls in flight at once; further ones wait. */
-    private static final int MAXIMUM_CALLS = 64;
+    /** The maximum number of calls in flight. Further calls are queued. */
+    private static final int MAXIMUM_CONCURRENT_CALLS = 64;
 
-    /** The largest number of idle connections that are kept. */
-    private static final int IDLE_CONNECTIONS = 4;
+    /** The maximum number of idle connections that are kept open. */
+    private static final int MAXIMUM_IDLE_CONNECTIONS = 4;
 
-    /** The time for which an idle connection is kept, shorter than the usual time of servers. */
-    private static final Duration IDLE_TIME = Duration.ofSeconds(15);
+    /** The time after which an idle connection is closed, which is shorter than the usual timeout of servers. */
+    private static final Duration IDLE_CONNECTION_TIMEOUT = Duration.ofSeconds(15);
 
-    /** The largest answer that is read. */
-    private static final long MAXIMUM_ANSWER_SIZE = 64L << 20;
+    /** The maximum size of an answer in bytes. */
+    private static final long MAXIMUM_ANSWER_BYTES = 64L << 20;
 
-    /** The client for calls that are answered at once. */
+    /** The client for calls that do not wait for changes. */
     private final OkHttpClient client;
 
     /** The client for watches. */
     private final OkHttpClient watchClient;
 
-    /** How long a call may take that does not wait for changes. */
+    /** The timeout of a call that does not wait for changes. */
     private final Duration callTimeout;
 
-    /** The watches that wait. */
-    private final Set<Call> waitingWatches = ConcurrentHashMap.newKeySet();
+    /** The watches in flight. */
+    private final Set<Call> watchesInFlight = ConcurrentHashMap.newKeySet();
 
     /**
      * Creates a transport.
@@ -68,11 +68,12 @@
     HttpTransport(PlatformClientSettings settings) {
         callTimeout = settings.callTimeout();
         Dispatcher dispatcher = new Dispatcher();
-        dispatcher.setMaxRequests(MAXIMUM_CALLS);
-        dispatcher.setMaxRequestsPerHost(MAXIMUM_CALLS);
+        dispatcher.setMaxRequests(MAXIMUM_CONCURRENT_CALLS);
+        dispatcher.setMaxRequestsPerHost(MAXIMUM_CONCURRENT_CALLS);
         client = new OkHttpClient.Builder()
                 .dispatcher(dispatcher)
-                .connectionPool(new ConnectionPool(IDLE_CONNECTIONS, IDLE_TIME.toMillis(), TimeUnit.MILLISECONDS))
+                .connectionPool(new ConnectionPool(
+                        MAXIMUM_IDLE_CONNECTIONS, IDLE_CONNECTION_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS))
                 .protocols(List.of(Protocol.HTTP_1_1))
                 .connectionSpecs(connectionSpecs(settings.address()))
                 .retryOnConnectionFailure(false)
@@ -99,7 +100,7 @@
      * Sends a request.
      *
      * @param request The request.
-     * @return What becomes of it, on a thread of the transport. It never fails.
+     * @return The reply, emitted on a thread of the transport. This single never fails.
      */
     Single<Reply> send(Request request) {
         return send(client, request, callTimeout);
@@ -109,8 +110,9 @@
      * Sends a request that waits for changes.
      *
      * @param request The request.
-     * @param waitTime How long the platform waits. A connection that is silent for longer is given up.
-     * @return What becomes of it, on a thread of the transport. It never fails.
+     * @param waitTime The time for which the platform waits. The call fails if there is no answer within this time plus
+     *     the call timeout.
+     * @return The reply, emitted on a thread of the transport. This single never fails.
      */
     Single<Reply> sendWatch(Request request, Duration waitTime) {
         return send(watchClient, request, waitTime.plus(callTimeout));
@@ -121,8 +123,8 @@
      *
      * @param sender The client that sends it.
      * @param request The request.
-     * @param timeout How long it may take.
-     * @return What becomes of it.
+     * @param timeout The timeout of the call.
+     * @return The reply.
      */
     private Single<Reply> send(OkHttpClient sender, Request request, Duration timeout) {
         return Single.create(emitter -> {
@@ -133,31 +135,31 @@
             call.timeout().timeout(timeout.toMillis(), TimeUnit.MILLISECONDS);
             emitter.setCancellable(call::cancel);
             if (sender == watchClient) {
-                waitingWatches.add(call);
+                watchesInFlight.add(call);
             }
-            call.enqueue(new ReplyCallback(emitter, () -> waitingWatches.remove(call)));
+            call.enqueue(new ReplyCallback(emitter, () -> watchesInFlight.remove(call)));
         });
     }
 
     /**
-     * Returns the number of watches that wait.
+     * Returns the number of watches in flight.
      *
      * @return The number.
      */
-    int waitingWatches() {
-        return waitingWatches.size();
+    int watchesInFlight() {
+        return watchesInFlight.size();
     }
 
     /**
-     * Breaks off the watches that wait, and drops idle connections: the path to the platform may be cut, which a call
-     * that waits does not notice.
+     * Cancels the watches in flight and closes idle connections: the network path to the platform may be broken, which
+     * a waiting call does not detect.
      */
-    void abandonWatches() {
-        waitingWatches.forEach(Call::cancel);
+    void cancelWatches() {
+        watchesInFlight.forEach(Call::cancel);
         client.connectionPool().evictAll();
     }
 
-    /** Cancels all calls, which thereby fail, and releases all threads and connections. */
+    /** Cancels all calls, so that they fail, and releases all threads and connections. */
     @Override
     public void close() {
         client.dispatcher().cancelAll();
@@ -166,18 +168,18 @@
     }
 
     /**
-     * Returns how connections are encrypted. The classes for encryption slow each start, so they are left out where the
-     * platform's address shows that there is none.
+     * Returns the connection specifications for an address. Loading the TLS classes slows down the start of the
+     * process, so TLS is omitted unless the platform's address requires it.
      *
      * @param address The platform's address.
-     * @return The ways to connect.
+     * @return The connection specifications.
      */
     private static List<ConnectionSpec> connectionSpecs(String address) {
         return address.startsWith("https:") ? List.of(ConnectionSpec.MODERN_TLS) : List.of(ConnectionSpec.CLEARTEXT);
     }
 
     /**
-     * Creates the listener that notes when a call begins to be sent.
+     * Creates the listener that marks a call when OkHttp starts to send it.
      *
      * @param call The call.
      * @return The listener.
@@ -203,24 +205,24 @@
     }
 
     /**
-     * Whether a call began to be sent.
+     * Records whether OkHttp started to send a call.
      *
-     * @param started Set before the first byte is sent.
+     * @param started The flag, which is set before the first byte is sent.
      */
     private record SendMark(AtomicBoolean started) {}
 
     /**
-     * Turns what OkHttp calls back into a reply.
+     * Converts the callback of OkHttp to a reply.
      *
-     * @param emitter The emitter that takes the reply.
-     * @param ended What follows the end of the call.
+     * @param emitter The emitter of the reply.
+     * @param onEnd The callback to run when the call ends.
      */
-    private record ReplyCallback(SingleEmitter<Reply> emitter, Runnable ended) implements Callback {
+    private record ReplyCallback(SingleEmitter<Reply> emitter, Runnable onEnd) implements Callback {
 
         /** {@inheritDoc} */
         @Override
         public void onFailure(Call call, IOException exception) {
-            ended.run();
+            onEnd.run();
             emitter.onSuccess(failed(call, exception));
         }
 
@@ -228,22 +230,22 @@
         @Override
         public void onResponse(Call call, Response response) {
             Reply reply = read(call, response);
-            ended.run();
+            onEnd.run();
             emitter.onSuccess(reply);
         }
 
         /**
-         * Reads a whole answer.
+         * Reads a complete answer.
          *
          * @param call The call.
          * @param response The response.
-         * @return The answer, or that it was cut off.
+         * @return The answer, or a failure if it was truncated or too large.
          */
         private static Reply read(Call call, Response response) {
             try (response) {
                 BufferedSource source = response.body().source();
-                if (source.request(MAXIMUM_ANSWER_SIZE + 1)) {
-                    return new Reply.Failed("answer too large", true, false);
+                if (source.request(MAXIMUM_ANSWER_BYTES + 1)) {
+                    return new Reply.Failed("answer exceeds the maximum size", true, false);
                 }
                 return new Reply.Answered(
                         response.code(),
@@ -255,10 +257,10 @@
         }
 
         /**
-         * Describes a failure.
+         * Creates the reply for a failed call.
          *
          * @param call The call.
-         * @param exception The exception that ended it.
+         * @param exception The exception.
          * @return The failure.
          */
         private static Reply failed(Call call, IOException exception) {
--- a/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/ObjectApiDialect.java
+++ b/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/ObjectApiDialect.java
@@ -8,8 +8,8 @@
 import okhttp3.Request;
 
 /**
- * How calls are written to an object API and how its answers read. A dialect translates and decides nothing: rates,
- * retries, the circuit and what a status means are the client's matter.
+ * Encodes the calls to an object API and decodes its answers. A dialect only translates: rate limits, retries, the
+ * circuit and the interpretation of statuses belong to the client.
  */
 public interface ObjectApiDialect {
 
@@ -17,35 +17,35 @@
      * Builds the request of a call.
      *
      * @param effect The call.
-     * @param probe Whether the call is a probe, such that a watch must not wait.
+     * @param probe Whether the call is a probe. A watch that is a probe must not wait.
      * @return The request.
      */
     Request request(PlatformEffect effect, boolean probe);
 
     /**
-     * Reads an answer whose status says that the call was carried out, that an object does not exist, that a condition
-     * was not met, or that the history of a watch is gone.
+     * Decodes an answer whose status reports that the call was executed, that an object does not exist, that a
+     * condition was not met, or that the history for a watch is no longer available.
      *
      * @param effect The call.
      * @param answer The answer.
      * @return The event that answers the call.
-     * @throws IOException If the answer can't be read.
+     * @throws IOException If the answer cannot be decoded.
      */
     PlatformEvent event(PlatformEffect effect, Answer answer) throws IOException;
 
     /**
-     * Returns whether a status promises that a change was not and will not be made.
+     * Returns whether a status guarantees that a write or deletion did not and will not take effect.
      *
-     * @param status A status of a failure.
-     * @return {@code true} if it does.
+     * @param status The status of a failed call.
+     * @return {@code true} if the status guarantees this.
      */
     boolean promisesUnapplied(int status);
 
     /**
-     * A whole answer.
+     * A complete answer.
      *
      * @param status The HTTP status.
-     * @param version The text of the header that bears an object's version, if there is one.
+     * @param version The value of the header with an object's version, if present.
      * @param body The body.
      */
     record Answer(int status, Optional<String> version, Bytes body) {}
--- a/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/Outcome.java
+++ b/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/Outcome.java
@@ -2,58 +2,58 @@
 
 import java.util.Locale;
 
-/** The outcomes of calls, as they are counted and acted upon. */
+/** The outcomes of attempts, for the metrics and for the decisions of the circuit and on retries. */
 enum Outcome {
-    /** The platform answered what was asked, which may be that an object does not exist. */
+    /** The platform answered the call. The answer may be that an object does not exist. */
     ANSWERED(true, false),
-    /** The platform refused a write because the object's version was another one. */
+    /** The platform rejected a write because the object had a different version. */
     CONFLICT(true, false),
-    /** The platform refused the call because of a rate limit. */
+    /** The platform rejected the call because of a rate limit. */
     RATE_LIMITED(true, true),
-    /** The platform refused the call for good, such as for a wrong token. */
+    /** The platform rejected the call permanently, such as for an invalid token. */
     REJECTED(true, false),
-    /** The platform failed, or no usable answer arrived. */
+    /** The platform failed, or no valid answer was received. */
     FAILED(false, true),
-    /** The call was not sent because the client's rate was exhausted. */
+    /** The call was not sent because the client's rate limit was reached. */
     BUDGET_EXHAUSTED(true, false),
     /** The call was not sent because the circuit is open. */
     CIRCUIT_OPEN(true, false),
-    /** The call was not sent because its value is too large. */
+    /** The call was not sent because its value exceeds the maximum size. */
     TOO_LARGE(true, false);
 
-    /** Whether the outcome says nothing against the platform. */
+    /** Whether the outcome is not a failure of the platform. */
     private final boolean healthy;
 
-    /** Whether a read is worth repeating. */
-    private final boolean repeatable;
+    /** Whether a read may be retried after this outcome. */
+    private final boolean retryable;
 
     /**
      * Creates an outcome.
      *
-     * @param healthy Whether the outcome says nothing against the platform.
-     * @param repeatable Whether a read is worth repeating.
+     * @param healthy Whether the outcome is not a failure of the platform.
+     * @param retryable Whether a read may be retried after this outcome.
      */
-    Outcome(boolean healthy, boolean repeatable) {
+    Outcome(boolean healthy, boolean retryable) {
         this.healthy = healthy;
-        this.repeatable = repeatable;
+        this.retryable = retryable;
     }
 
     /**
-     * Returns whether the outcome says nothing against the platform.
+     * Returns whether the outcome is not a failure of the platform.
      *
-     * @return {@code true} if it does not count as a failure.
+     * @return {@code true} if the circuit does not treat the outcome as a failure.
      */
     boolean isHealthy() {
         return healthy;
     }
 
     /**
-     * Returns whether a read is worth repeating.
+     * Returns whether a read may be retried after this outcome.
      *
-     * @return {@code true} if it is.
+     * @return {@code true} if a read may be retried.
      */
-    boolean isRepeatable() {
-        return repeatable;
+    boolean isRetryable() {
+        return retryable;
     }
 
     /**
--- a/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/PlatformClient.java
+++ b/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/PlatformClient.java
@@ -20,75 +20,75 @@
 import org.jboss.logging.Logger;
 
 /**
- * Carries out the decision core's calls to the platform. Each call is answered by exactly one event that bears its
- * token, and nothing here ever waits on the caller's thread.
+ * Executes the decision core's calls to the platform. Each call is answered by exactly one event with the call's token,
+ * and no method blocks the calling thread.
  *
- * <p>Reads are repeated within a retry budget. A write or deletion is sent at most once: if its answer is lost, the
- * event says that it may have taken effect, and whoever made the call settles it by reading. Calls that exceed the
- * client's rates, and calls while the platform is out of service, are answered without being sent.
+ * <p>Reads are retried within a retry budget. A write or deletion is sent at most once: if its answer is lost, the
+ * event reports that it may have taken effect, and the caller must read the object to find out. Calls that exceed the
+ * client's rate limits, and calls while the circuit is open, are answered without being sent.
  */
 public final class PlatformClient implements AutoCloseable {
 
-    /** The largest value that the platform takes. */
+    /** The maximum size in bytes of a value that the platform accepts. */
     public static final int MAXIMUM_VALUE_SIZE = 1 << 20;
 
     /** The logger. */
     private static final Logger LOGGER = Logger.getLogger(PlatformClient.class);
 
-    /** The source of the randomness of waits, which draws from the calling thread's own generator. */
+    /** The random number generator for delays, which delegates to the calling thread's generator. */
     private static final RandomGenerator RANDOM =
             () -> ThreadLocalRandom.current().nextLong();
 
-    /** The waits that are added before a watch that the circuit refused is answered. */
-    private static final FullJitterBackoff REFUSED_WATCH_WAIT =
+    /** The additional delay before a watch that the circuit rejected is answered. */
+    private static final FullJitterBackoff REJECTED_WATCH_BACKOFF =
             new FullJitterBackoff(Duration.ofMillis(200), Duration.ofMillis(200), RANDOM);
 
     /** The monotonic clock in nanoseconds. */
     private final LongSupplier clock = System::nanoTime;
 
-    /** How long a watch waits that does not say so itself. */
+    /** The wait time of a watch that does not specify one. */
     private final Duration watchWait;
 
     /** The sender of requests. */
     private final HttpTransport transport;
 
-    /** How calls are written and answers read. */
+    /** The dialect that encodes calls and decodes answers. */
     private final ObjectApiDialect dialect;
 
-    /** The calls that may be made now. */
+    /** The rate limits of calls. */
     private final CallBudget budget;
 
-    /** The repetitions that may be made now. */
+    /** The budget of retries. */
     private final RetryBudget retryBudget;
 
-    /** The waits before repetitions. */
+    /** The backoff before retries. */
     private final FullJitterBackoff retryBackoff;
 
-    /** The largest number of attempts of one read. */
+    /** The maximum number of attempts of one read. */
     private final int maximumAttempts;
 
-    /** Keeps calls from a platform that fails. */
+    /** The circuit breaker for a failing platform. */
     private final Circuit circuit;
 
     /** The metrics. */
     private final CallMetrics metrics;
 
     /**
-     * Creates a client, which does not connect before the first call.
+     * Creates a client, which connects on the first call.
      *
      * @param settings The settings.
-     * @param registry The registry that takes the client's metrics.
+     * @param registry The registry for the client's metrics.
      */
     public PlatformClient(PlatformClientSettings settings, MetricRegistry registry) {
         this(settings, registry, new StandardDialect(settings));
     }
 
     /**
-     * Creates a client that speaks another dialect.
+     * Creates a client with a custom dialect.
      *
      * @param settings The settings.
      * @param registry The registry of metrics.
-     * @param dialect How calls are written and answers read.
+     * @param dialect The dialect that encodes calls and decodes answers.
      */
     public PlatformClient(PlatformClientSettings settings, MetricRegistry registry, ObjectApiDialect dialect) {
         transport = new HttpTransport(settings);
@@ -96,32 +96,32 @@
         this.dialect = dialect;
         budget = new CallBudget(settings.rates(), clock);
         RetrySettings retry = settings.retry();
-        retryBudget = new RetryBudget(retry.share());
-        retryBackoff = new FullJitterBackoff(retry.firstWait(), retry.maximumWait(), RANDOM);
+        retryBudget = new RetryBudget(retry.retriesPerCall());
+        retryBackoff = new FullJitterBackoff(retry.initialDelay(), retry.maximumDelay(), RANDOM);
         maximumAttempts = retry.attempts();
-        CircuitSettings waits = settings.circuit();
+        CircuitSettings circuitSettings = settings.circuit();
         circuit = new Circuit(
-                waits.failures(),
-                new FullJitterBackoff(waits.firstWait(), waits.maximumWait(), RANDOM),
-                waits.maximumLeaseWait(),
+                circuitSettings.failures(),
+                new FullJitterBackoff(circuitSettings.initialDelay(), circuitSettings.maximumDelay(), RANDOM),
+                circuitSettings.maximumLeaseDelay(),
                 clock,
-                this::platformReturned);
+                this::onPlatformRecovered);
         metrics = new CallMetrics(registry, clock);
-        metrics.observe(circuit);
+        metrics.registerCircuitGauge(circuit);
     }
 
     /**
-     * Carries out a call once the result is subscribed to.
+     * Executes a call once the result is subscribed to.
      *
      * @param effect The call.
-     * @return The event that answers the call. It never fails. It may come on a thread of the client or, if the call is
-     *     not sent at all, on the subscribing thread.
+     * @return The event that answers the call. The single never fails. It may emit on a thread of the client or, if the
+     *     call is not sent, on the subscribing thread.
      */
     public Single<PlatformEvent> execute(PlatformEffect effect) {
         if (effect instanceof PlatformEffect.Write write && write.value().size() > MAXIMUM_VALUE_SIZE) {
-            Attempt refused = Attempt.unavailable(
+            Attempt oversized = Attempt.unavailable(
                     effect.token(), false, "value of " + write.value().size() + " bytes", Outcome.TOO_LARGE);
-            return Single.fromSupplier(() -> finish(effect, refused).event());
+            return Single.fromSupplier(() -> finish(effect, oversized).event());
         }
         return Single.defer(() -> {
                     retryBudget.earn();
@@ -133,11 +133,11 @@
     }
 
     /**
-     * Reads the object that a write conflicts with, if the answer did not bear it.
+     * Reads the object that a write conflicts with, if the answer did not contain it.
      *
      * @param effect The call.
      * @param event The answer to the call.
-     * @return The answer with the object, if there is one.
+     * @return The answer with the object, if it exists.
      */
     private Single<PlatformEvent> conflictingObject(PlatformEffect effect, PlatformEvent event) {
         if (!(effect instanceof PlatformEffect.Write write)
@@ -152,12 +152,12 @@
     }
 
     /**
-     * Reads the further pages of a list.
+     * Reads the remaining pages of a list.
      *
      * @param effect The call.
      * @param event The answer to the call.
-     * @return The answer with the objects of all pages and the version of the first one, from which a watch misses
-     *     nothing.
+     * @return The answer with the objects of all pages and the version of the first page, so that a watch from this
+     *     version misses no change.
      */
     private Single<PlatformEvent> remainingPages(PlatformEffect effect, PlatformEvent event) {
         if (!(effect instanceof PlatformEffect.ListKind list)
@@ -171,11 +171,11 @@
     }
 
     /**
-     * Joins a page with the answer for the pages behind it.
+     * Joins a page with the answer for the following pages.
      *
      * @param page The page.
-     * @param rest The answer for the pages behind it.
-     * @return The joined list, or the failure of the further pages.
+     * @param rest The answer for the following pages.
+     * @return The joined list, or the failure of the following pages.
      */
     private static PlatformEvent join(PlatformEvent.ObjectsListed page, PlatformEvent rest) {
         if (!(rest instanceof PlatformEvent.ObjectsListed further)) {
@@ -187,7 +187,7 @@
     }
 
     /**
-     * Changes the rates at which this client calls, such as when the number of clients changed.
+     * Changes the rate limits of this client, for example when the number of clients has changed.
      *
      * @param rates The new rates.
      */
@@ -200,21 +200,21 @@
      *
      * @return The time, or empty if it never answered.
      */
-    public Optional<Duration> sinceHeard() {
-        return metrics.sinceHeard();
+    public Optional<Duration> timeSinceLastAnswer() {
+        return metrics.timeSinceLastAnswer();
     }
 
     /**
-     * Returns the numbers of calls that were sent so far, repeated ones included.
+     * Returns the number of calls sent so far for each purpose, including retries.
      *
-     * @return The numbers by the purposes of the calls, without those for which none was sent.
+     * @return The number of calls by purpose, without purposes that have none.
      */
     public Map<PlatformPurpose, Long> sentCalls() {
         return metrics.sent();
     }
 
     /**
-     * Returns whether calls are refused because the platform is out of service.
+     * Returns whether calls are rejected because the platform is failing.
      *
      * @return {@code true} while the circuit is open.
      */
@@ -223,64 +223,64 @@
     }
 
     /**
-     * Returns the number of watches that wait for changes.
+     * Returns the number of watches in flight.
      *
      * @return The number.
      */
-    int waitingWatches() {
-        return transport.waitingWatches();
+    int watchesInFlight() {
+        return transport.watchesInFlight();
     }
 
-    /** Cancels all calls in flight, which are thereby answered as unavailable, and releases threads and connections. */
+    /** Cancels all calls in flight, which are answered as unavailable, and releases threads and connections. */
     @Override
     public void close() {
         transport.close();
     }
 
     /**
-     * Makes an attempt, and further ones if the call may be repeated.
+     * Makes an attempt, and further attempts if the call may be retried.
      *
      * @param effect The call.
-     * @param number The number of the attempt, from one.
+     * @param number The number of the attempt, starting at one.
      * @return The result of the last attempt.
      */
     private Single<Attempt> attempt(PlatformEffect effect, int number) {
         return send(effect, number > 1).flatMap(attempt -> {
             finish(effect, attempt);
-            if (!mayRepeat(effect, attempt, number)) {
+            if (!mayRetry(effect, attempt, number)) {
                 return Single.just(attempt);
             }
-            return delay(retryBackoff.wait(number)).flatMap(_waited -> attempt(effect, number + 1));
+            return delay(retryBackoff.delayAfter(number)).flatMap(_waited -> attempt(effect, number + 1));
         });
     }
 
     /**
-     * Decides whether a call is repeated.
+     * Decides whether a call is retried, and takes the retry from the budget.
      *
      * @param effect The call.
      * @param attempt The result of the last attempt.
-     * @param number The number of the last attempt, from one.
-     * @return {@code true} if it is.
+     * @param number The number of the last attempt, starting at one.
+     * @return {@code true} if the call is retried.
      */
-    private boolean mayRepeat(PlatformEffect effect, Attempt attempt, int number) {
+    private boolean mayRetry(PlatformEffect effect, Attempt attempt, int number) {
         return !PlatformReplies.changes(effect)
                 && !(effect instanceof PlatformEffect.Watch)
-                && attempt.outcome().isRepeatable()
+                && attempt.outcome().isRetryable()
                 && number < maximumAttempts
                 && retryBudget.tryTake();
     }
 
     /**
-     * Sends a call if it may be.
+     * Sends a call if the circuit and the rate limits allow it.
      *
      * @param effect The call.
-     * @param repeated Whether an earlier attempt was made.
+     * @param repeated Whether this is a retry.
      * @return The result.
      */
     private Single<Attempt> send(PlatformEffect effect, boolean repeated) {
         Circuit.Admission admission = circuit.admit(effect.purpose());
         if (admission == Circuit.Admission.REFUSE) {
-            return refusedByCircuit(effect);
+            return rejectedByCircuit(effect);
         }
         boolean changes = PlatformReplies.changes(effect);
         if (!budget.tryAcquire(effect.purpose(), changes)) {
@@ -296,26 +296,26 @@
                 .map(reply -> {
                     Attempt attempt = PlatformReplies.decode(dialect, effect, reply);
                     if (reply instanceof Reply.Answered) {
-                        metrics.heard(effect.purpose(), sentAt, !watches);
+                        metrics.recordAnswer(effect.purpose(), sentAt, !watches);
                     }
-                    if (reply instanceof Reply.Failed failed && failed.abandoned()) {
+                    if (reply instanceof Reply.Failed failed && failed.cancelled()) {
                         circuit.abandoned(admission);
                         return attempt;
                     }
-                    note(admission, attempt.outcome());
+                    reportOutcome(admission, attempt.outcome());
                     if (reply instanceof Reply.Failed && !watches) {
-                        transport.abandonWatches();
+                        transport.cancelWatches();
                     }
                     return attempt;
                 });
     }
 
     /**
-     * Sends a request, with the time that its call may take.
+     * Sends a request with the timeout of its call.
      *
      * @param effect The call.
      * @param request The request.
-     * @return What becomes of it.
+     * @return The reply.
      */
     private Single<Reply> reply(PlatformEffect effect, Request request) {
         return effect instanceof PlatformEffect.Watch watch
@@ -324,27 +324,28 @@
     }
 
     /**
-     * Answers a call that the circuit refuses. A watch is a waiting call, so it is answered when the next probe is due,
-     * and whoever repeats it at once does not repeat it without pause.
+     * Answers a call that the circuit rejected. A watch is a waiting call, so it is answered when the next probe is
+     * due: a caller that repeats it immediately would otherwise loop without a delay.
      *
      * @param effect The call.
      * @return The result.
      */
-    private Single<Attempt> refusedByCircuit(PlatformEffect effect) {
+    private Single<Attempt> rejectedByCircuit(PlatformEffect effect) {
         Attempt attempt =
                 Attempt.unavailable(effect.token(), false, "the platform is out of service", Outcome.CIRCUIT_OPEN);
         return effect instanceof PlatformEffect.Watch
-                ? delay(circuit.untilProbe().plus(REFUSED_WATCH_WAIT.wait(1))).map(_waited -> attempt)
+                ? delay(circuit.timeUntilProbe().plus(REJECTED_WATCH_BACKOFF.delayAfter(1)))
+                        .map(_waited -> attempt)
                 : Single.just(attempt);
     }
 
     /**
-     * Tells the circuit and the budget what became of an attempt.
+     * Reports the outcome of an attempt to the circuit and the call budget.
      *
-     * @param admission How the circuit let the call through.
+     * @param admission The admission decision of the circuit.
      * @param outcome The outcome.
      */
-    private void note(Circuit.Admission admission, Outcome outcome) {
+    private void reportOutcome(Circuit.Admission admission, Outcome outcome) {
         if (!outcome.isHealthy()) {
             circuit.failed(admission);
             return;
@@ -363,7 +364,7 @@
      * @return The result.
      */
     private Attempt finish(PlatformEffect effect, Attempt attempt) {
-        metrics.finished(effect.purpose(), attempt.outcome());
+        metrics.recordOutcome(effect.purpose(), attempt.outcome());
         if (attempt.event() instanceof PlatformEvent.Unavailable unavailable) {
             LOGGER.debugf(
                     "event=platform-unavailable purpose=%s outcome=%s maybeApplied=%s reason=\"%s\"",
@@ -372,19 +373,19 @@
         return attempt;
     }
 
-    /** Slows down the first calls after an outage, for which much has piled up everywhere. */
-    private void platformReturned() {
+    /** Limits the first calls after an outage to the steady rate, since calls have accumulated at all clients. */
+    private void onPlatformRecovered() {
         budget.drain();
         LOGGER.info("event=platform-returned");
     }
 
     /**
-     * Waits without occupying a thread.
+     * Waits without blocking a thread.
      *
-     * @param wait The time to wait.
-     * @return An element once the time is over.
+     * @param duration The time to wait.
+     * @return A single that emits after the delay.
      */
-    private static Single<Long> delay(Duration wait) {
-        return Single.timer(wait.toNanos(), TimeUnit.NANOSECONDS, Schedulers.computation());
+    private static Single<Long> delay(Duration duration) {
+        return Single.timer(duration.toNanos(), TimeUnit.NANOSECONDS, Schedulers.computation());
     }
 }
--- a/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/PlatformClientSettings.java
+++ b/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/PlatformClientSettings.java
@@ -7,13 +7,13 @@
  * The settings of a client.
  *
  * @param address The platform's address, such as {@code http://10.0.0.5:8080}.
- * @param token The bearer token that each call carries, if any.
- * @param connectTimeout The longest time that connecting takes.
- * @param callTimeout The longest time that a call takes, a watch's wait not counted.
- * @param watchWait The time for which the platform lets a watch wait for changes.
- * @param rates The rates at which the client calls.
- * @param retry How often reads are repeated.
- * @param circuit When the client stops calling.
+ * @param token The bearer token of all calls, if any.
+ * @param connectTimeout The timeout for connecting.
+ * @param callTimeout The timeout of a call, in addition to the wait time of a watch.
+ * @param watchWait The maximum time for which a watch waits for changes at the platform.
+ * @param rates The rate limits of the client.
+ * @param retry The retry settings for reads.
+ * @param circuit The settings of the circuit breaker.
  */
 public record PlatformClientSettings(
         String address,
@@ -25,19 +25,19 @@
         RetrySettings retry,
         CircuitSettings circuit) {
 
-    /** The default longest time that connecting takes. */
+    /** The default timeout for connecting. */
     private static final Duration DEFAULT_CONNECT_TIMEOUT = Duration.ofMillis(500);
 
-    /** The default longest time that a call takes. */
+    /** The default timeout of a call. */
     private static final Duration DEFAULT_CALL_TIMEOUT = Duration.ofSeconds(2);
 
-    /** What separates the scheme of a URL from its rest. */
+    /** The separator after the scheme of a URL. */
     private static final String SCHEME_SEPARATOR = "://";
 
-    /** The scheme of an address that names none. */
+    /** The scheme of an address without one. */
     private static final String DEFAULT_SCHEME = "http";
 
-    /** The default wait of a watch, which also bounds how long a connection that died silently goes unnoticed. */
+    /** The default wait time of a watch, which also bounds the time to detect a connection that failed silently. */
     private static final Duration DEFAULT_WATCH_WAIT = Duration.ofSeconds(5);
 
     /**
@@ -70,10 +70,10 @@
     }
 
     /**
-     * Returns these settings with other times.
+     * Returns these settings with other timeouts.
      *
-     * @param newCallTimeout The longest time that a call takes.
-     * @param newWatchWait The time for which a watch waits.
+     * @param newCallTimeout The timeout of a call.
+     * @param newWatchWait The maximum time for which a watch waits.
      * @return The changed settings.
      */
     public PlatformClientSettings withTimes(Duration newCallTimeout, Duration newWatchWait) {
@@ -82,9 +82,9 @@
     }
 
     /**
-     * Returns these settings with other rates.
+     * Returns these settings with other rate limits.
      *
-     * @param newRates The rates at which the client calls.
+     * @param newRates The rate limits of the client.
      * @return The changed settings.
      */
     public PlatformClientSettings withRates(CallRates newRates) {
@@ -93,9 +93,9 @@
     }
 
     /**
-     * Returns these settings with other repetitions of reads.
+     * Returns these settings with other retry settings.
      *
-     * @param newRetry How often reads are repeated.
+     * @param newRetry The retry settings for reads.
      * @return The changed settings.
      */
     public PlatformClientSettings withRetry(RetrySettings newRetry) {
@@ -104,9 +104,9 @@
     }
 
     /**
-     * Returns these settings with another circuit.
+     * Returns these settings with other settings of the circuit breaker.
      *
-     * @param newCircuit When the client stops calling.
+     * @param newCircuit The settings of the circuit breaker.
      * @return The changed settings.
      */
     public PlatformClientSettings withCircuit(CircuitSettings newCircuit) {
--- a/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/PlatformReplies.java
+++ b/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/PlatformReplies.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.util.Optional;
 
-/** Turns replies of the object API into the events that answer calls. */
+/** Converts replies of the object API to the events that answer calls. */
 final class PlatformReplies {
 
     /** The status of success. */
@@ -14,26 +14,26 @@
     /** The status of a read of an object that does not exist. */
     private static final int NOT_FOUND = 404;
 
-    /** The status of a write whose condition did not hold. */
+    /** The status of a write whose condition was not met. */
     private static final int CONFLICT = 409;
 
-    /** The status of a watch from a version that the platform no longer knows. */
+    /** The status of a watch from a version that is no longer in the platform's history. */
     private static final int GONE = 410;
 
-    /** The status of a call over a rate limit. */
+    /** The status of a call that exceeds a rate limit. */
     private static final int TOO_MANY_REQUESTS = 429;
 
-    /** The lowest status of a refusal that leaves no effect. */
-    private static final int CLIENT_ERROR = 400;
+    /** The lowest status of a client error, after which a write has no effect. */
+    private static final int LOWEST_CLIENT_ERROR = 400;
 
-    /** The lowest status of a failure of the platform. */
-    private static final int SERVER_ERROR = 500;
+    /** The lowest status of a server error. */
+    private static final int LOWEST_SERVER_ERROR = 500;
 
-    /** The status of a call that the platform gave up, such that a write may have taken effect. */
+    /** The status of a call that timed out at the platform, after which a write may have taken effect. */
     private static final int REQUEST_TIMEOUT = 408;
 
-    /** What divides statuses into classes. */
-    private static final int STATUS_CLASS = 100;
+    /** The divisor that yields the class of a status. */
+    private static final int STATUS_CLASS_SIZE = 100;
 
     /** This class has no instances. */
     private PlatformReplies() {}
@@ -49,9 +49,9 @@
     }
 
     /**
-     * Turns a reply into the result of an attempt.
+     * Converts a reply to the result of an attempt.
      *
-     * @param dialect How answers read.
+     * @param dialect The dialect that decodes answers.
      * @param effect The call.
      * @param reply The reply.
      * @return The result.
@@ -62,12 +62,12 @@
             return Attempt.unavailable(effect.token(), changes && failed.sent(), failed.reason(), Outcome.FAILED);
         }
         Reply.Answered answer = (Reply.Answered) reply;
-        Optional<Attempt> refusal = refusal(dialect, effect, answer.status());
-        if (refusal.isPresent()) {
-            return refusal.get();
+        Optional<Attempt> rejection = rejection(dialect, effect, answer.status());
+        if (rejection.isPresent()) {
+            return rejection.get();
         }
         try {
-            return answered(dialect, effect, answer);
+            return decodeAnswer(dialect, effect, answer);
         } catch (IOException | IllegalArgumentException exception) {
             return Attempt.unavailable(
                     effect.token(), changes, "undecodable answer: " + exception.getMessage(), Outcome.FAILED);
@@ -75,16 +75,16 @@
     }
 
     /**
-     * Recognises an answer that refuses a call.
+     * Returns the result for an answer that rejects a call or reports a failure.
      *
-     * @param dialect What statuses promise.
+     * @param dialect The dialect, which interprets server errors.
      * @param effect The call.
      * @param status The HTTP status.
-     * @return The result, or empty if the answer is none that refuses.
+     * @return The result, or empty if the answer is neither a rejection nor a failure.
      */
-    private static Optional<Attempt> refusal(ObjectApiDialect dialect, PlatformEffect effect, int status) {
+    private static Optional<Attempt> rejection(ObjectApiDialect dialect, PlatformEffect effect, int status) {
         boolean changes = changes(effect);
-        if (status / STATUS_CLASS == OK / STATUS_CLASS
+        if (status / STATUS_CLASS_SIZE == OK / STATUS_CLASS_SIZE
                 || (status == CONFLICT && changes)
                 || (status == NOT_FOUND && effect instanceof PlatformEffect.Read)
                 || (status == GONE && effect instanceof PlatformEffect.Watch)) {
@@ -94,7 +94,7 @@
         if (status == TOO_MANY_REQUESTS) {
             return Optional.of(Attempt.unavailable(effect.token(), false, reason, Outcome.RATE_LIMITED));
         }
-        if (status >= CLIENT_ERROR && status < SERVER_ERROR && status != REQUEST_TIMEOUT) {
+        if (status >= LOWEST_CLIENT_ERROR && status < LOWEST_SERVER_ERROR && status != REQUEST_TIMEOUT) {
             return Optional.of(Attempt.unavailable(effect.token(), false, reason, Outcome.REJECTED));
         }
         boolean maybeApplied = changes && !dialect.promisesUnapplied(status);
@@ -102,15 +102,15 @@
     }
 
     /**
-     * Decodes an answer that does not refuse a call.
+     * Decodes an answer that is neither a rejection nor a failure.
      *
-     * @param dialect How answers read.
+     * @param dialect The dialect that decodes answers.
      * @param effect The call.
      * @param answer The answer.
      * @return The result.
-     * @throws IOException If the answer can't be decoded.
+     * @throws IOException If the answer cannot be decoded.
      */
-    private static Attempt answered(ObjectApiDialect dialect, PlatformEffect effect, Reply.Answered answer)
+    private static Attempt decodeAnswer(ObjectApiDialect dialect, PlatformEffect effect, Reply.Answered answer)
             throws IOException {
         PlatformEvent event =
                 dialect.event(effect, new ObjectApiDialect.Answer(answer.status(), answer.version(), answer.body()));
--- a/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/PlatformRequests.java
+++ b/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/PlatformRequests.java
@@ -14,13 +14,13 @@
 /** Builds the requests of the object API. */
 final class PlatformRequests {
 
-    /** The first segment of the paths of objects. */
+    /** The first path segment of objects. */
     private static final String OBJECTS = "objects";
 
-    /** The header that bears the token. */
+    /** The header that contains the token. */
     private static final String AUTHORIZATION = "Authorization";
 
-    /** What precedes the token in its header. */
+    /** The prefix of the token in its header. */
     private static final String BEARER = "Bearer ";
 
     /** The media type of values. */
@@ -32,14 +32,14 @@
     /** The bearer token, if any. */
     private final Optional<String> token;
 
-    /** The time for which a watch waits. */
+    /** The wait time of a watch that does not specify one. */
     private final Duration watchWait;
 
     /**
      * Creates a builder of requests.
      *
      * @param settings The settings of the client.
-     * @throws IllegalArgumentException If the address or the token can't be part of a request.
+     * @throws IllegalArgumentException If the address or the token is not valid in a request.
      */
     PlatformRequests(PlatformClientSettings settings) {
         address = HttpUrl.get(settings.address());
@@ -52,25 +52,25 @@
      * Builds the request of a call.
      *
      * @param effect The call.
-     * @param probe Whether the call is a probe, such that a watch must not wait.
+     * @param probe Whether the call is a probe. A watch that is a probe does not wait.
      * @return The request.
      */
     Request build(PlatformEffect effect, boolean probe) {
         Request.Builder request = new Request.Builder();
         token.ifPresent(text -> request.header(AUTHORIZATION, BEARER + text));
         if (effect instanceof PlatformEffect.Read read) {
-            request.url(object(read.key()));
+            request.url(objectUrl(read.key()));
         } else if (effect instanceof PlatformEffect.ListKind list) {
-            request.url(kind(OBJECTS, list.kind()).build());
+            request.url(kindUrl(OBJECTS, list.kind()).build());
         } else if (effect instanceof PlatformEffect.Write write) {
-            condition(request, write.expectedVersion());
-            request.url(object(write.key()))
+            addCondition(request, write.expectedVersion());
+            request.url(objectUrl(write.key()))
                     .put(RequestBody.create(write.value().unsafeArray(), BYTES));
         } else if (effect instanceof PlatformEffect.Delete delete) {
-            condition(request, OptionalLong.of(delete.expectedVersion()));
-            request.url(object(delete.key())).delete();
+            addCondition(request, OptionalLong.of(delete.expectedVersion()));
+            request.url(objectUrl(delete.key())).delete();
         } else if (effect instanceof PlatformEffect.Watch watch) {
-            request.url(watch(watch, probe ? Duration.ZERO : watch.waitTime().orElse(watchWait)));
+            request.url(watchUrl(watch, probe ? Duration.ZERO : watch.waitTime().orElse(watchWait)));
         } else {
             request.url(address.newBuilder().addPathSegment("virtual-machines").build());
         }
@@ -78,47 +78,47 @@
     }
 
     /**
-     * Builds the address of an object.
+     * Builds the URL of an object.
      *
      * @param key The object's key.
-     * @return The address.
+     * @return The URL.
      */
-    private HttpUrl object(ObjectKey key) {
-        return kind(OBJECTS, key.kind()).addPathSegment(key.name()).build();
+    private HttpUrl objectUrl(ObjectKey key) {
+        return kindUrl(OBJECTS, key.kind()).addPathSegment(key.name()).build();
     }
 
     /**
-     * Builds the address of a watch.
+     * Builds the URL of a watch.
      *
      * @param watch The watch.
-     * @param wait The time for which it waits.
-     * @return The address.
+     * @param waitTime The time for which the watch waits.
+     * @return The URL.
      */
-    private HttpUrl watch(PlatformEffect.Watch watch, Duration wait) {
-        return kind("watch", watch.kind())
+    private HttpUrl watchUrl(PlatformEffect.Watch watch, Duration waitTime) {
+        return kindUrl("watch", watch.kind())
                 .addQueryParameter("after", Long.toString(watch.afterVersion()))
-                .addQueryParameter("waitMillis", Long.toString(wait.toMillis()))
+                .addQueryParameter("waitMillis", Long.toString(waitTime.toMillis()))
                 .build();
     }
 
     /**
-     * Begins the address of a kind.
+     * Creates a URL builder for a kind.
      *
-     * @param root The first segment of the path.
+     * @param root The first path segment.
      * @param kind The kind.
-     * @return The builder of the address.
+     * @return The URL builder.
      */
-    private HttpUrl.Builder kind(String root, String kind) {
+    private HttpUrl.Builder kindUrl(String root, String kind) {
         return address.newBuilder().addPathSegment(root).addPathSegment(kind);
     }
 
     /**
-     * Adds the condition of a write.
+     * Adds the precondition of a write.
      *
      * @param request The request to add it to.
      * @param expected The version that the object must have, or empty if it must not exist.
      */
-    private static void condition(Request.Builder request, OptionalLong expected) {
+    private static void addCondition(Request.Builder request, OptionalLong expected) {
         if (expected.isPresent()) {
             request.header("If-Match", Long.toString(expected.getAsLong()));
         } else {
--- a/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/Reply.java
+++ b/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/Reply.java
@@ -3,24 +3,24 @@
 import io.yuccaswitch.core.value.Bytes;
 import java.util.Optional;
 
-/** What became of an HTTP call. */
+/** The result of an HTTP call. */
 sealed interface Reply {
 
     /**
-     * The whole answer arrived.
+     * A complete answer was received.
      *
      * @param status The HTTP status.
-     * @param version The text of the header that bears an object's version, if there is one.
+     * @param version The value of the header with an object's version, if present.
      * @param body The body.
      */
     record Answered(int status, Optional<String> version, Bytes body) implements Reply {}
 
     /**
-     * No whole answer arrived.
+     * No complete answer was received.
      *
      * @param reason The reason, for logs.
-     * @param sent {@code false} if it is sure that nothing of the call was sent.
-     * @param abandoned Whether this client broke the call off, which says nothing of the platform.
+     * @param sent {@code false} if no byte of the call was sent for certain.
+     * @param cancelled Whether this client cancelled the call, which is not a failure of the platform.
      */
-    record Failed(String reason, boolean sent, boolean abandoned) implements Reply {}
+    record Failed(String reason, boolean sent, boolean cancelled) implements Reply {}
 }
--- a/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/RetryBudget.java
+++ b/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/RetryBudget.java
@@ -1,35 +1,35 @@
 package io.yuccaswitch.platform;
 
-/** The repetitions that may be made now, earned by the calls that are made anyway. */
+/** A budget that limits retries to a share of the calls. Each call earns a fraction of a retry. */
 final class RetryBudget {
 
-    /** The largest number of repetitions that can be saved. */
-    private static final double CAPACITY = 10;
+    /** The maximum number of retries that can accumulate. */
+    private static final double MAXIMUM_RETRIES = 10;
 
-    /** The repetitions that each call earns. */
-    private final double share;
+    /** The number of retries that each call earns. */
+    private final double retriesPerCall;
 
-    /** The repetitions that may be made now. */
-    private double available = CAPACITY;
+    /** The number of available retries. */
+    private double available = MAXIMUM_RETRIES;
 
     /**
      * Creates a full budget.
      *
-     * @param share The repetitions that each call earns.
+     * @param retriesPerCall The number of retries that each call earns.
      */
-    RetryBudget(double share) {
-        this.share = share;
+    RetryBudget(double retriesPerCall) {
+        this.retriesPerCall = retriesPerCall;
     }
 
-    /** Counts a call that is no repetition. */
+    /** Counts a call that is not a retry. */
     synchronized void earn() {
-        available = Math.min(CAPACITY, available + share);
+        available = Math.min(MAXIMUM_RETRIES, available + retriesPerCall);
     }
 
     /**
-     * Takes a repetition.
+     * Takes a retry from the budget.
      *
-     * @return {@code true} if it may be made.
+     * @return {@code true} if the retry is allowed.
      */
     synchronized boolean tryTake() {
         if (available < 1) {
--- a/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/SettledWrite.java
+++ b/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/SettledWrite.java
@@ -16,22 +16,22 @@
 import java.util.function.Predicate;
 
 /**
- * Writes an object and finds out whether the write took effect, also when its answer was lost.
+ * Writes an object and determines whether the write took effect, even if its answer was lost.
  *
- * <p>The value must contain an identifier that no other write ever uses. If it is unknown whether an attempt took
- * effect, the object is read. If it bears the identifier, the write took effect. If the object's version has moved on
- * without it, no copy of the write that is still on its way can take effect any longer. If the version has not moved,
- * the same write is sent again under the same condition, such that at most one of the copies takes effect.
+ * <p>The value must contain an identifier that no other write uses. If it is unknown whether an attempt took effect,
+ * the object is read. If it contains the identifier, the write took effect. If the object has a later version without
+ * the identifier, no copy of the write that is still in flight can take effect. If the version is unchanged, the same
+ * write is sent again with the same condition, so that at most one of the copies takes effect.
  */
 public final class SettledWrite {
 
-    /** The token of the calls, whose answers are not told apart by it. */
+    /** The token of all calls. It need not be unique, since each answer is returned to its own call. */
     private static final long TOKEN = 0;
 
-    /** The largest number of calls. */
+    /** The maximum number of calls. */
     private static final int MAXIMUM_CALLS = 12;
 
-    /** The waits between calls. */
+    /** The backoff between calls. */
     private static final FullJitterBackoff BACKOFF =
             new FullJitterBackoff(Duration.ofMillis(100), Duration.ofSeconds(2), () -> ThreadLocalRandom.current()
                     .nextLong());
@@ -42,19 +42,19 @@
     /** The write. */
     private final PlatformEffect.Write write;
 
-    /** Recognises a value that bears the write's identifier. */
-    private final Predicate<Bytes> bearsIdentifier;
+    /** Tests whether a value contains the write's identifier. */
+    private final Predicate<Bytes> hasIdentifier;
 
     /**
-     * Creates a write that is not sent yet.
+     * Creates a write without sending it.
      *
      * @param client The client.
      * @param purpose The purpose of the calls.
      * @param key The key of the object.
      * @param expectedVersion The version that the object must have, or empty if it must not exist.
      * @param value The value to write, which contains the identifier.
-     * @param bearsIdentifier Recognises a value that bears the write's identifier, either as its own or as the one of a
-     *     write before it.
+     * @param hasIdentifier Tests whether a value contains the write's identifier, either as its own or as that of an
+     *     earlier write.
      */
     public SettledWrite(
             PlatformClient client,
@@ -62,14 +62,14 @@
             ObjectKey key,
             OptionalLong expectedVersion,
             Bytes value,
-            Predicate<Bytes> bearsIdentifier) {
+            Predicate<Bytes> hasIdentifier) {
         this.client = client;
-        this.bearsIdentifier = bearsIdentifier;
+        this.hasIdentifier = hasIdentifier;
         write = new PlatformEffect.Write(TOKEN, purpose, key, expectedVersion, value);
     }
 
     /**
-     * Sends the write once the result is subscribed to, and settles it.
+     * Sends the write once the result is subscribed to, and determines its outcome.
      *
      * @return The outcome.
      */
@@ -80,7 +80,7 @@
     /**
      * Sends the write.
      *
-     * @param progress What is known so far.
+     * @param progress The progress so far.
      * @return The outcome.
      */
     private Single<Outcome> send(Progress progress) {
@@ -89,98 +89,103 @@
                 return Single.just(new Outcome.Applied(accepted.version()));
             }
             if (event instanceof PlatformEvent.Conflict conflict) {
-                return Single.just(conflicting(conflict.current(), progress.maybeApplied()));
+                return Single.just(evaluateConflict(conflict.current(), progress.maybeApplied()));
             }
             PlatformEvent.Unavailable unavailable = (PlatformEvent.Unavailable) event;
             Progress next = progress.withAttempt(unavailable.maybeApplied());
-            return next.maybeApplied() ? later(next, unavailable, this::read) : later(next, unavailable, this::send);
+            return next.maybeApplied()
+                    ? continueAfterDelay(next, unavailable, this::read)
+                    : continueAfterDelay(next, unavailable, this::send);
         });
     }
 
     /**
-     * Reads the object, after an attempt whose effect is unknown.
+     * Reads the object after an attempt whose effect is unknown.
      *
-     * @param progress What is known so far.
+     * @param progress The progress so far.
      * @return The outcome.
      */
     private Single<Outcome> read(Progress progress) {
         return client.execute(new PlatformEffect.Read(TOKEN, write.purpose(), write.key()))
                 .flatMap(event -> {
                     if (event instanceof PlatformEvent.ObjectRead read) {
-                        return seen(read.object(), progress);
+                        return evaluateRead(read.object(), progress);
                     }
-                    return later(progress.withAttempt(false), (PlatformEvent.Unavailable) event, this::read);
+                    return continueAfterDelay(
+                            progress.withAttempt(false), (PlatformEvent.Unavailable) event, this::read);
                 });
     }
 
     /**
-     * Judges the object after an attempt whose effect is unknown. A replica that lags behind may return an older state
-     * than the expected one, which says as little as the expected one itself. For a write that creates an object, such
-     * a state may even be an object that was deleted before, so that only the condition of a further write can tell.
+     * Evaluates the object after an attempt whose effect is unknown. A lagging replica may return an older state than
+     * the expected one, which is as inconclusive as the expected state itself. For a write that creates an object, such
+     * a state may even be an object that has been deleted, so that only the condition of a further write can determine
+     * the outcome.
      *
      * @param object The object that was read, or empty if it does not exist.
-     * @param progress What is known so far.
+     * @param progress The progress so far.
      * @return The outcome.
      */
-    private Single<Outcome> seen(Optional<StoredObject> object, Progress progress) {
-        if (object.isPresent() && bearsIdentifier.test(object.get().value())) {
+    private Single<Outcome> evaluateRead(Optional<StoredObject> object, Progress progress) {
+        if (object.isPresent() && hasIdentifier.test(object.get().value())) {
             return Single.just(new Outcome.Applied(object.get().version()));
         }
-        boolean movedOn = object.isPresent()
+        boolean hasLaterVersion = object.isPresent()
                 && write.expectedVersion().isPresent()
                 && object.get().version() > write.expectedVersion().getAsLong();
-        return movedOn ? Single.just(new Outcome.Overtaken(object)) : send(progress);
+        return hasLaterVersion ? Single.just(new Outcome.Superseded(object)) : send(progress);
     }
 
     /**
-     * Judges a refused write.
+     * Evaluates a rejected write.
      *
-     * @param current The object as it is, or empty if it does not exist.
+     * @param current The current object, or empty if it does not exist.
      * @param maybeApplied Whether an earlier attempt may have taken effect.
      * @return The outcome.
      */
-    private Outcome conflicting(Optional<StoredObject> current, boolean maybeApplied) {
-        if (current.isPresent() && bearsIdentifier.test(current.get().value())) {
+    private Outcome evaluateConflict(Optional<StoredObject> current, boolean maybeApplied) {
+        if (current.isPresent() && hasIdentifier.test(current.get().value())) {
             return new Outcome.Applied(current.get().version());
         }
-        return maybeApplied ? new Outcome.Overtaken(current) : new Outcome.Refused(current);
+        return maybeApplied ? new Outcome.Superseded(current) : new Outcome.Rejected(current);
     }
 
     /**
-     * Goes on after a wait, or gives up.
+     * Continues after a delay, or ends if the maximum number of calls is reached.
      *
-     * @param progress What is known so far.
+     * @param progress The progress so far.
      * @param unavailable The last answer.
-     * @param step The step to go on with.
+     * @param step The next step.
      * @return The outcome.
      */
-    private static Single<Outcome> later(Progress progress, PlatformEvent.Unavailable unavailable, Step step) {
+    private static Single<Outcome> continueAfterDelay(
+            Progress progress, PlatformEvent.Unavailable unavailable, Step step) {
         if (progress.calls() > MAXIMUM_CALLS) {
-            return Single.just(new Outcome.Unsettled(progress.maybeApplied(), unavailable.reason()));
+            return Single.just(new Outcome.Unresolved(progress.maybeApplied(), unavailable.reason()));
         }
-        long wait = BACKOFF.wait(progress.calls()).toNanos();
-        return Single.timer(wait, TimeUnit.NANOSECONDS, Schedulers.computation())
+        long delayNanos = BACKOFF.delayAfter(progress.calls()).toNanos();
+        return Single.timer(delayNanos, TimeUnit.NANOSECONDS, Schedulers.computation())
                 .flatMap(_waited -> step.run(progress));
     }
 
-    /** A step of settling a write. */
+    /** A step of the write. */
     @FunctionalInterface
     private interface Step {
 
         /**
-         * Makes the step.
+         * Runs the step.
          *
-         * @param progress What is known so far.
+         * @param progress The progress so far.
          * @return The outcome.
          */
         Single<Outcome> run(Progress progress);
     }
 
     /**
-     * What is known of a write so far.
+     * The progress of a write.
      *
-     * @param calls The number of the next call, from one.
-     * @param maybeApplied Whether an attempt may have taken effect.
+     * @param calls The number of the next call, starting at one.
+     * @param maybeApplied Whether an earlier attempt may have taken effect.
      */
     private record Progress(int calls, boolean maybeApplied) {
 
@@ -188,45 +193,45 @@
          * Counts a call without a usable answer.
          *
          * @param maybeAppliedNow Whether the call may have taken effect.
-         * @return What is known then.
+         * @return The updated progress.
          */
         private Progress withAttempt(boolean maybeAppliedNow) {
             return new Progress(calls + 1, maybeApplied || maybeAppliedNow);
         }
     }
 
-    /** What became of a write. */
+    /** The outcome of a write. */
     public sealed interface Outcome {
 
         /**
          * The write took effect.
          *
-         * @param version The version of the object that bears the identifier.
+         * @param version The version of the object that contains the identifier.
          */
         record Applied(long version) implements Outcome {}
 
         /**
-         * The write did not take effect, and never will.
+         * The write did not and will not take effect.
          *
-         * @param current The object as it is, or empty if it does not exist.
+         * @param current The current object, or empty if it does not exist.
          */
-        record Refused(Optional<StoredObject> current) implements Outcome {}
+        record Rejected(Optional<StoredObject> current) implements Outcome {}
 
         /**
-         * The object has moved on and does not bear the identifier. Either the write never took effect, or it did and
-         * was replaced since by a write that does not name it. It can no longer take effect.
+         * The object has a later version that does not contain the identifier. Either the write never took effect, or
+         * it did and was replaced by a write that does not contain its identifier. It can no longer take effect.
          *
-         * @param current The object as it is, or empty if it does not exist.
+         * @param current The current object, or empty if it does not exist.
          */
-        record Overtaken(Optional<StoredObject> current) implements Outcome {}
+        record Superseded(Optional<StoredObject> current) implements Outcome {}
 
         /**
-         * The platform did not answer for too long.
+         * The platform did not answer within the maximum number of calls.
          *
          * @param maybeApplied {@code true} if the write may have taken effect or may still do so, {@code false} if it
-         *     surely did not and will not.
+         *     definitely did not and will not.
          * @param reason The reason, for operators.
          */
-        record Unsettled(boolean maybeApplied, String reason) implements Outcome {}
+        record Unresolved(boolean maybeApplied, String reason) implements Outcome {}
     }
 }
--- a/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/StandardDialect.java
+++ b/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/StandardDialect.java
@@ -14,19 +14,19 @@
 import java.util.Optional;
 import okhttp3.Request;
 
-/** The dialect of the product's own object API, which bears versions in headers. */
+/** The dialect of the product's own object API, which transfers versions in headers. */
 final class StandardDialect implements ObjectApiDialect {
 
     /** The status of a read of an object that does not exist. */
     private static final int NOT_FOUND = 404;
 
-    /** The status of a write whose condition did not hold. */
+    /** The status of a write whose condition was not met. */
     private static final int CONFLICT = 409;
 
-    /** The status of a watch from a version that the platform no longer knows. */
+    /** The status of a watch from a version that is no longer in the platform's history. */
     private static final int GONE = 410;
 
-    /** The codec of documents. */
+    /** The JSON mapper. */
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     /** The builder of requests. */
@@ -49,9 +49,9 @@
     @Override
     public PlatformEvent event(PlatformEffect effect, Answer answer) throws IOException {
         if (answer.status() == CONFLICT) {
-            return new PlatformEvent.Conflict(effect.token(), conflicting(keyOf(effect), answer));
+            return new PlatformEvent.Conflict(effect.token(), decodeConflict(changedKey(effect), answer));
         }
-        return answered(effect, answer);
+        return decodeAnswer(effect, answer);
     }
 
     @Override
@@ -60,43 +60,44 @@
     }
 
     /**
-     * Decodes an answer to what was asked.
+     * Decodes an answer other than a conflict.
      *
      * @param effect The call.
      * @param answer The answer.
      * @return The event.
-     * @throws IOException If the answer can't be decoded.
+     * @throws IOException If the answer cannot be decoded.
      */
-    private static PlatformEvent answered(PlatformEffect effect, Answer answer) throws IOException {
+    private static PlatformEvent decodeAnswer(PlatformEffect effect, Answer answer) throws IOException {
         long token = effect.token();
         if (effect instanceof PlatformEffect.Read read) {
             return new PlatformEvent.ObjectRead(
-                    token, answer.status() == NOT_FOUND ? Optional.empty() : Optional.of(stored(read.key(), answer)));
+                    token,
+                    answer.status() == NOT_FOUND ? Optional.empty() : Optional.of(decodeObject(read.key(), answer)));
         }
         if (effect instanceof PlatformEffect.Watch watch) {
-            return watched(watch, answer);
+            return decodeWatch(watch, answer);
         }
         JsonNode document = MAPPER.readTree(answer.body().unsafeArray());
         if (effect instanceof PlatformEffect.ListKind list) {
             return new PlatformEvent.ObjectsListed(
-                    token, objects(list.kind(), document), number(document, "version"), false);
+                    token, decodeObjects(list.kind(), document), integer(document, "version"), false);
         }
         if (effect instanceof PlatformEffect.ListVirtualMachines) {
-            return new PlatformEvent.VirtualMachinesListed(token, virtualMachines(document));
+            return new PlatformEvent.VirtualMachinesListed(token, decodeVirtualMachines(document));
         }
-        return new PlatformEvent.Accepted(token, number(document, "version"));
+        return new PlatformEvent.Accepted(token, integer(document, "version"));
     }
 
     /**
-     * Decodes the answer to a watch. Its version never falls behind the one that was asked for, even if a replica that
-     * lags behind answered, since watching from the older version would bring old changes again.
+     * Decodes the answer to a watch. The returned version is never lower than the requested one, even if a lagging
+     * replica answered, since a watch from the lower version would return old changes again.
      *
      * @param watch The watch.
      * @param answer The answer.
      * @return The event.
-     * @throws IOException If the answer can't be decoded.
+     * @throws IOException If the answer cannot be decoded.
      */
-    private static PlatformEvent watched(PlatformEffect.Watch watch, Answer answer) throws IOException {
+    private static PlatformEvent decodeWatch(PlatformEffect.Watch watch, Answer answer) throws IOException {
         if (answer.status() == GONE) {
             return new PlatformEvent.ObjectsListed(watch.token(), List.of(), watch.afterVersion(), true);
         }
@@ -104,32 +105,32 @@
         if (document.path("reset").asBoolean()) {
             return new PlatformEvent.ObjectsListed(watch.token(), List.of(), watch.afterVersion(), true);
         }
-        List<StoredObject> changes = objects(watch.kind(), document);
+        List<StoredObject> changes = decodeObjects(watch.kind(), document);
         changes.removeIf(change -> change.version() <= watch.afterVersion());
-        long version = Math.max(watch.afterVersion(), number(document, "version"));
+        long version = Math.max(watch.afterVersion(), integer(document, "version"));
         return new PlatformEvent.ObjectsListed(watch.token(), changes, version, false);
     }
 
     /**
-     * Returns the key of the object that a call changes.
+     * Returns the key of the object that a write or deletion changes.
      *
      * @param effect The call.
      * @return The key.
      */
-    private static ObjectKey keyOf(PlatformEffect effect) {
+    private static ObjectKey changedKey(PlatformEffect effect) {
         return effect instanceof PlatformEffect.Write write ? write.key() : ((PlatformEffect.Delete) effect).key();
     }
 
     /**
-     * Decodes the object that a refused write found.
+     * Decodes the object that a write conflicted with.
      *
      * @param key The object's key.
      * @param answer The answer.
      * @return The object, or empty if it does not exist.
-     * @throws IOException If the answer can't be decoded.
+     * @throws IOException If the answer cannot be decoded.
      */
-    private static Optional<StoredObject> conflicting(ObjectKey key, Answer answer) throws IOException {
-        return answer.version().isEmpty() ? Optional.empty() : Optional.of(stored(key, answer));
+    private static Optional<StoredObject> decodeConflict(ObjectKey key, Answer answer) throws IOException {
+        return answer.version().isEmpty() ? Optional.empty() : Optional.of(decodeObject(key, answer));
     }
 
     /**
@@ -138,10 +139,10 @@
      * @param key The object's key.
      * @param answer The answer, whose body is the value.
      * @return The object.
-     * @throws IOException If the answer bears no version.
+     * @throws IOException If the answer has no version.
      */
-    private static StoredObject stored(ObjectKey key, Answer answer) throws IOException {
-        String version = answer.version().orElseThrow(() -> new IOException("no version"));
+    private static StoredObject decodeObject(ObjectKey key, Answer answer) throws IOException {
+        String version = answer.version().orElseThrow(() -> new IOException("answer has no version header"));
         return new StoredObject(key, Long.parseLong(version), answer.body(), false);
     }
 
@@ -150,16 +151,16 @@
      *
      * @param kind The kind of the objects.
      * @param document The document.
-     * @return The objects in the order of their versions.
-     * @throws IOException If the document is not a list.
+     * @return The objects, ordered by version.
+     * @throws IOException If the document does not contain a valid list.
      */
-    private static List<StoredObject> objects(String kind, JsonNode document) throws IOException {
+    private static List<StoredObject> decodeObjects(String kind, JsonNode document) throws IOException {
         List<StoredObject> objects = new ArrayList<>();
         for (JsonNode node : array(document, "objects")) {
             ObjectKey key = new ObjectKey(kind, node.path("name").asText());
             Bytes value = Bytes.wrap(node.path("value").binaryValue());
             objects.add(new StoredObject(
-                    key, number(node, "version"), value, node.path("deleted").asBoolean()));
+                    key, integer(node, "version"), value, node.path("deleted").asBoolean()));
         }
         objects.sort(Comparator.comparingLong(StoredObject::version));
         return objects;
@@ -170,47 +171,47 @@
      *
      * @param document The document.
      * @return The VMs.
-     * @throws IOException If the document is not a list.
+     * @throws IOException If the document does not contain a valid list.
      */
-    private static List<PlatformEvent.VirtualMachine> virtualMachines(JsonNode document) throws IOException {
-        List<PlatformEvent.VirtualMachine> machines = new ArrayList<>();
+    private static List<PlatformEvent.VirtualMachine> decodeVirtualMachines(JsonNode document) throws IOException {
+        List<PlatformEvent.VirtualMachine> vms = new ArrayList<>();
         for (JsonNode node : array(document, "virtualMachines")) {
-            machines.add(new PlatformEvent.VirtualMachine(
+            vms.add(new PlatformEvent.VirtualMachine(
                     node.path("name").asText(),
                     node.path("address").asText(),
                     node.path("leaving").asBoolean()));
         }
-        return machines;
+        return vms;
     }
 
     /**
-     * Returns a list from a document.
+     * Returns an array from a document.
      *
      * @param document The document.
-     * @param name The list's name.
-     * @return The list.
-     * @throws IOException If there is none.
+     * @param name The name of the array.
+     * @return The array.
+     * @throws IOException If the document does not contain it.
      */
     private static JsonNode array(JsonNode document, String name) throws IOException {
         JsonNode node = document.path(name);
         if (!node.isArray()) {
-            throw new IOException("no list " + name);
+            throw new IOException("document has no array " + name);
         }
         return node;
     }
 
     /**
-     * Returns a whole number from a document.
+     * Returns an integer from a document.
      *
      * @param document The document.
-     * @param name The number's name.
-     * @return The number.
-     * @throws IOException If there is none.
+     * @param name The name of the integer.
+     * @return The integer.
+     * @throws IOException If the document does not contain it.
      */
-    private static long number(JsonNode document, String name) throws IOException {
+    private static long integer(JsonNode document, String name) throws IOException {
         JsonNode node = document.path(name);
         if (!node.isIntegralNumber()) {
-            throw new IOException("no number " + name);
+            throw new IOException("document has no integer " + name);
         }
         return node.asLong();
     }
--- a/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/TokenBucket.java
+++ b/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/TokenBucket.java
@@ -2,83 +2,84 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** A bucket that fills at a rate and from which calls take tokens. It is not safe for use by several threads. */
+/** A token bucket that refills at a constant rate. It is not thread-safe. */
 final class TokenBucket {
 
-    /** The tokens earned each second. */
-    private double perSecond;
+    /** The number of tokens added per second. */
+    private double tokensPerSecond;
 
-    /** The largest number of tokens. */
+    /** The maximum number of tokens. */
     private double capacity;
 
-    /** The tokens at {@link #updatedAt}. */
+    /** The number of tokens at {@link #updatedAt}. */
     private double tokens;
 
-    /** The time in nanoseconds for which {@link #tokens} holds. */
+    /** The monotonic time in nanoseconds at which {@link #tokens} was updated. */
     private long updatedAt;
 
     /**
      * Creates a full bucket.
      *
-     * @param perSecond The tokens earned each second, of which one second's worth can be saved.
-     * @param now The time in nanoseconds.
+     * @param tokensPerSecond The number of tokens added per second. The capacity is that of one second, but at least
+     *     one token.
+     * @param now The monotonic time in nanoseconds.
      */
-    TokenBucket(double perSecond, long now) {
-        this.perSecond = perSecond;
-        capacity = Math.max(1, perSecond);
+    TokenBucket(double tokensPerSecond, long now) {
+        this.tokensPerSecond = tokensPerSecond;
+        capacity = Math.max(1, tokensPerSecond);
         tokens = capacity;
         updatedAt = now;
     }
 
     /**
-     * Changes the rate. Tokens that exceed the new capacity are lost.
+     * Changes the rate. Tokens that exceed the new capacity are discarded.
      *
-     * @param newPerSecond The tokens earned each second.
-     * @param now The time in nanoseconds.
+     * @param newTokensPerSecond The number of tokens added per second.
+     * @param now The monotonic time in nanoseconds.
      */
-    void changeRate(double newPerSecond, long now) {
-        fill(now);
-        perSecond = newPerSecond;
-        capacity = Math.max(1, newPerSecond);
+    void changeRate(double newTokensPerSecond, long now) {
+        refill(now);
+        tokensPerSecond = newTokensPerSecond;
+        capacity = Math.max(1, newTokensPerSecond);
         tokens = Math.min(tokens, capacity);
     }
 
     /**
-     * Returns whether a token could be taken.
+     * Returns whether a token can be taken.
      *
      * @param reserve The share of the capacity that must remain.
-     * @param now The time in nanoseconds.
-     * @return {@code true} if a token could be taken.
+     * @param now The monotonic time in nanoseconds.
+     * @return {@code true} if a token can be taken.
      */
-    boolean has(double reserve, long now) {
-        fill(now);
+    boolean hasToken(double reserve, long now) {
+        refill(now);
         return tokens >= 1 && tokens - 1 >= Math.floor(capacity * reserve);
     }
 
-    /** Takes a token, after {@link #has} found one. */
+    /** Takes a token. The caller must have checked {@link #hasToken} first. */
     void take() {
         tokens--;
     }
 
     /**
-     * Drops what was saved.
+     * Discards saved tokens.
      *
-     * @param remaining The share of the capacity that may remain.
-     * @param now The time in nanoseconds.
+     * @param remaining The maximum share of the capacity that remains.
+     * @param now The monotonic time in nanoseconds.
      */
     void drain(double remaining, long now) {
-        fill(now);
+        refill(now);
         tokens = Math.min(tokens, capacity * remaining);
     }
 
     /**
-     * Adds the tokens earned since the last time.
+     * Adds the tokens for the time since the last update.
      *
-     * @param now The time in nanoseconds.
+     * @param now The monotonic time in nanoseconds.
      */
-    private void fill(long now) {
-        double earned = perSecond * (now - updatedAt) / TimeUnit.SECONDS.toNanos(1);
-        tokens = Math.min(capacity, tokens + earned);
+    private void refill(long now) {
+        double added = tokensPerSecond * (now - updatedAt) / TimeUnit.SECONDS.toNanos(1);
+        tokens = Math.min(capacity, tokens + added);
         updatedAt = now;
     }
 }
--- a/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/package-info.java
+++ b/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The client of the platform's object API: it carries out the decision core's calls within rate limits, never repeats a
- * write blindly, and keeps quiet while the platform is out of service.
+ * The client of the platform's object API: it executes the decision core's calls within rate limits, never retries a
+ * write without checking its effect, and stops calls while the platform is failing.
  */
 package io.yuccaswitch.platform;
--- a/yuccaswitch-platform/src/test/java/io/yuccaswitch/platform/CallBudgetTest.java
+++ b/yuccaswitch-platform/src/test/java/io/yuccaswitch/platform/CallBudgetTest.java
@@ -14,59 +14,59 @@
     private final CallBudget budget = new CallBudget(new CallRates(100, 100), clock::get);
 
     @Test
-    void noSingleOrdinaryPurposeTakesMoreThanItsShare() {
-        assertThat(taken(PlatformPurpose.SAMPLE)).isEqualTo(50);
-        assertThat(taken(PlatformPurpose.REQUEST)).isEqualTo(20);
+    void anOrdinaryPurposeIsLimitedToItsShare() {
+        assertThat(acquireAll(PlatformPurpose.SAMPLE)).isEqualTo(50);
+        assertThat(acquireAll(PlatformPurpose.REQUEST)).isEqualTo(20);
     }
 
     @Test
-    void leasesAndConfigurationGoOnWhenOrdinaryPurposesHaveTakenTheirs() {
-        taken(PlatformPurpose.SAMPLE);
-        taken(PlatformPurpose.REQUEST);
-        assertThat(taken(PlatformPurpose.WEIGHT)).isZero();
-        assertThat(taken(PlatformPurpose.LEASE)).isEqualTo(30);
-        assertThat(taken(PlatformPurpose.CONFIGURATION)).isZero();
+    void leasesAndConfigurationUseTheReserveAfterOrdinaryPurposesHaveUsedTheirShare() {
+        acquireAll(PlatformPurpose.SAMPLE);
+        acquireAll(PlatformPurpose.REQUEST);
+        assertThat(acquireAll(PlatformPurpose.WEIGHT)).isZero();
+        assertThat(acquireAll(PlatformPurpose.LEASE)).isEqualTo(30);
+        assertThat(acquireAll(PlatformPurpose.CONFIGURATION)).isZero();
     }
 
     @Test
-    void writesAndReadsAreCountedApart() {
-        taken(PlatformPurpose.LEASE);
+    void writesAndReadsAreLimitedSeparately() {
+        acquireAll(PlatformPurpose.LEASE);
         assertThat(budget.tryAcquire(PlatformPurpose.LEASE, false)).isTrue();
     }
 
     @Test
-    void theRateHoldsOverTime() {
-        int taken = taken(PlatformPurpose.LEASE);
+    void theRateIsKeptOverTime() {
+        int taken = acquireAll(PlatformPurpose.LEASE);
         for (int step = 0; step < 500; step++) {
             clock.addAndGet(Duration.ofMillis(20).toNanos());
-            taken += taken(PlatformPurpose.LEASE);
+            taken += acquireAll(PlatformPurpose.LEASE);
         }
         assertThat(taken).isBetween(875, 880);
     }
 
     @Test
-    void aFaultThatMakesLeasesAndConfigurationCallWithoutEndLeavesAFifthToTheOthers() {
+    void continuousCallsForLeasesAndConfigurationLeaveAFifthOfTheRateToOtherPurposes() {
         int ordinary = 0;
         for (int step = 0; step < 1000; step++) {
             clock.addAndGet(Duration.ofMillis(10).toNanos());
-            taken(PlatformPurpose.LEASE);
-            taken(PlatformPurpose.CONFIGURATION);
-            ordinary += taken(PlatformPurpose.SAMPLE);
+            acquireAll(PlatformPurpose.LEASE);
+            acquireAll(PlatformPurpose.CONFIGURATION);
+            ordinary += acquireAll(PlatformPurpose.SAMPLE);
         }
         assertThat(ordinary).isBetween(150, 250);
     }
 
     @Test
-    void afterTheReturnOfThePlatformOrdinaryCallsWaitForTheSteadyRate() {
+    void afterTheBudgetIsDrainedOrdinaryCallsAreLimitedToTheSteadyRate() {
         budget.drain();
         assertThat(budget.tryAcquire(PlatformPurpose.SAMPLE, true)).isFalse();
         assertThat(budget.tryAcquire(PlatformPurpose.LEASE, true)).isTrue();
         clock.addAndGet(Duration.ofMillis(100).toNanos());
-        assertThat(taken(PlatformPurpose.SAMPLE)).isBetween(8, 10);
+        assertThat(acquireAll(PlatformPurpose.SAMPLE)).isBetween(8, 10);
     }
 
     @Test
-    void aNodeOfALargeFleetCanStillRenewThreeLeasesEachSecond() {
+    void aNodeOfALargeFleetCanRenewThreeLeasesPerSecond() {
         CallBudget small = new CallBudget(CallRates.DEFAULT.shareOf(350), clock::get);
         int renewed = 0;
         for (int second = 0; second < 60; second++) {
@@ -79,13 +79,13 @@
     }
 
     @Test
-    void aLowerRateTakesAwayWhatWasSaved() {
+    void aLowerRateDiscardsSavedTokens() {
         budget.changeRates(new CallRates(10, 10));
-        assertThat(taken(PlatformPurpose.LEASE)).isEqualTo(8);
-        assertThat(taken(PlatformPurpose.SAMPLE)).isZero();
+        assertThat(acquireAll(PlatformPurpose.LEASE)).isEqualTo(8);
+        assertThat(acquireAll(PlatformPurpose.SAMPLE)).isZero();
     }
 
-    private int taken(PlatformPurpose purpose) {
+    private int acquireAll(PlatformPurpose purpose) {
         int taken = 0;
         while (budget.tryAcquire(purpose, true)) {
             taken++;
--- a/yuccaswitch-platform/src/test/java/io/yuccaswitch/platform/Calls.java
+++ b/yuccaswitch-platform/src/test/java/io/yuccaswitch/platform/Calls.java
@@ -8,12 +8,12 @@
 import java.time.Duration;
 import java.util.OptionalLong;
 
-/** Calls about one object, with the answers waited for. */
+/** Blocking calls for one object. */
 record Calls(PlatformClient client) {
 
     static final ObjectKey KEY = new ObjectKey("lease", "pool");
 
-    /** Settings that fail fast: no second attempt, and a circuit that never opens. */
+    /** Returns settings with short timeouts, no retries and a circuit that never opens. */
     static PlatformClientSettings settings(int port) {
         return PlatformClientSettings.of("http://127.0.0.1:" + port)
                 .withTimes(Duration.ofMillis(700), Duration.ofMillis(500))
--- a/yuccaswitch-platform/src/test/java/io/yuccaswitch/platform/CircuitTest.java
+++ b/yuccaswitch-platform/src/test/java/io/yuccaswitch/platform/CircuitTest.java
@@ -14,20 +14,20 @@
 
 class CircuitTest {
 
-    private static final Duration MAXIMUM_WAIT = Duration.ofSeconds(5);
+    private static final Duration MAXIMUM_DELAY = Duration.ofSeconds(5);
 
-    private static final Duration MAXIMUM_LEASE_WAIT = Duration.ofSeconds(1);
+    private static final Duration MAXIMUM_LEASE_DELAY = Duration.ofSeconds(1);
 
     private static final Duration STEP = Duration.ofMillis(20);
 
     private final AtomicLong clock = new AtomicLong();
 
-    private final AtomicInteger closings = new AtomicInteger();
+    private final AtomicInteger closeCount = new AtomicInteger();
 
     private final Circuit circuit = circuit(1);
 
     @Test
-    void theCircuitOpensOnlyAfterFailuresInARow() {
+    void theCircuitOpensOnlyAfterConsecutiveFailures() {
         circuit.failed(circuit.admit(PlatformPurpose.SAMPLE));
         circuit.failed(circuit.admit(PlatformPurpose.SAMPLE));
         circuit.succeeded();
@@ -39,35 +39,35 @@
     }
 
     @Test
-    void onlyOneProbeIsOnItsWayAndItsSuccessClosesTheCircuit() {
+    void onlyOneProbeIsInFlightAndItsSuccessClosesTheCircuit() {
         open(circuit);
-        advance(MAXIMUM_WAIT);
+        advance(MAXIMUM_DELAY);
         assertThat(circuit.admit(PlatformPurpose.SAMPLE)).isEqualTo(Admission.PROBE);
         assertThat(circuit.admit(PlatformPurpose.SAMPLE)).isEqualTo(Admission.REFUSE);
         circuit.succeeded();
         assertThat(circuit.admit(PlatformPurpose.SAMPLE)).isEqualTo(Admission.PASS);
-        assertThat(closings).hasValue(1);
+        assertThat(closeCount).hasValue(1);
     }
 
     @Test
-    void aProbeThatNobodyWaitsForAnyLongerLetsAnotherOneThrough() {
+    void afterAnAbandonedProbeAnotherOneIsAdmitted() {
         open(circuit);
-        advance(MAXIMUM_WAIT);
+        advance(MAXIMUM_DELAY);
         circuit.abandoned(circuit.admit(PlatformPurpose.SAMPLE));
         assertThat(circuit.admit(PlatformPurpose.SAMPLE)).isEqualTo(Admission.PROBE);
     }
 
     @Test
-    void aLateFailureOfAnOlderCallDoesNotPutOffTheProbe() {
+    void aLateFailureOfAnEarlierCallDoesNotDelayTheProbe() {
         open(circuit);
-        Duration before = circuit.untilProbe();
+        Duration before = circuit.timeUntilProbe();
         circuit.failed(Admission.PASS);
-        assertThat(circuit.untilProbe()).isEqualTo(before);
+        assertThat(circuit.timeUntilProbe()).isEqualTo(before);
     }
 
     @ParameterizedTest
     @EnumSource(PlatformPurpose.class)
-    void anOutageOfAnHourCostsFewProbesForEachPurpose(PlatformPurpose purpose) {
+    void anOutageOfAnHourCausesFewProbesForEachPurpose(PlatformPurpose purpose) {
         open(circuit);
         int probes = 0;
         for (Duration time = Duration.ZERO; time.compareTo(Duration.ofHours(1)) < 0; time = time.plus(STEP)) {
@@ -82,22 +82,22 @@
         } else {
             assertThat(probes).isBetween(1300, 1600);
         }
-        advance(MAXIMUM_WAIT);
+        advance(MAXIMUM_DELAY);
         assertThat(circuit.admit(purpose)).isEqualTo(Admission.PROBE);
     }
 
     @Test
-    void clientsThatFailedTogetherProbeSpreadOverTheWait() {
-        int tenths = (int) (MAXIMUM_WAIT.toMillis() / 100);
+    void probesOfClientsThatFailedTogetherAreSpreadOverTheDelay() {
+        int tenths = (int) (MAXIMUM_DELAY.toMillis() / 100);
         int[] probes = new int[tenths + 1];
         for (int client = 0; client < 350; client++) {
             Circuit other = circuit(client);
             open(other);
             for (int failure = 0; failure < 10; failure++) {
-                advance(MAXIMUM_WAIT);
+                advance(MAXIMUM_DELAY);
                 other.failed(other.admit(PlatformPurpose.SAMPLE));
             }
-            probes[(int) (other.untilProbe().toMillis() / 100)]++;
+            probes[(int) (other.timeUntilProbe().toMillis() / 100)]++;
         }
         assertThat(probes).satisfies(counts -> {
             for (int count : counts) {
@@ -107,23 +107,23 @@
     }
 
     @Test
-    void aLeaseIsRenewedSoonAfterTheReturnHoweverLongTheOutageWas() {
+    void aProbeForALeaseIsAdmittedWithinTheMaximumLeaseDelayAfterALongOutage() {
         for (int seed = 0; seed < 100; seed++) {
             Circuit other = circuit(seed);
             open(other);
             for (int failure = 0; failure < 20; failure++) {
-                advance(MAXIMUM_WAIT);
+                advance(MAXIMUM_DELAY);
                 other.failed(other.admit(PlatformPurpose.SAMPLE));
             }
-            advance(MAXIMUM_LEASE_WAIT);
+            advance(MAXIMUM_LEASE_DELAY);
             assertThat(other.admit(PlatformPurpose.LEASE)).isEqualTo(Admission.PROBE);
         }
     }
 
     private Circuit circuit(long seed) {
         FullJitterBackoff backoff =
-                new FullJitterBackoff(Duration.ofMillis(200), MAXIMUM_WAIT, new SplittableRandom(seed));
-        return new Circuit(3, backoff, MAXIMUM_LEASE_WAIT, clock::get, closings::incrementAndGet);
+                new FullJitterBackoff(Duration.ofMillis(200), MAXIMUM_DELAY, new SplittableRandom(seed));
+        return new Circuit(3, backoff, MAXIMUM_LEASE_DELAY, clock::get, closeCount::incrementAndGet);
     }
 
     private static void open(Circuit circuit) {
--- a/yuccaswitch-platform/src/test/java/io/yuccaswitch/platform/PlatformBenchmark.java
+++ b/yuccaswitch-platform/src/test/java/io/yuccaswitch/platform/PlatformBenchmark.java
@@ -36,28 +36,28 @@
  */
 class PlatformBenchmark {
 
-    private static final Duration STEADY = Duration.ofSeconds(10);
+    private static final Duration STEADY_DURATION = Duration.ofSeconds(10);
 
-    private static final Duration OUTAGE = Duration.ofSeconds(20);
+    private static final Duration OUTAGE_DURATION = Duration.ofSeconds(20);
 
-    private static final Duration OBSERVED = Duration.ofSeconds(10);
+    private static final Duration RECOVERY_DURATION = Duration.ofSeconds(10);
 
-    private static final Duration PAUSE_AFTER_ANSWER = Duration.ofSeconds(1);
+    private static final Duration DELAY_AFTER_ANSWER = Duration.ofSeconds(1);
 
-    private static final Duration PAUSE_AFTER_FAILURE = Duration.ofMillis(100);
+    private static final Duration DELAY_AFTER_FAILURE = Duration.ofMillis(100);
 
-    private static final Duration PAUSE_AFTER_REFUSAL = Duration.ofMillis(1);
+    private static final Duration DELAY_AFTER_REJECTION = Duration.ofMillis(1);
 
-    private static final int LEASE_HOLDERS_ONE_IN = 10;
+    private static final int NODES_PER_LEASE_HOLDER = 10;
 
-    private static final int LARGEST_HERD_WITHOUT_CIRCUIT = 64;
+    private static final int MAXIMUM_CLIENTS_WITHOUT_CIRCUIT = 64;
 
     private static final CircuitSettings NO_CIRCUIT =
             new CircuitSettings(Integer.MAX_VALUE, Duration.ZERO, Duration.ZERO, Duration.ZERO);
 
     private final PlatformStandIn platform = PlatformStandIn.start(0, Optional.empty());
 
-    private final AtomicLong names = new AtomicLong();
+    private final AtomicLong nameSequence = new AtomicLong();
 
     @AfterEach
     void close() {
@@ -66,8 +66,8 @@
 
     @Test
     void callsOfOneClientByPurpose() throws InterruptedException {
-        calls("without a limit", new CallRates(1_000_000, 1_000_000));
-        calls("at the default rates", CallRates.DEFAULT);
+        measureCalls("without a limit", new CallRates(1_000_000, 1_000_000));
+        measureCalls("at the default rates", CallRates.DEFAULT);
     }
 
     @Test
@@ -75,24 +75,24 @@
         print(
                 "clients, circuit: calls/s before | in the outage | first second | largest 100 ms | all clients answered");
         for (int clients : new int[] {8, 64, 350}) {
-            if (clients <= LARGEST_HERD_WITHOUT_CIRCUIT) {
-                herd(clients, NO_CIRCUIT);
+            if (clients <= MAXIMUM_CLIENTS_WITHOUT_CIRCUIT) {
+                measureOutage(clients, NO_CIRCUIT);
             }
-            herd(clients, CircuitSettings.DEFAULT);
+            measureOutage(clients, CircuitSettings.DEFAULT);
         }
     }
 
-    private void calls(String label, CallRates rates) throws InterruptedException {
+    private void measureCalls(String label, CallRates rates) throws InterruptedException {
         MetricRegistry registry = new MetricRegistry();
         PlatformClientSettings settings = settings(CircuitSettings.DEFAULT).withRates(rates);
         try (PlatformClient client = new PlatformClient(settings, registry)) {
             CompositeDisposable loops = new CompositeDisposable();
             for (PlatformPurpose purpose : PlatformPurpose.values()) {
-                Supplier<PlatformEffect> write = () -> write(purpose, "object-" + names.incrementAndGet());
-                loops.add(loop(client, write, PAUSE_AFTER_REFUSAL, Duration.ZERO, () -> {}));
-                loops.add(loop(client, () -> read(purpose), PAUSE_AFTER_REFUSAL, Duration.ZERO, () -> {}));
+                Supplier<PlatformEffect> write = () -> write(purpose, "object-" + nameSequence.incrementAndGet());
+                loops.add(loop(client, write, DELAY_AFTER_REJECTION, Duration.ZERO, () -> {}));
+                loops.add(loop(client, () -> read(purpose), DELAY_AFTER_REJECTION, Duration.ZERO, () -> {}));
             }
-            TimeUnit.NANOSECONDS.sleep(STEADY.toNanos());
+            TimeUnit.NANOSECONDS.sleep(STEADY_DURATION.toNanos());
             loops.dispose();
         }
         print("one client " + label + ", a write and a read in flight for each purpose:");
@@ -104,37 +104,37 @@
                     Locale.ROOT,
                     "  %-14s %7.1f calls/s, p50 %.2f ms, p99 %.2f ms",
                     name,
-                    registry.counter("platform.sent." + name).getCount() / (double) STEADY.toSeconds(),
+                    registry.counter("platform.sent." + name).getCount() / (double) STEADY_DURATION.toSeconds(),
                     snapshot.getMedian() / 1e6,
                     snapshot.get99thPercentile() / 1e6));
         }
     }
 
-    private void herd(int clients, CircuitSettings circuit) throws InterruptedException {
+    private void measureOutage(int clients, CircuitSettings circuit) throws InterruptedException {
         List<PlatformClient> all = new ArrayList<>();
         ConcurrentHashMap<Integer, Long> answeredAt = new ConcurrentHashMap<>();
         CompositeDisposable loops = new CompositeDisposable();
         for (int index = 0; index < clients; index++) {
             PlatformClient client = new PlatformClient(settings(circuit), new MetricRegistry());
             all.add(client);
-            node(client, index, answeredAt, loops);
+            startNode(client, index, answeredAt, loops);
         }
-        TimeUnit.NANOSECONDS.sleep(STEADY.toNanos());
-        double before = rate(STEADY);
+        TimeUnit.NANOSECONDS.sleep(STEADY_DURATION.toNanos());
+        double before = rate(STEADY_DURATION);
         platform.faults().outage(Outage.ERROR);
         platform.resetCounts();
-        TimeUnit.NANOSECONDS.sleep(OUTAGE.toNanos());
-        double during = rate(OUTAGE);
+        TimeUnit.NANOSECONDS.sleep(OUTAGE_DURATION.toNanos());
+        double during = rate(OUTAGE_DURATION);
         answeredAt.clear();
         platform.resetCounts();
         platform.faults().outage(Outage.NONE);
-        long returnedAt = System.nanoTime();
+        long recoveredAt = System.nanoTime();
         TimeUnit.SECONDS.sleep(1);
         long first = platform.callCount();
         long largest = platform.largestTenthOfSecond();
-        TimeUnit.NANOSECONDS.sleep(OBSERVED.toNanos());
+        TimeUnit.NANOSECONDS.sleep(RECOVERY_DURATION.toNanos());
         long last =
-                answeredAt.values().stream().mapToLong(Long::longValue).max().orElse(returnedAt);
+                answeredAt.values().stream().mapToLong(Long::longValue).max().orElse(recoveredAt);
         print(String.format(
                 Locale.ROOT,
                 "  %3d, %-7s: %7.1f | %8.1f | %6d | %5d | %d of %d after %.2f s",
@@ -146,48 +146,48 @@
                 largest,
                 answeredAt.size(),
                 clients,
-                (last - returnedAt) / 1e9));
+                (last - recoveredAt) / 1e9));
         loops.dispose();
         all.forEach(PlatformClient::close);
         platform.resetCounts();
     }
 
     /**
-     * A node: a watch, and a write of samples, a list of VMs and a further write each second, which is for a lease on a
-     * few nodes.
+     * Starts the calls of a node: a watch, and once a second a write of samples, a list of VMs and a further write. The
+     * further write is for a lease on one node in ten, and for a weight on the others.
      */
-    private void node(
+    private void startNode(
             PlatformClient client, int index, ConcurrentHashMap<Integer, Long> answeredAt, CompositeDisposable loops) {
         List<Supplier<PlatformEffect>> effects = List.of(
                 () -> write(
-                        index % LEASE_HOLDERS_ONE_IN == 0 ? PlatformPurpose.LEASE : PlatformPurpose.WEIGHT,
-                        "object-" + names.incrementAndGet()),
-                () -> write(PlatformPurpose.SAMPLE, "sample-" + names.incrementAndGet()),
+                        index % NODES_PER_LEASE_HOLDER == 0 ? PlatformPurpose.LEASE : PlatformPurpose.WEIGHT,
+                        "object-" + nameSequence.incrementAndGet()),
+                () -> write(PlatformPurpose.SAMPLE, "sample-" + nameSequence.incrementAndGet()),
                 () -> new PlatformEffect.ListVirtualMachines(0, PlatformPurpose.MEMBERSHIP),
                 () -> new PlatformEffect.Watch(0, PlatformPurpose.CONFIGURATION, "nothing", 0));
         Runnable answered = () -> answeredAt.putIfAbsent(index, System.nanoTime());
-        effects.forEach(effect -> loops.add(loop(client, effect, PAUSE_AFTER_FAILURE, PAUSE_AFTER_ANSWER, answered)));
+        effects.forEach(effect -> loops.add(loop(client, effect, DELAY_AFTER_FAILURE, DELAY_AFTER_ANSWER, answered)));
     }
 
     private static Disposable loop(
             PlatformClient client,
             Supplier<PlatformEffect> effect,
-            Duration pauseAfterFailure,
-            Duration pauseAfterAnswer,
+            Duration delayAfterFailure,
+            Duration delayAfterAnswer,
             Runnable answered) {
         return Single.defer(() -> client.execute(effect.get()))
                 .flatMap(event -> {
                     if (event instanceof PlatformEvent.Unavailable) {
-                        return pause(pauseAfterFailure);
+                        return delay(delayAfterFailure);
                     }
                     answered.run();
-                    return pause(pauseAfterAnswer);
+                    return delay(delayAfterAnswer);
                 })
                 .repeat()
                 .subscribe();
     }
 
-    private static Single<Long> pause(Duration time) {
+    private static Single<Long> delay(Duration time) {
         return Single.timer(time.toNanos(), TimeUnit.NANOSECONDS, Schedulers.computation());
     }
 
--- a/yuccaswitch-platform/src/test/java/io/yuccaswitch/platform/PlatformClientSettingsTest.java
+++ b/yuccaswitch-platform/src/test/java/io/yuccaswitch/platform/PlatformClientSettingsTest.java
@@ -7,7 +7,7 @@
 class PlatformClientSettingsTest {
 
     @Test
-    void anAddressWithoutASchemeIsTakenAsHostAndPort() {
+    void anAddressWithoutASchemeIsParsedAsHostAndPort() {
         assertThat(PlatformClientSettings.of("10.0.0.5:8080").address()).isEqualTo("http://10.0.0.5:8080");
         assertThat(PlatformClientSettings.of("https://platform:8443").address()).isEqualTo("https://platform:8443");
     }
--- a/yuccaswitch-platform/src/test/java/io/yuccaswitch/platform/PlatformFaultTest.java
+++ b/yuccaswitch-platform/src/test/java/io/yuccaswitch/platform/PlatformFaultTest.java
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void aWriteThatIsLostOnItsWayIsNotRepeated() {
+    void aWriteWhoseRequestIsLostIsNotRepeated() {
         platform.faults().loseRequests(1);
         assertMaybeApplied(calls.create("a"), true);
         assertThat(platform.callCount("write lease")).isEqualTo(1);
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void aWriteOnAConnectionThatDiedWhileIdleIsNotRepeated() {
+    void aWriteOnABrokenIdleConnectionIsNotRepeated() {
         calls.create("a");
         link.apply(LinkFaults.NONE.withReset(Direction.UP, 10));
         assertMaybeApplied(calls.replace(1, "b"), true);
@@ -88,19 +88,19 @@
     }
 
     @Test
-    void aWriteThatFoundNoConnectionSurelyDidNotTakeEffect() {
+    void aWriteWhoseConnectionIsRefusedDefinitelyDidNotTakeEffect() {
         link.apply(LinkFaults.of(LinkMode.REFUSE));
         assertMaybeApplied(calls.create("a"), false);
     }
 
     @Test
-    void aWriteIntoSilenceMayHaveTakenEffect() {
+    void aWriteOnAConnectionThatDropsAllBytesMayHaveTakenEffect() {
         link.apply(LinkFaults.of(LinkMode.BLACKHOLE));
         assertMaybeApplied(calls.create("a"), true);
     }
 
     @Test
-    void aWriteWhoseAnswerComesTooLateMayHaveTakenEffect() {
+    void aWriteWhoseAnswerArrivesAfterTheTimeoutMayHaveTakenEffect() {
         platform.faults().delay(Duration.ofSeconds(2));
         assertMaybeApplied(calls.create("a"), true);
         platform.faults().delay(Duration.ZERO);
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void aWriteWhoseAnswerIsCutOffMayHaveTakenEffect() {
+    void aWriteWhoseAnswerIsTruncatedMayHaveTakenEffect() {
         link.apply(LinkFaults.NONE.withReset(Direction.DOWN, 20));
         assertMaybeApplied(calls.create("a"), true);
         link.apply(LinkFaults.NONE);
@@ -116,13 +116,13 @@
     }
 
     @Test
-    void aWriteThatTheFailingPlatformAnsweredMayHaveTakenEffect() {
+    void aWriteAnsweredWithAServerErrorMayHaveTakenEffect() {
         platform.faults().outage(Outage.ERROR);
         assertMaybeApplied(calls.create("a"), true);
     }
 
     @Test
-    void aWriteThatIsAnsweredWithRetryAfterIsNotRepeated() {
+    void aWriteAnsweredWithRetryAfterIsNotRepeated() {
         AtomicInteger writes = new AtomicInteger();
         Javalin overloaded = Javalin.create(config -> config.routes.put("/objects/{kind}/{name}", context -> {
                     writes.incrementAndGet();
@@ -138,14 +138,14 @@
     }
 
     @Test
-    void aWriteOverTheRateLimitOfThePlatformSurelyDidNotTakeEffect() {
+    void aWriteOverThePlatformsRateLimitDefinitelyDidNotTakeEffect() {
         platform.limitRates(0.001, 0);
         assertMaybeApplied(calls.create("a"), false);
         assertThat(count("platform.calls.lease.rate-limited")).isEqualTo(1);
     }
 
     @Test
-    void aWriteWithAWrongTokenSurelyDidNotTakeEffect() {
+    void aWriteWithAnInvalidTokenDefinitelyDidNotTakeEffect() {
         try (PlatformStandIn guarded = PlatformStandIn.start(0, Optional.of("secret"));
                 PlatformClient other = new PlatformClient(Calls.settings(guarded.port()), new MetricRegistry())) {
             assertMaybeApplied(new Calls(other).create("a"), false);
@@ -161,7 +161,7 @@
     }
 
     @Test
-    void theCallerNeverWaitsForASilentPlatform() {
+    void aPlatformThatDoesNotAnswerDoesNotBlockTheCaller() {
         platform.faults().outage(Outage.SILENT);
         TestObserver<PlatformEvent> answer = client.execute(
                         new PlatformEffect.Read(7, PlatformPurpose.LEASE, Calls.KEY))
@@ -188,14 +188,14 @@
     }
 
     @Test
-    void silenceIsMeasuredFromTheLastAnswer() {
-        assertThat(client.sinceHeard()).isEmpty();
+    void theTimeSinceTheLastAnswerIsMeasured() {
+        assertThat(client.timeSinceLastAnswer()).isEmpty();
         calls.read();
         link.apply(LinkFaults.of(LinkMode.REFUSE));
         link.cutConnections();
-        Duration before = client.sinceHeard().orElseThrow();
+        Duration before = client.timeSinceLastAnswer().orElseThrow();
         calls.read();
-        assertThat(client.sinceHeard().orElseThrow()).isGreaterThan(before);
+        assertThat(client.timeSinceLastAnswer().orElseThrow()).isGreaterThan(before);
         assertThat(registry.getGauges().get("platform.since-heard-millis").getValue())
                 .isInstanceOf(Long.class);
     }
--- a/yuccaswitch-platform/src/test/java/io/yuccaswitch/platform/PlatformOutageTest.java
+++ b/yuccaswitch-platform/src/test/java/io/yuccaswitch/platform/PlatformOutageTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void aReadThatMeetsAShortFailureIsRepeated() {
+    void aReadThatFailsDuringAShortOutageIsRetried() {
         platform.faults().outage(Outage.ERROR);
         Thread recovery = new Thread(() -> {
             await().until(() -> platform.callCount() > 0);
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void repetitionsStayASmallShareOfTheReads() {
+    void retriesAreLimitedToASmallShareOfTheReads() {
         platform.faults().outage(Outage.ERROR);
         client = client(PlatformClientSettings.of("http://127.0.0.1:" + platform.port())
                 .withRates(new CallRates(1000, 1000))
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void aReadOverTheRateLimitOfThePlatformIsRepeatedOnceThereIsRoom() {
+    void aReadOverThePlatformsRateLimitIsRetriedUntilItSucceeds() {
         client = client(PlatformClientSettings.of("http://127.0.0.1:" + platform.port())
                 .withRetry(new RetrySettings(10, Duration.ofMillis(500), Duration.ofMillis(500), 0.1)));
         platform.limitRates(0, 5);
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void anExhaustedClientSendsNothingAndSaysThatNothingTookEffect() {
+    void aClientAtItsRateLimitSendsNothingAndReportsThatTheWriteDidNotTakeEffect() {
         client = client(
                 PlatformClientSettings.of("http://127.0.0.1:" + platform.port()).withRates(new CallRates(1, 1)));
         Calls calls = new Calls(client);
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void anOutageStopsTheCallsOfAllPurposesAndItsEndLetsThemOnAgain() {
+    void callsOfAllPurposesStopDuringAnOutageAndResumeAfterIt() {
         Calls calls = new Calls(client);
         platform.faults().outage(Outage.ERROR);
         await().until(() -> {
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void aWatcherThatAsksAgainAtOnceNeitherSpinsNorMissesTheReturn() {
+    void aWatcherThatRepeatsItsCallImmediatelyNeitherSpinsNorMissesTheRecovery() {
         Calls calls = new Calls(client);
         platform.faults().outage(Outage.ERROR);
         await().until(() -> {
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void ordinaryCallsThatPiledUpAreSlowedDownWhenThePlatformReturns() {
+    void ordinaryCallsAreLimitedToTheSteadyRateWhenThePlatformRecovers() {
         client = client(
                 PlatformClientSettings.of("http://127.0.0.1:" + platform.port()).withRates(new CallRates(1, 100)));
         Calls calls = new Calls(client);
--- a/yuccaswitch-platform/src/test/java/io/yuccaswitch/platform/SettledWriteTest.java
+++ b/yuccaswitch-platform/src/test/java/io/yuccaswitch/platform/SettledWriteTest.java
@@ -33,78 +33,80 @@
     }
 
     @Test
-    void aWriteWhoseAnswerIsLostIsFoundByReading() {
+    void aWriteWhoseAnswerIsLostIsConfirmedByReading() {
         platform.faults().loseAnswers(1);
-        assertThat(settle(OptionalLong.empty(), "mine")).isEqualTo(new SettledWrite.Outcome.Applied(1));
+        assertThat(executeWrite(OptionalLong.empty(), "mine")).isEqualTo(new SettledWrite.Outcome.Applied(1));
         assertThat(platform.callCount("write lease")).isEqualTo(1);
     }
 
     @Test
-    void aWriteThatIsLostOnItsWayIsSentAgainUnderTheSameCondition() {
+    void aWriteWhoseRequestIsLostIsSentAgainWithTheSameCondition() {
         calls.create("old");
         platform.faults().loseRequests(1);
-        assertThat(settle(OptionalLong.of(1), "mine")).isEqualTo(new SettledWrite.Outcome.Applied(2));
+        assertThat(executeWrite(OptionalLong.of(1), "mine")).isEqualTo(new SettledWrite.Outcome.Applied(2));
         assertThat(current()).contains(new StoredObject(Calls.KEY, 2, Bytes.ofUtf8("mine"), false));
     }
 
     @Test
-    void aWriteWhoseAnswerIsLostTakesEffectOnlyOnceAlthoughTheReplicaThatIsReadLagsBehind() {
+    void aWriteWhoseAnswerIsLostTakesEffectOnlyOnceDespiteALaggingReplica() {
         calls.create("old");
         platform.faults().replicaLag(Duration.ofMinutes(1));
         platform.faults().loseAnswers(1);
-        assertThat(settle(OptionalLong.of(1), "mine")).isEqualTo(new SettledWrite.Outcome.Applied(2));
+        assertThat(executeWrite(OptionalLong.of(1), "mine")).isEqualTo(new SettledWrite.Outcome.Applied(2));
     }
 
     @Test
-    void aCreationIsNotMistakenForRefusedWhenALaggingReplicaShowsADeletedObject() throws InterruptedException {
+    void aCreationIsNotReportedAsRejectedWhenALaggingReplicaReturnsADeletedObject() throws InterruptedException {
         calls.create("deleted");
         TimeUnit.MILLISECONDS.sleep(400);
         calls.delete(1);
         platform.faults().replicaLag(Duration.ofMillis(300));
         platform.faults().loseAnswers(1);
-        assertThat(settle(OptionalLong.empty(), "mine")).isEqualTo(new SettledWrite.Outcome.Applied(3));
+        assertThat(executeWrite(OptionalLong.empty(), "mine")).isEqualTo(new SettledWrite.Outcome.Applied(3));
     }
 
     @Test
-    void aWriteThatLostARaceIsRefusedWithTheWinner() {
+    void aWriteThatConflictsIsRejectedWithTheCurrentObject() {
         calls.create("winner");
-        assertThat(settle(OptionalLong.empty(), "mine"))
-                .isEqualTo(new SettledWrite.Outcome.Refused(
+        assertThat(executeWrite(OptionalLong.empty(), "mine"))
+                .isEqualTo(new SettledWrite.Outcome.Rejected(
                         Optional.of(new StoredObject(Calls.KEY, 1, Bytes.ofUtf8("winner"), false))));
     }
 
     @Test
-    void aWriteThatTookEffectAndWasReplacedIsNotCalledRefused() {
+    void aWriteThatTookEffectAndWasReplacedIsNotReportedAsRejected() {
         calls.create("old");
         platform.faults().delay(Duration.ofSeconds(5));
-        try (PlatformClient patient = patientClient()) {
-            TestObserver<SettledWrite.Outcome> outcome =
-                    write(patient, OptionalLong.of(1), "mine").execute().test();
+        try (PlatformClient clientWithLongTimeout = createClientWithLongTimeout()) {
+            TestObserver<SettledWrite.Outcome> outcome = write(clientWithLongTimeout, OptionalLong.of(1), "mine")
+                    .execute()
+                    .test();
             await().until(() -> platform.callCount("write lease") == 2);
             platform.faults().delay(Duration.ZERO);
             await().until(() -> calls.replace(2, "later") instanceof PlatformEvent.Accepted);
             outcome.awaitDone(20, TimeUnit.SECONDS);
-            outcome.assertValue(new SettledWrite.Outcome.Overtaken(
+            outcome.assertValue(new SettledWrite.Outcome.Superseded(
                     Optional.of(new StoredObject(Calls.KEY, 3, Bytes.ofUtf8("later"), false))));
         }
     }
 
     @Test
-    void anOvertakenWriteNamesTheObjectThatReplacedIt() {
+    void aSupersededWriteReturnsTheObjectThatReplacedIt() {
         calls.create("old");
         calls.replace(1, "later");
         platform.faults().loseRequests(1);
-        assertThat(settle(OptionalLong.of(1), "mine"))
-                .isEqualTo(new SettledWrite.Outcome.Overtaken(
+        assertThat(executeWrite(OptionalLong.of(1), "mine"))
+                .isEqualTo(new SettledWrite.Outcome.Superseded(
                         Optional.of(new StoredObject(Calls.KEY, 2, Bytes.ofUtf8("later"), false))));
     }
 
     @Test
-    void aWriteIsSettledAfterAnOutageThatBeganWithIt() {
+    void theOutcomeOfAWriteIsDeterminedAfterAnOutageThatBeganDuringIt() {
         platform.faults().delay(Duration.ofSeconds(5));
-        try (PlatformClient patient = patientClient()) {
-            TestObserver<SettledWrite.Outcome> outcome =
-                    write(patient, OptionalLong.empty(), "mine").execute().test();
+        try (PlatformClient clientWithLongTimeout = createClientWithLongTimeout()) {
+            TestObserver<SettledWrite.Outcome> outcome = write(clientWithLongTimeout, OptionalLong.empty(), "mine")
+                    .execute()
+                    .test();
             await().until(() -> platform.callCount("write lease") == 1);
             platform.faults().outage(Outage.ERROR);
             platform.faults().delay(Duration.ZERO);
@@ -116,13 +118,13 @@
         }
     }
 
-    private PlatformClient patientClient() {
+    private PlatformClient createClientWithLongTimeout() {
         return new PlatformClient(
                 Calls.settings(platform.port()).withTimes(Duration.ofMillis(1500), Duration.ZERO),
                 new MetricRegistry());
     }
 
-    private SettledWrite.Outcome settle(OptionalLong expected, String value) {
+    private SettledWrite.Outcome executeWrite(OptionalLong expected, String value) {
         return write(client, expected, value).execute().blockingGet();
     }
 
--- a/yuccaswitch-platform/src/test/java/io/yuccaswitch/platform/WatchTest.java
+++ b/yuccaswitch-platform/src/test/java/io/yuccaswitch/platform/WatchTest.java
@@ -33,7 +33,7 @@
 
 class WatchTest {
 
-    private static final long CHANGES = 150;
+    private static final long CHANGE_COUNT = 150;
 
     private final PlatformStandIn platform = PlatformStandIn.start(0, Optional.empty());
 
@@ -43,7 +43,7 @@
 
     private final Calls calls = new Calls(client);
 
-    /** Takes connections and never answers, as behind a cut that no one notices. */
+    /** A server that accepts connections and never answers, as after an undetected network partition. */
     private final ServerSocket silent = silentSocket();
 
     @AfterEach
@@ -63,31 +63,31 @@
     }
 
     @Test
-    void watchesSeeEachChangeOnceAlthoughConnectionsAreCut() throws InterruptedException {
+    void watchesReceiveEachChangeOnceAlthoughConnectionsBreak() throws InterruptedException {
         Thread writer = new Thread(this::writeChanges);
         writer.start();
-        List<Long> seen = new ArrayList<>();
+        List<Long> receivedVersions = new ArrayList<>();
         long after = 0;
-        while (after < CHANGES) {
+        while (after < CHANGE_COUNT) {
             if (calls.watch(after) instanceof PlatformEvent.ObjectsListed listed) {
                 assertThat(listed.reset()).isFalse();
-                listed.objects().forEach(object -> seen.add(object.version()));
+                listed.objects().forEach(object -> receivedVersions.add(object.version()));
                 after = listed.version();
             }
         }
         writer.join();
-        assertThat(seen)
+        assertThat(receivedVersions)
                 .containsExactlyElementsOf(
-                        LongStream.rangeClosed(1, CHANGES).boxed().toList());
+                        LongStream.rangeClosed(1, CHANGE_COUNT).boxed().toList());
     }
 
     @Test
-    void aWatchWithoutChangesReturnsAfterItsWait() {
+    void aWatchWithoutChangesReturnsAfterItsWaitTime() {
         assertThat(calls.watch(0)).isEqualTo(new PlatformEvent.ObjectsListed(1, List.of(), 0, false));
     }
 
     @Test
-    void aWatchFromAForgottenVersionIsReset() {
+    void aWatchFromAVersionOutsideTheHistoryIsReset() {
         calls.create("a");
         calls.replace(1, "b");
         platform.forgetChanges();
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void aWatchNeverFallsBackWhenAReplicaThatLagsBehindAnswers() {
+    void theVersionOfAWatchNeverDecreasesWhenALaggingReplicaAnswers() {
         Javalin server = Javalin.create(config -> config.routes.get(
                         "/watch/{kind}",
                         context -> context.result("{\"version\":3,\"reset\":false,\"objects\":"
@@ -123,45 +123,46 @@
     }
 
     @Test
-    void aWatchThatWaitsIsBrokenOffWhenAnotherCallFindsThatThePathIsCut() throws Exception {
+    void aWaitingWatchIsCancelledWhenAnotherCallFails() throws Exception {
         Duration wait = Duration.ofSeconds(20);
-        try (PlatformClient cut = new PlatformClient(
+        try (PlatformClient partitioned = new PlatformClient(
                 Calls.settings(silent.getLocalPort()).withTimes(Duration.ofMillis(200), wait), new MetricRegistry())) {
-            Future<PlatformEvent> watch = cut.execute(
-                            new PlatformEffect.Watch(1, PlatformPurpose.LEASE, Calls.KEY.kind(), 0))
+            Future<PlatformEvent> watch = partitioned
+                    .execute(new PlatformEffect.Watch(1, PlatformPurpose.LEASE, Calls.KEY.kind(), 0))
                     .toFuture();
-            await().until(() -> cut.waitingWatches() == 1);
-            assertThat(new Calls(cut).read()).isInstanceOf(PlatformEvent.Unavailable.class);
+            await().until(() -> partitioned.watchesInFlight() == 1);
+            assertThat(new Calls(partitioned).read()).isInstanceOf(PlatformEvent.Unavailable.class);
             await().atMost(Duration.ofSeconds(10)).until(watch::isDone);
             assertThat(watch.get()).isInstanceOf(PlatformEvent.Unavailable.class);
         }
     }
 
     @Test
-    void watchesThatAreBrokenOffDoNotCountAgainstThePlatform() throws Exception {
+    void cancelledWatchesAreNotTreatedAsFailuresOfThePlatform() throws Exception {
         PlatformClientSettings settings = Calls.settings(silent.getLocalPort())
                 .withTimes(Duration.ofMillis(200), Duration.ofSeconds(20))
                 .withCircuit(
                         new CircuitSettings(3, Duration.ofSeconds(9), Duration.ofSeconds(9), Duration.ofSeconds(9)));
-        try (PlatformClient cut = new PlatformClient(settings, new MetricRegistry())) {
+        try (PlatformClient partitioned = new PlatformClient(settings, new MetricRegistry())) {
             List<Future<PlatformEvent>> watches = new ArrayList<>();
             for (int watch = 0; watch < 4; watch++) {
-                watches.add(cut.execute(new PlatformEffect.Watch(1, PlatformPurpose.LEASE, Calls.KEY.kind(), 0))
+                watches.add(partitioned
+                        .execute(new PlatformEffect.Watch(1, PlatformPurpose.LEASE, Calls.KEY.kind(), 0))
                         .toFuture());
             }
-            await().until(() -> cut.waitingWatches() == 4);
-            assertThat(new Calls(cut).read()).isInstanceOf(PlatformEvent.Unavailable.class);
+            await().until(() -> partitioned.watchesInFlight() == 4);
+            assertThat(new Calls(partitioned).read()).isInstanceOf(PlatformEvent.Unavailable.class);
             for (Future<PlatformEvent> watch : watches) {
                 assertThat(watch.get()).isInstanceOf(PlatformEvent.Unavailable.class);
             }
-            assertThat(cut.isCircuitOpen()).isFalse();
+            assertThat(partitioned.isCircuitOpen()).isFalse();
         }
     }
 
     private void writeChanges() {
         try (PlatformClient writer = new PlatformClient(
                 Calls.settings(platform.port()).withRates(new CallRates(1000, 1000)), new MetricRegistry())) {
-            for (int change = 1; change <= CHANGES; change++) {
+            for (int change = 1; change <= CHANGE_COUNT; change++) {
                 PlatformEffect.Write write = new PlatformEffect.Write(
                         change,
                         PlatformPurpose.LEASE,
@@ -178,21 +179,21 @@
 
     @Test
     void aWatchMayWaitLongerThanOtherCalls() {
-        try (PlatformClient patient = new PlatformClient(
+        try (PlatformClient clientWithLongWatchWait = new PlatformClient(
                 Calls.settings(link.port()).withTimes(Duration.ofMillis(200), Duration.ofMillis(800)),
                 new MetricRegistry())) {
-            assertThat(new Calls(patient).watch(0)).isInstanceOf(PlatformEvent.ObjectsListed.class);
+            assertThat(new Calls(clientWithLongWatchWait).watch(0)).isInstanceOf(PlatformEvent.ObjectsListed.class);
         }
     }
 
     @Test
     @Timeout(20)
-    void aWatchIsGivenUpSoonAfterItsOwnWaitThoughOthersMayWaitLonger() {
-        try (PlatformClient patient = new PlatformClient(
+    void aWatchTimesOutSoonAfterItsOwnWaitTimeAlthoughTheDefaultIsLonger() {
+        try (PlatformClient clientWithLongWatchWait = new PlatformClient(
                 Calls.settings(link.port()).withTimes(Duration.ofMillis(200), Duration.ofSeconds(60)),
                 new MetricRegistry())) {
             link.apply(LinkFaults.of(LinkMode.BLACKHOLE));
-            PlatformEvent answer = new Calls(patient)
+            PlatformEvent answer = new Calls(clientWithLongWatchWait)
                     .call(new PlatformEffect.Watch(
                             1, PlatformPurpose.LEASE, Calls.KEY.kind(), 0, Optional.of(Duration.ofMillis(100))));
             assertThat(answer).isInstanceOf(PlatformEvent.Unavailable.class);
