--- a/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/ControlFaultsIT.java
+++ b/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/ControlFaultsIT.java
@@ -24,14 +24,14 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** Operators, leases and versions at a site of real processes. */
+/** Configuration changes, leases and weight versions under faults, on a site of real processes. */
 class ControlFaultsIT {
 
     private static final Duration TIMEOUT = Duration.ofSeconds(60);
 
-    private static final Duration LONGER_THAN_A_LEASE = Duration.ofSeconds(5);
+    private static final Duration PAUSE_BEYOND_LEASE = Duration.ofSeconds(5);
 
-    private static final Set<String> WITHOUT_EFFECT = Set.of("refused", "failed");
+    private static final Set<String> INEFFECTIVE_RESULTS = Set.of("refused", "failed");
 
     private static final ExecutorService operators = Executors.newFixedThreadPool(2);
 
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void ofTwoOperatorsAtOnceEachIsToldTheTruth() {
+    void concurrentOperatorsReceiveCorrectResults() {
         long before = generation(site.nodes().get(0)).orElseThrow();
         try (ConfigurationReader reader = ConfigurationReader.start(site)) {
             CompletableFuture<CommandResult> first =
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void aNodeThatStartsWhileThePlatformIsDownTakesTheConfigurationFromTheOthers() {
+    void aNodeStartedDuringAPlatformOutageLoadsTheConfigurationFromItsPeers() {
         assertThat(site.applyChange("rina", 21).exitCode()).isZero();
         long generation = highestGeneration();
         awaitGeneration(generation);
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void engineOrdersStayInTheOrderOfTheirFencingNumbersWhenEachNodeIsPausedPastItsLease() {
+    void enginesExecuteOrdersByAscendingFencingNumberWhenEachNodeIsPausedBeyondItsLease() {
         long version = 100;
         for (Node paused : site.nodes()) {
             Node other = site.nodes().stream()
@@ -98,7 +98,7 @@
                     .orElseThrow();
             paused.process().pause();
             try {
-                Pause.of(LONGER_THAN_A_LEASE);
+                Pause.of(PAUSE_BEYOND_LEASE);
                 publish(other, ++version);
                 awaitVersion(version);
             } finally {
@@ -110,7 +110,7 @@
         for (StandIn engine : site.engines()) {
             long last = 0;
             for (JsonNode order : Http.get(engine.address(), "/order-records").orElseThrow()) {
-                if (!WITHOUT_EFFECT.contains(order.path("result").asText())) {
+                if (!INEFFECTIVE_RESULTS.contains(order.path("result").asText())) {
                     assertThat(order.path("fencingNumber").asLong()).isGreaterThanOrEqualTo(last);
                     last = order.path("fencingNumber").asLong();
                 }
@@ -128,7 +128,7 @@
 
     private static void awaitVersion(long version) {
         for (StandIn engine : site.engines()) {
-            Awaitility.await(engine.name() + " to hold version " + version)
+            Awaitility.await(engine.name() + " to load version " + version)
                     .atMost(TIMEOUT)
                     .pollInterval(Duration.ofMillis(200))
                     .until(() -> Http.get(engine.address(), "/load")
@@ -142,7 +142,7 @@
 
     private static void awaitGeneration(long generation) {
         for (Node node : site.nodes()) {
-            Awaitility.await(node.name() + " to have generation " + generation + " in force")
+            Awaitility.await(node.name() + " to apply generation " + generation + " or a later one")
                     .atMost(TIMEOUT)
                     .pollInterval(Duration.ofMillis(100))
                     .until(() -> generation(node).orElse(0) >= generation);
--- a/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/RequestFaultsIT.java
+++ b/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/RequestFaultsIT.java
@@ -29,10 +29,10 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** Callers before a site of real processes whose endpoints and nodes fail. */
+/** Caller load on a site of real processes while its endpoints and nodes fail. */
 class RequestFaultsIT {
 
-    private static final double RATE = 60;
+    private static final double REQUESTS_PER_SECOND = 60;
 
     private static final Kind POST = Kind.post(Site.SERVICE_POOL, "netting", 5_000, 4);
 
@@ -55,7 +55,7 @@
     }
 
     @AfterEach
-    void heal() {
+    void healFaults() {
         site.nodes().stream().filter(node -> !node.process().alive()).forEach(Node::restart);
         List<StandIn> endpoints = new ArrayList<>(site.engines());
         endpoints.addAll(site.services());
@@ -71,7 +71,7 @@
 
     @Test
     void aPostWhoseEndpointFailsBeforeDuringOrAfterTheRunRunsAtMostOnce() {
-        Callers callers = Callers.start(site, RATE, POST);
+        Callers callers = Callers.start(site, REQUESTS_PER_SECOND, POST);
         StandIn first = site.services().get(0);
         for (String fault : List.of("resets-before-run", "resets-after-run", "cut-answers", "wrong-length-answers")) {
             first.fault(fault, 5);
@@ -89,8 +89,8 @@
     }
 
     @Test
-    void aCompletionWhoseEngineDiesIsAnsweredWholeByAnother() {
-        Callers callers = Callers.start(site, RATE / 2, COMPLETION, STREAM);
+    void aCompletionWhoseEngineIsKilledIsAnsweredCompletelyByAnotherEngine() {
+        Callers callers = Callers.start(site, REQUESTS_PER_SECOND / 2, COMPLETION, STREAM);
         Pause.of(Duration.ofSeconds(1));
         StandIn engine = site.engines().get(0);
         site.engines().get(1).fault("cut-answers", 5);
@@ -107,9 +107,9 @@
     }
 
     @Test
-    void lateAndCrossedAnswersReachNobodyElse() {
-        Kind hasty = Kind.post(Site.SERVICE_POOL, "netting", 700, 2);
-        Callers callers = Callers.start(site, RATE, hasty, COMPLETION);
+    void lateAndCrossedAnswersAreNotDeliveredToOtherRequests() {
+        Kind shortTimeout = Kind.post(Site.SERVICE_POOL, "netting", 700, 2);
+        Callers callers = Callers.start(site, REQUESTS_PER_SECOND, shortTimeout, COMPLETION);
         StandIn service = site.services().get(0);
         service.fault("crossed-answers", 8);
         site.engines().get(0).fault("crossed-answers", 8);
@@ -128,10 +128,10 @@
     }
 
     @Test
-    void aPostIsNotRunTwiceWhenItsNodeDiesBetweenSendAndAnswer() {
+    void aPostIsNotRunTwiceWhenItsNodeIsKilledBetweenSendAndAnswer() {
         site.services().forEach(service -> service.fault("delay-millis", 1_500));
-        Kind patient = Kind.post(Site.SERVICE_POOL, "netting", 4_000, 3);
-        Callers callers = Callers.start(site, RATE / 3, patient);
+        Kind longTimeout = Kind.post(Site.SERVICE_POOL, "netting", 4_000, 3);
+        Callers callers = Callers.start(site, REQUESTS_PER_SECOND / 3, longTimeout);
         Pause.of(Duration.ofSeconds(1));
         Node node = site.nodes().get(0);
         long from = System.currentTimeMillis();
@@ -144,15 +144,17 @@
 
         Map<String, Long> attemptsById = callers.attempts().stream()
                 .collect(Collectors.groupingBy(CallerAttempt::requestId, Collectors.counting()));
-        assertThat(attemptsById.values()).as("some id was sent again").anyMatch(count -> count > 1);
+        assertThat(attemptsById.values())
+                .as("a request identifier was sent more than once")
+                .anyMatch(count -> count > 1);
         Promises.assertHold(site, crash);
     }
 
     @Test
-    void anEndpointThatRefusesWhileItIsListedLiveCostsNoAnswer() {
+    void everyRequestIsAnsweredWhileAnEndpointListedAsLiveRefuses() {
         StandIn refusing = site.services().get(0);
         refusing.fault("refusals", -1);
-        Callers callers = Callers.start(site, RATE, POST);
+        Callers callers = Callers.start(site, REQUESTS_PER_SECOND, POST);
         Pause.of(Duration.ofSeconds(3));
         LoadReport report = callers.stop();
 
@@ -161,14 +163,14 @@
     }
 
     @Test
-    void aSlowEngineGetsLessThanItsShare() {
+    void aSlowEngineReceivesLessThanItsShareOfRequests() {
         StandIn slow = site.engines().get(0);
-        Callers warm = Callers.start(site, RATE, COMPLETION);
+        Callers warmUp = Callers.start(site, REQUESTS_PER_SECOND, COMPLETION);
         slow.fault("delay-millis", 800);
         Pause.of(Duration.ofSeconds(2));
-        warm.stop();
+        warmUp.stop();
         long since = System.currentTimeMillis();
-        Callers callers = Callers.start(site, RATE, COMPLETION);
+        Callers callers = Callers.start(site, REQUESTS_PER_SECOND, COMPLETION);
         Pause.of(Duration.ofSeconds(4));
         LoadReport report = callers.stop();
 
@@ -180,9 +182,9 @@
     }
 
     @Test
-    void aLeavingEndpointGetsNothingAfterSeconds() {
+    void aLeavingEndpointReceivesNoRequestAfterTheLeavingBound() {
         StandIn leaving = site.services().get(1);
-        Callers callers = Callers.start(site, RATE, POST);
+        Callers callers = Callers.start(site, REQUESTS_PER_SECOND, POST);
         Pause.of(Duration.ofSeconds(1));
         long leftAt = System.currentTimeMillis();
         leaving.fault("leaving", 1);
@@ -195,8 +197,8 @@
     }
 
     @Test
-    void aRollingRestartOfAllNodesUnderLoadCutsNothing() {
-        Callers callers = Callers.start(site, RATE / 2, POST, COMPLETION, STREAM);
+    void aRollingRestartOfAllNodesUnderLoadFailsNoRequest() {
+        Callers callers = Callers.start(site, REQUESTS_PER_SECOND / 2, POST, COMPLETION, STREAM);
         Pause.of(Duration.ofSeconds(1));
         List<Observation> stops = new ArrayList<>();
         for (Node node : site.nodes()) {
--- a/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/SampleFaultsIT.java
+++ b/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/SampleFaultsIT.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestMethodOrder;
 
-/** One trainer before a site of real processes whose nodes, engines and platform fail in turn. */
+/** A trainer on a site of real processes whose nodes, engines and platform fail one after the other. */
 @TestMethodOrder(MethodOrderer.OrderAnnotation.class)
 class SampleFaultsIT {
 
@@ -47,7 +47,7 @@
 
     @Test
     @Order(1)
-    void stepsGoOnWhenANodeIsKilledInAStep() {
+    void stepsContinueWhenANodeIsKilledDuringAStep() {
         for (Node node : site.nodes()) {
             long step = lastStep();
             node.process().kill();
@@ -58,7 +58,7 @@
 
     @Test
     @Order(2)
-    void stepsGoOnWhileAllNodesAreRestartedOneByOne() {
+    void stepsContinueDuringARollingRestartOfAllNodes() {
         long step = lastStep();
         for (Node node : site.nodes()) {
             node.process().terminate();
@@ -70,7 +70,7 @@
 
     @Test
     @Order(3)
-    void stepsGoOnWhileThePlatformIsDown() {
+    void stepsContinueWhileThePlatformIsUnreachable() {
         site.platform().control("outage?mode=silent");
         try {
             awaitStepsAfter(lastStep(), 3);
@@ -81,7 +81,7 @@
 
     @Test
     @Order(4)
-    void stepsGoOnWhenAnEngineIsKilledAndAnotherFailsItsSwaps() {
+    void stepsContinueWhenAnEngineIsKilledAndTwoOthersFailTheirSwaps() {
         StandIn killed = site.engines().get(0);
         site.engines().get(1).fault("swap-claims", 2);
         site.engines().get(2).fault("swap-failures", 2);
@@ -93,7 +93,7 @@
 
     @Test
     @Order(5)
-    void everySampleWasDeliveredOnceFreshAndTrulyLabelled() {
+    void everySampleWasDeliveredOnceWithinTheStalenessBoundAndCorrectlyLabelled() {
         Pause.of(Duration.ofSeconds(1));
         assertThat(training.finish(site)).isZero();
 
@@ -102,12 +102,12 @@
         Promises.assertHold(site, new Observation[0]);
     }
 
-    private static void awaitStepsAfter(long step, int further) {
-        Awaitility.await("step " + (step + further) + " to be whole")
+    private static void awaitStepsAfter(long step, int additionalSteps) {
+        Awaitility.await("step " + (step + additionalSteps) + " to be complete")
                 .atMost(STEPS_TIMEOUT)
                 .pollInterval(Duration.ofMillis(200))
-                .failFast("the trainer ended", () -> !training.process().alive())
-                .until(() -> lastStep() >= step + further);
+                .failFast("the trainer process ended", () -> !training.process().alive())
+                .until(() -> lastStep() >= step + additionalSteps);
     }
 
     private static long lastStep() {
--- a/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/fault/Fault.java
+++ b/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/fault/Fault.java
@@ -13,18 +13,18 @@
 import java.util.Optional;
 import java.util.Random;
 
-/** A fault that begins and is healed later. */
+/** A fault that is injected and healed later. */
 interface Fault {
 
-    /** Returns what is touched, such that two faults at once touch different things. */
+    /** Returns the name of the affected component. Faults injected together have different targets. */
     String target();
 
     void begin();
 
-    /** Heals the fault, and returns what the checker has to know of it. */
+    /** Heals the fault, and returns the observation with which the promise checker accounts for it, if any. */
     Optional<Observation> heal();
 
-    /** Draws a fault. */
+    /** Creates a randomly chosen fault. */
     static Fault draw(Site site, Random random) {
         List<Fault> faults = List.of(
                 new NodeKill(pick(site.nodes(), random)),
@@ -35,8 +35,8 @@
                 new EndpointPause(pick(site.engines(), random)),
                 new EndpointLeave(pick(site.services(), random)),
                 new EndpointLeave(pick(site.engines(), random)),
-                new EndpointFault(pick(site.services(), random), pick(EndpointFault.OF_SERVICES, random), 5),
-                new EndpointFault(pick(site.engines(), random), pick(EndpointFault.OF_ENGINES, random), 5),
+                new EndpointFault(pick(site.services(), random), pick(EndpointFault.SERVICE_FAULTS, random), 5),
+                new EndpointFault(pick(site.engines(), random), pick(EndpointFault.ENGINE_FAULTS, random), 5),
                 new EndpointFault(pick(site.engines(), random), "delay-millis", 500),
                 new LinkFault(site, pick(site.services(), random).name(), pick(LinkFault.QUERIES, random)),
                 new LinkFault(site, pick(site.engines(), random).name(), pick(LinkFault.QUERIES, random)),
@@ -52,7 +52,7 @@
         return list.get(random.nextInt(list.size()));
     }
 
-    /** A node dies and comes back. */
+    /** A node is killed and restarted. */
     final class NodeKill implements Fault {
 
         private final Node node;
@@ -86,7 +86,7 @@
         }
     }
 
-    /** A node is paused, longer than leases and suspicion last. */
+    /** A node's process is paused, possibly for longer than leases and the suspicion time. */
     final class NodePause implements Fault {
 
         private final Node node;
@@ -120,7 +120,7 @@
         }
     }
 
-    /** A node stops gracefully and comes back. */
+    /** A node is stopped gracefully and restarted. */
     final class NodeStop implements Fault {
 
         private static final Duration TIMEOUT = Duration.ofSeconds(90);
@@ -158,7 +158,7 @@
         }
     }
 
-    /** An endpoint dies and comes back. */
+    /** An endpoint is killed and restarted. */
     record EndpointKill(StandIn endpoint) implements Fault {
 
         @Override
@@ -183,7 +183,7 @@
         }
     }
 
-    /** An endpoint is paused. */
+    /** An endpoint's process is paused. */
     record EndpointPause(StandIn endpoint) implements Fault {
 
         @Override
@@ -208,7 +208,7 @@
         }
     }
 
-    /** An endpoint leaves, and a new one takes its address. */
+    /** An endpoint leaves, and a new incarnation starts at its address. */
     final class EndpointLeave implements Fault {
 
         private final StandIn endpoint;
@@ -244,10 +244,10 @@
         }
     }
 
-    /** An endpoint misbehaves by itself. */
+    /** An endpoint fails or delays requests, or handles them incorrectly. */
     record EndpointFault(StandIn endpoint, String fault, long value) implements Fault {
 
-        static final List<String> OF_SERVICES = List.of(
+        static final List<String> SERVICE_FAULTS = List.of(
                 "resets-before-run",
                 "resets-after-run",
                 "cut-answers",
@@ -255,7 +255,7 @@
                 "wrong-length-answers",
                 "refusals");
 
-        static final List<String> OF_ENGINES = List.of(
+        static final List<String> ENGINE_FAULTS = List.of(
                 "resets-before-run",
                 "resets-after-run",
                 "cut-answers",
@@ -287,7 +287,7 @@
         }
     }
 
-    /** The network to an endpoint misbehaves. */
+    /** The network link to an endpoint is faulty. */
     record LinkFault(Site site, String link, String query) implements Fault {
 
         static final List<String> QUERIES = List.of(
@@ -322,21 +322,21 @@
         }
     }
 
-    /** The platform misbehaves. */
+    /** A fault of the platform, injected through the stand-in's control interface. */
     final class PlatformControl implements Fault {
 
         private final StandIn platform;
 
-        private final String order;
+        private final String injectionPath;
 
-        private final String healing;
+        private final String healingPath;
 
         private long from;
 
-        PlatformControl(StandIn platform, String order, String healing) {
+        PlatformControl(StandIn platform, String injectionPath, String healingPath) {
             this.platform = platform;
-            this.order = order;
-            this.healing = healing;
+            this.injectionPath = injectionPath;
+            this.healingPath = healingPath;
         }
 
         @Override
@@ -347,18 +347,18 @@
         @Override
         public void begin() {
             from = System.currentTimeMillis();
-            platform.control(order);
+            platform.control(injectionPath);
         }
 
         @Override
         public Optional<Observation> heal() {
-            platform.control(healing);
+            platform.control(healingPath);
             return Optional.of(new PlatformFault(from, System.currentTimeMillis()));
         }
 
         @Override
         public String toString() {
-            return "platform " + order;
+            return "platform " + injectionPath;
         }
     }
 }
--- a/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/fault/FaultRun.java
+++ b/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/fault/FaultRun.java
@@ -20,8 +20,8 @@
 import java.util.List;
 
 /**
- * Lets random faults strike a whole site under load, alone or in pairs, and judges every promise at the end from what
- * callers, trainers and endpoints recorded.
+ * Injects random faults, alone or in pairs, into a complete site under load, and then checks every promise against the
+ * observations that callers, trainers and endpoints recorded.
  */
 public final class FaultRun {
 
@@ -35,7 +35,7 @@
     @Parameter(names = "--minutes", description = "Length of the run in minutes")
     private double minutes = 2;
 
-    @Parameter(names = "--rate", description = "Requests of callers per second")
+    @Parameter(names = "--rate", description = "Caller requests per second")
     private double rate = 40;
 
     private FaultRun() {}
@@ -55,7 +55,7 @@
         System.exit(verdicts.stream().allMatch(Verdict::held) ? 0 : BROKEN);
     }
 
-    /** Runs the faults over a new site. */
+    /** Injects the faults into a new site and returns the verdict on each promise. */
     static List<Verdict> run(Path folder, long seed, Duration length, double rate) throws InterruptedException {
         System.out.println("seed=" + seed + " length=" + length + " folder=" + folder);
         List<Kind> kinds = List.of(
--- a/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/fault/FaultRunIT.java
+++ b/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/fault/FaultRunIT.java
@@ -14,7 +14,7 @@
     private static final long SEED = 20_261_202;
 
     @Test
-    void everyPromiseHoldsWhileFaultsStrikeAloneAndInPairs() throws InterruptedException {
+    void everyPromiseHoldsUnderSingleAndPairedFaults() throws InterruptedException {
         List<Verdict> verdicts = FaultRun.run(Site.newFolder("fault-run-it"), SEED, Duration.ofSeconds(60), 30);
 
         assertThat(verdicts).as(PromiseChecker.describe(verdicts)).allMatch(Verdict::held);
--- a/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/fault/FaultSchedule.java
+++ b/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/fault/FaultSchedule.java
@@ -7,16 +7,16 @@
 import java.util.List;
 import java.util.Random;
 
-/** Lets faults strike alone or in pairs, at random but by a seed, until an end. */
+/** Injects seeded random faults, alone or in pairs, until an end time. */
 final class FaultSchedule {
 
-    private static final long SHORTEST_MILLIS = 500;
+    private static final long MINIMUM_FAULT_MILLIS = 500;
 
-    private static final long LONGEST_MILLIS = 6_000;
+    private static final long MAXIMUM_FAULT_MILLIS = 6_000;
 
-    private static final long SHORTEST_REST_MILLIS = 500;
+    private static final long MINIMUM_PAUSE_MILLIS = 500;
 
-    private static final long LONGEST_REST_MILLIS = 3_000;
+    private static final long MAXIMUM_PAUSE_MILLIS = 3_000;
 
     private final Site site;
 
@@ -31,15 +31,15 @@
         random = new Random(seed);
     }
 
-    /** Runs until the end, and heals all before it returns. */
+    /** Injects faults until the end time, and heals all of them before it returns. */
     void run(long endMillis) throws InterruptedException {
         while (System.currentTimeMillis() < endMillis) {
-            Thread.sleep(random.nextLong(SHORTEST_REST_MILLIS, LONGEST_REST_MILLIS));
-            strike();
+            Thread.sleep(random.nextLong(MINIMUM_PAUSE_MILLIS, MAXIMUM_PAUSE_MILLIS));
+            injectFaults();
         }
     }
 
-    private void strike() throws InterruptedException {
+    private void injectFaults() throws InterruptedException {
         List<Fault> faults = new ArrayList<>(List.of(Fault.draw(site, random)));
         if (random.nextBoolean()) {
             Fault second = Fault.draw(site, random);
@@ -47,15 +47,15 @@
                 faults.add(second);
             }
         }
-        long first = random.nextLong(SHORTEST_MILLIS, LONGEST_MILLIS);
-        long gap = random.nextLong(SHORTEST_MILLIS);
+        long durationMillis = random.nextLong(MINIMUM_FAULT_MILLIS, MAXIMUM_FAULT_MILLIS);
+        long gapMillis = random.nextLong(MINIMUM_FAULT_MILLIS);
         for (Fault fault : faults) {
             count++;
             System.out.println("fault time=" + System.currentTimeMillis() + " " + fault);
             fault.begin();
-            Thread.sleep(gap);
+            Thread.sleep(gapMillis);
         }
-        Thread.sleep(first);
+        Thread.sleep(durationMillis);
         Collections.shuffle(faults, random);
         for (Fault fault : faults) {
             fault.heal().ifPresent(observations::add);
--- a/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/measure/SiteMeasurement.java
+++ b/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/measure/SiteMeasurement.java
@@ -42,12 +42,12 @@
 import okhttp3.RequestBody;
 import okhttp3.Response;
 
-/** Prints the figures of a whole site of real processes that docs/MEASUREMENTS.md gives. */
+/** Measures a complete site of real processes, and prints the figures for docs/MEASUREMENTS.md. */
 public final class SiteMeasurement {
 
     private static final int ROUNDS = 10;
 
-    private static final Duration IDLE = Duration.ofSeconds(20);
+    private static final Duration IDLE_DURATION = Duration.ofSeconds(20);
 
     private static final long CLOCK_TICKS_PER_SECOND = 100;
 
@@ -62,20 +62,20 @@
             SiteMeasurement measurement = new SiteMeasurement(site);
             measurement.idleNodes();
             measurement.addedLatency();
-            measurement.configurationIntoForce();
+            measurement.configurationPropagation();
             measurement.leavingEndpoint();
         }
         System.exit(0);
     }
 
-    /** Measures what each node costs while nobody uses the site. */
+    /** Measures the processor time, memory and I/O of each node while the site has no load. */
     private void idleNodes() throws IOException {
         Pause.of(Duration.ofSeconds(10));
         List<long[]> before = new ArrayList<>();
         for (Node node : site.nodes()) {
             before.add(usage(node.process().pid()));
         }
-        Pause.of(IDLE);
+        Pause.of(IDLE_DURATION);
         for (int index = 0; index < before.size(); index++) {
             Node node = site.nodes().get(index);
             long[] after = usage(node.process().pid());
@@ -83,9 +83,9 @@
             print(
                     "idle node=%s cpu=%.2f%% of a core, resident=%d MB, read and written=%.1f KB/s",
                     node.name(),
-                    100.0 * (after[0] - first[0]) / CLOCK_TICKS_PER_SECOND / IDLE.toSeconds(),
+                    100.0 * (after[0] - first[0]) / CLOCK_TICKS_PER_SECOND / IDLE_DURATION.toSeconds(),
                     after[1] / 1_024,
-                    (after[2] - first[2]) / 1_024.0 / IDLE.toSeconds());
+                    (after[2] - first[2]) / 1_024.0 / IDLE_DURATION.toSeconds());
         }
     }
 
@@ -110,8 +110,8 @@
 
     /** Measures the latency of calls through the system against direct calls, mixed in one load. */
     private void addedLatency() {
-        Kind through = named("through", Kind.post(Site.SERVICE_POOL, "netting", 5_000, 1));
-        Kind direct = named("direct", Kind.post(Site.SERVICE_POOL, "netting", 5_000, 1));
+        Kind through = withName("through", Kind.post(Site.SERVICE_POOL, "netting", 5_000, 1));
+        Kind direct = withName("direct", Kind.post(Site.SERVICE_POOL, "netting", 5_000, 1));
         CallerClient caller = CallerClients.create(
                 site.entryAddresses(),
                 site.shape().availabilityZones().get(0),
@@ -160,7 +160,7 @@
         }
     }
 
-    private static Kind named(String name, Kind kind) {
+    private static Kind withName(String name, Kind kind) {
         return new Kind(
                 name,
                 1,
@@ -175,8 +175,8 @@
                 kind.attempts());
     }
 
-    /** Measures from the acceptance of a configuration until each node names it as in force. */
-    private void configurationIntoForce() throws IOException {
+    /** Measures the time from the acceptance of a configuration until each node reports it as active. */
+    private void configurationPropagation() throws IOException {
         List<Long> times = new ArrayList<>();
         for (int round = 0; round < ROUNDS; round++) {
             AtomicLong sentAt = new AtomicLong();
@@ -205,7 +205,9 @@
             seen.forEach(time -> times.add(time - sentAt.get()));
             join(operator);
         }
-        print("configuration into force on a node: %s, over %d nodes and %d changes", spread(times), 3, ROUNDS);
+        print(
+                "configuration into force on a node: %s, over %d nodes and %d changes",
+                medianAndMaximum(times), 3, ROUNDS);
     }
 
     private static long generation(Node node) {
@@ -226,7 +228,7 @@
         return Instant.parse(Http.parse(value).path("acceptedAt").asText()).toEpochMilli();
     }
 
-    /** Measures from an endpoint's leaving until the last request that reaches it. */
+    /** Measures the time from when an endpoint starts to leave until the last request that reaches it. */
     private void leavingEndpoint() {
         List<Long> times = new ArrayList<>();
         StandIn leaving = site.services().get(1);
@@ -241,7 +243,9 @@
             leaving.restart();
         }
         LoadReport report = callers.stop();
-        print("last request to a leaving endpoint after: %s, over %d rounds; load %s", spread(times), ROUNDS, report);
+        print(
+                "last request to a leaving endpoint after: %s, over %d rounds; load %s",
+                medianAndMaximum(times), ROUNDS, report);
     }
 
     private long lastArrival(StandIn endpoint) {
@@ -264,7 +268,7 @@
         }
     }
 
-    private static String spread(List<Long> times) {
+    private static String medianAndMaximum(List<Long> times) {
         List<Long> sorted = new ArrayList<>(times);
         Collections.sort(sorted);
         return String.format(
--- a/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/Callers.java
+++ b/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/Callers.java
@@ -15,12 +15,12 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentLinkedQueue;
 
-/** Callers that offer load in the background and record what they see. */
+/** Callers that generate load in the background and record the outcome of each attempt. */
 public final class Callers {
 
     private static final int MAXIMUM_IN_FLIGHT = 400;
 
-    private static final Duration LONGEST = Duration.ofHours(12);
+    private static final Duration MAXIMUM_DURATION = Duration.ofHours(12);
 
     private final Queue<CallerAttempt> attempts = new ConcurrentLinkedQueue<>();
 
@@ -36,7 +36,7 @@
                     attempts.add(attempt);
                     log.write(attempt);
                 });
-        OpenLoop loop = new OpenLoop(new LoadMix(kinds), rate, LONGEST, seed, MAXIMUM_IN_FLIGHT);
+        OpenLoop loop = new OpenLoop(new LoadMix(kinds), rate, MAXIMUM_DURATION, seed, MAXIMUM_IN_FLIGHT);
         report = CompletableFuture.supplyAsync(() -> loop.run(caller::call, () -> stopped), Callers::startDaemon);
     }
 
--- a/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/CommandResult.java
+++ b/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/CommandResult.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What a run of the operators' command came to. */
+/** The exit code and the output of a run of the operators' command. */
 public record CommandResult(int exitCode, String output) {
 
     static CommandResult run(List<String> arguments) {
--- a/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/ConfigurationReader.java
+++ b/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/ConfigurationReader.java
@@ -5,13 +5,13 @@
 import io.yuccaswitch.testkit.check.ObservationLog;
 import java.util.OptionalLong;
 
-/** Asks all nodes for the generation of the configuration in force, again and again. */
+/** Periodically reads the generation of the active configuration from all nodes. */
 public final class ConfigurationReader implements AutoCloseable {
 
     private static final long INTERVAL_MILLIS = 200;
 
-    /** What a node names that has started and has no configuration in force yet, and so serves nobody. */
-    private static final long NONE = 0;
+    /** The generation that a started node reports before it has an active configuration and serves requests. */
+    private static final long NO_GENERATION = 0;
 
     private final Thread thread;
 
@@ -27,12 +27,12 @@
         return new ConfigurationReader(site);
     }
 
-    /** Returns the generation that a node names, or empty if it does not answer or has none. */
+    /** Returns the generation that a node reports, or empty if it does not answer or has none. */
     public static OptionalLong generation(Site.Node node) {
         JsonNode generation = node.status()
                 .map(status -> status.path("configuration").path("generation"))
                 .filter(JsonNode::isIntegralNumber)
-                .filter(number -> number.asLong() != NONE)
+                .filter(number -> number.asLong() != NO_GENERATION)
                 .orElse(null);
         return generation == null ? OptionalLong.empty() : OptionalLong.of(generation.asLong());
     }
@@ -41,10 +41,10 @@
         try (ObservationLog log = new ObservationLog(site.observations("configuration-reader"))) {
             while (!stopped) {
                 for (Site.Node node : site.nodes()) {
-                    long askedAt = System.currentTimeMillis();
+                    long requestedAt = System.currentTimeMillis();
                     generation(node)
                             .ifPresent(generation -> log.write(new ConfigurationRead(
-                                    node.name(), generation, askedAt, System.currentTimeMillis())));
+                                    node.name(), generation, requestedAt, System.currentTimeMillis())));
                 }
                 Thread.sleep(INTERVAL_MILLIS);
             }
--- a/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/FaultProxy.java
+++ b/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/FaultProxy.java
@@ -16,16 +16,16 @@
 
     private String control = "";
 
-    /** Starts the proxy before stand-ins. */
+    /** Starts the proxy with a link to each stand-in. */
     ManagedProcess start(Path folder, Collection<Site.StandIn> standIns, int nodes) {
         int port = Ports.reserve();
         control = "127.0.0.1:" + port;
         List<String> arguments = new ArrayList<>(List.of("proxy", "--port", Integer.toString(port)));
         for (Site.StandIn standIn : standIns) {
-            link(arguments, standIn.name(), standIn.address());
+            addLink(arguments, standIn.name(), standIn.address());
             if (standIn.name().equals("platform")) {
                 for (int index = 0; index < nodes; index++) {
-                    link(arguments, "platform-" + index, standIn.address());
+                    addLink(arguments, "platform-" + index, standIn.address());
                 }
             }
         }
@@ -34,7 +34,7 @@
         return process;
     }
 
-    private void link(List<String> arguments, String name, String target) {
+    private void addLink(List<String> arguments, String name, String target) {
         int port = Ports.reserve();
         links.put(name, "127.0.0.1:" + port);
         arguments.add("--link");
@@ -50,7 +50,7 @@
         return links.get("platform-" + index);
     }
 
-    /** Puts faults in force, such as {@code mode=blackhole&delayMillis=20}; an empty text heals the link. */
+    /** Applies faults to a link, such as {@code mode=blackhole&delayMillis=20}; an empty query heals it. */
     public void fault(String link, String query) {
         Http.post(control, "/links/" + link + "/faults?" + query, "");
     }
--- a/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/FleetFolder.java
+++ b/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/FleetFolder.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** Writes the folder of the fleet's configuration. */
+/** Builds and writes the configuration folder of the fleet. */
 final class FleetFolder {
 
     static final String ENGINE_POOL = "matcher-lm";
@@ -36,7 +36,7 @@
         root.putObject("lease").put("duration", "3s").put("safetyMargin", "500ms");
     }
 
-    /** Adds a pool, with the addresses of its endpoints by their names. */
+    /** Adds a pool with the given endpoint addresses by endpoint name. */
     ObjectNode pool(String name, String kind, Map<String, String> endpoints) {
         ObjectNode pool = root.withObject("/pools").putObject(name).put("kind", kind);
         int index = 0;
--- a/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/Http.java
+++ b/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/Http.java
@@ -13,7 +13,7 @@
 import okhttp3.RequestBody;
 import okhttp3.Response;
 
-/** Small exchanges of JSON over HTTP. */
+/** Exchanges JSON documents over HTTP. */
 public final class Http {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -23,7 +23,7 @@
 
     private Http() {}
 
-    /** Returns the document, or empty if there is no answer or none of success. */
+    /** Returns the document, or empty if the call fails or its status is not a success. */
     public static Optional<JsonNode> get(String address, String path) {
         Request request = new Request.Builder().url("http://" + address + path).build();
         try (Response response = CLIENT.newCall(request).execute()) {
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Posts a body, which must succeed. */
+    /** Posts a body, and throws an exception if the call fails or its status is not a success. */
     public static JsonNode post(String address, String path, String body) {
         return send(address, path, "POST", body);
     }
--- a/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/Jars.java
+++ b/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/Jars.java
@@ -28,19 +28,19 @@
         try (Stream<Path> files = Files.list(target)) {
             return files.filter(file -> file.getFileName().toString().endsWith("-all.jar"))
                     .findFirst()
-                    .orElseThrow(() -> new IllegalStateException("Package first: no -all.jar in " + target));
+                    .orElseThrow(() -> new IllegalStateException("Run 'mvn package' first: no -all.jar in " + target));
         } catch (IOException exception) {
-            throw new UncheckedIOException("Package first", exception);
+            throw new UncheckedIOException("Cannot list the build output; run 'mvn package' first", exception);
         }
     }
 
-    /** Returns the folder of the workspace: the first one upwards that holds the testkit. */
+    /** Returns the root folder of the workspace: the closest one upwards that contains the testkit module. */
     static Path root() {
         Path folder = Path.of(System.getProperty("yuccaswitch.root", "")).toAbsolutePath();
         while (!Files.isDirectory(folder.resolve("yuccaswitch-testkit"))) {
             folder = folder.getParent();
             if (folder == null) {
-                throw new IllegalStateException("Not inside the workspace");
+                throw new IllegalStateException("The working directory is not inside the workspace");
             }
         }
         return folder;
--- a/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/ManagedProcess.java
+++ b/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/ManagedProcess.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.awaitility.Awaitility;
 
-/** A process that a test started, and ends by its number. */
+/** A process that a test starts, pauses, ends and restarts by its process id. */
 public final class ManagedProcess implements AutoCloseable {
 
     private static final Duration START_TIMEOUT = Duration.ofSeconds(90);
@@ -47,7 +47,7 @@
         return new ManagedProcess(name, folder, command);
     }
 
-    /** Starts the process, again if it has ended. */
+    /** Starts the process, or restarts it after it has ended. */
     public void start() {
         try {
             process = new ProcessBuilder(command)
@@ -71,7 +71,7 @@
         return process.pid();
     }
 
-    /** Waits until the log holds a text. */
+    /** Waits until the log contains a text. */
     public void awaitLog(String text) {
         Awaitility.await(name + " to print '" + text + "'")
                 .atMost(START_TIMEOUT)
@@ -88,13 +88,13 @@
         }
     }
 
-    /** Ends the process at once and waits for its end. */
+    /** Kills the process and waits for its end. */
     public void kill() {
         process.destroyForcibly();
         awaitEnd(END_TIMEOUT);
     }
 
-    /** Asks the process to stop. */
+    /** Requests a graceful stop without waiting for it. */
     public void terminate() {
         process.destroy();
     }
--- a/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/Operator.java
+++ b/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/Operator.java
@@ -3,7 +3,7 @@
 import io.yuccaswitch.testkit.check.Observation.ConfigurationAccepted;
 import io.yuccaswitch.testkit.check.ObservationLog;
 
-/** An operator who changes the configuration again and again. */
+/** An operator who periodically applies a configuration change. */
 public final class Operator implements AutoCloseable {
 
     private static final long INTERVAL_MILLIS = 8_000;
@@ -33,7 +33,7 @@
                             .asLong();
                     log.write(new ConfigurationAccepted(generation, System.currentTimeMillis()));
                 }
-                for (long waited = 0; waited < INTERVAL_MILLIS && !stopped; waited += 100) {
+                for (long waitedMillis = 0; waitedMillis < INTERVAL_MILLIS && !stopped; waitedMillis += 100) {
                     Thread.sleep(100);
                 }
             }
--- a/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/Pause.java
+++ b/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/Pause.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** Lets time pass while load and faults go on. */
+/** Blocks the test for some time while load and faults continue. */
 public final class Pause {
 
     private Pause() {}
--- a/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/Promises.java
+++ b/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/Promises.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Judges what was observed at a site. */
+/** Checks the observations of a site against the promises. */
 public final class Promises {
 
     private Promises() {}
--- a/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/Site.java
+++ b/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/Site.java
@@ -19,8 +19,8 @@
 import org.awaitility.Awaitility;
 
 /**
- * A whole site of real processes: platform, nodes, engines, ledger endpoints, scorer and weight store, with the fault
- * proxy between the nodes and what they call.
+ * A complete site of real processes: platform, nodes, engines, ledger endpoints, scorer and weight store, with the
+ * fault proxy between the nodes and the processes that they call.
  */
 public final class Site implements AutoCloseable {
 
@@ -64,7 +64,7 @@
         proxy = new FaultProxy();
     }
 
-    /** Starts everything and waits until each node serves with the configuration in force. */
+    /** Starts all processes, applies the configuration and waits until each node is ready. */
     public static Site start(Path folder, SiteShape shape) {
         Site site = new Site(folder, shape);
         try {
@@ -91,7 +91,7 @@
         return folder;
     }
 
-    /** Ends a process together with the site. */
+    /** Registers a process that ends when the site is closed. */
     void manage(ManagedProcess process) {
         processes.add(process);
     }
@@ -109,11 +109,11 @@
     }
 
     public List<StandIn> engines() {
-        return named("engine-");
+        return standInsWithPrefix("engine-");
     }
 
     public List<StandIn> services() {
-        return named("ledger-");
+        return standInsWithPrefix("ledger-");
     }
 
     public List<Node> nodes() {
@@ -124,7 +124,7 @@
         return nodes.values().stream().map(Node::entryAddress).toList();
     }
 
-    private List<StandIn> named(String prefix) {
+    private List<StandIn> standInsWithPrefix(String prefix) {
         return standIns.values().stream()
                 .filter(standIn -> standIn.name().startsWith(prefix))
                 .toList();
@@ -152,7 +152,7 @@
         fleet.pool(ENGINE_POOL, "engine", addresses(engines()))
                 .put("fencing", shape.engineFencing() ? "checked" : "ignored");
         fleet.pool(SERVICE_POOL, "service", addresses(services())).put("settlesRequests", shape.settlesRequests());
-        fleet.pool(FleetFolder.SCORER_POOL, "service", addresses(named("scorer-")));
+        fleet.pool(FleetFolder.SCORER_POOL, "service", addresses(standInsWithPrefix("scorer-")));
         fleet.trainer(shape.stalenessBound());
         fleet.weightStore(store.address());
     }
@@ -215,10 +215,10 @@
         return new Node(name, zone, folder, proxy.platformAddress(index), nodes.values());
     }
 
-    /** Waits until each node knows all others. */
+    /** Waits until each node lists the entry addresses of all nodes. */
     private void awaitMembers() {
         for (Node node : nodes.values()) {
-            Awaitility.await(node.name() + " to name all entry addresses")
+            Awaitility.await(node.name() + " to list all entry addresses")
                     .atMost(READY_TIMEOUT)
                     .pollInterval(Duration.ofMillis(100))
                     .until(() -> Http.get(node.entryAddress(), "/v1/entry-addresses")
@@ -227,7 +227,7 @@
         }
     }
 
-    /** Applies the configuration folder by the operators' command. */
+    /** Applies the configuration folder with the operators' command. */
     public void applyFolder() {
         CommandResult result = apply(fleet.write(folder.resolve("configuration")));
         if (result.exitCode() != 0) {
@@ -235,7 +235,7 @@
         }
     }
 
-    /** Applies a configuration that differs from all before in one harmless key. */
+    /** Applies a configuration that differs from the previous ones only in the weight of a caller. */
     public CommandResult applyChange(String author, int callerWeight) {
         FleetFolder changed = fleet;
         synchronized (changed) {
@@ -264,7 +264,7 @@
         }
     }
 
-    /** Returns the file in which an endpoint or caller records what it saw. */
+    /** Returns the file in which an endpoint or caller records its observations. */
     public Path observations(String name) {
         return folder.resolve(name + ".observations");
     }
@@ -290,16 +290,16 @@
         }
     }
 
-    /** A stand-in and its own address, without the proxy. */
+    /** A stand-in and its direct address, which bypasses the proxy. */
     public record StandIn(String name, String address, ManagedProcess process) {
 
-        /** Orders a fault. */
+        /** Injects a fault. */
         public void fault(String fault, long value) {
             ObjectNode body = JsonNodeFactory.instance.objectNode().put(fault, value);
             Http.post(address, "/control/faults", body.toString());
         }
 
-        /** Sends an order to the platform's control interface. */
+        /** Posts to the control interface of the platform stand-in. */
         public void control(String pathAndQuery) {
             Http.post(address, "/control/" + pathAndQuery, "");
         }
@@ -389,7 +389,7 @@
             return process;
         }
 
-        /** Starts the node again and waits until it serves. */
+        /** Restarts the node and waits until it is ready. */
         public void restart() {
             process.start();
             awaitReady();
--- a/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/SiteShape.java
+++ b/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/SiteShape.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.List;
 
-/** What a site consists of. */
+/** The size and the parameters of a site. */
 public record SiteShape(
         List<String> availabilityZones,
         int engines,
@@ -15,7 +15,7 @@
         int iterationMicros,
         int medianTokens) {
 
-    /** Padma's site in small. */
+    /** Returns a small version of Padma's site. */
     public static SiteShape small() {
         return new SiteShape(
                 List.of("salt-lake", "new-town", "howrah"), 4, 2, false, true, Duration.ofSeconds(2), 1, 2_000, 24);
--- a/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/Training.java
+++ b/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/site/Training.java
@@ -7,7 +7,7 @@
 import java.time.Duration;
 import java.util.List;
 
-/** A trainer's process, which records every sample that it takes in. */
+/** A trainer process that records every sample it receives. */
 public final class Training {
 
     private static final Duration TIMEOUT = Duration.ofMinutes(3);
@@ -20,12 +20,12 @@
         this.process = process;
     }
 
-    /** Starts a trainer that goes on until it is told to finish. */
+    /** Starts a trainer that runs until {@link #finish(Site)} is called. */
     public static Training start(Site site) {
         return start(site, 1_000_000);
     }
 
-    /** Starts a trainer that ends after some steps. */
+    /** Starts a trainer that ends after a number of steps. */
     public static Training start(Site site, int steps) {
         Path prompts = Jars.root().resolve("examples").resolve("prompts.txt");
         ManagedProcess process = ManagedProcess.java(
@@ -61,12 +61,12 @@
         return process;
     }
 
-    /** Waits until the trainer has ended by itself, and returns its exit code. */
+    /** Waits until the trainer ends, and returns its exit code. */
     public int awaitEnd() {
         return process.awaitEnd(TIMEOUT);
     }
 
-    /** Lets the trainer finish its step, and returns its exit code. */
+    /** Requests that the trainer ends after its current step, and returns its exit code. */
     public int finish(Site site) {
         try {
             Files.writeString(finishFile(site), "");
