--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/configuration/ConfigurationApply.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/configuration/ConfigurationApply.java
@@ -14,7 +14,7 @@
 /**
  * Applies a change with one conditional write of the next generation. If the answer to the write is lost, the object is
  * read and the identifier of the change is compared before the identical write is retried. Each attempt expects the
- * matching version of the object, so the write takes effect at most once.
+ * same version of the object, so the write takes effect at most once.
  */
 public final class ConfigurationApply {
 
--- a/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/PlatformCalls.java
+++ b/yuccaswitch-command/src/main/java/io/yuccaswitch/command/subcommand/PlatformCalls.java
@@ -52,7 +52,7 @@
                 return CommandResult.failure(
                         ExitCode.INVALID,
                         "The platform's address is not configured.",
-                        "Specify --platform host:port, set YUCCASWITCH_PLATFORM, or specify a file with --settings.");
+                        "Specify --platform host:port, set YUCCASWITCH_PLATFORM, or use a file with --settings.");
             }
             try (ObjectStore store =
                     environment.stores().apply(connections.platform().get())) {
@@ -76,7 +76,7 @@
                 return CommandResult.failure(
                         ExitCode.INVALID,
                         "The operator addresses of the nodes are not configured.",
-                        "Specify --operator name=host:port, set YUCCASWITCH_OPERATORS, or specify a file with --settings.");
+                        "Specify --operator name=host:port, set YUCCASWITCH_OPERATORS, or use a file with --settings.");
             }
             return action.apply(connections);
         });
@@ -125,6 +125,6 @@
         return CommandResult.failure(
                 ExitCode.FAILED,
                 "The object " + ConfigurationDocument.KEY + " on the platform is not a configuration.",
-                "Inspect the object. If it is lost, delete it and apply a folder: generations continue from the history.");
+                "Inspect the object. If lost, delete it and apply a folder: generations continue from the history.");
     }
 }
--- a/yuccaswitch-endpoint/src/main/java/io/yuccaswitch/endpoint/EndpointClient.java
+++ b/yuccaswitch-endpoint/src/main/java/io/yuccaswitch/endpoint/EndpointClient.java
@@ -32,7 +32,7 @@
 /**
  * Carries out attempts at endpoints. An attempt emits its progress and then exactly one
  * {@link RequestEvent.AttemptEnded}, even if it is cancelled. One attempt never sends a request twice. Progress and
- * results of an attempt that resumes a generation cover the whole generation.
+ * results of an attempt that resumes a generation cover the complete generation.
  *
  * <p>To wire it, subscribe to the {@link RequestEffect.Send} and {@link RequestEffect.CancelAttempt} effects and pass
  * the events of {@link #attempt} to the decision core.
--- a/yuccaswitch-settings/src/main/java/io/yuccaswitch/settings/ContainerTypes.java
+++ b/yuccaswitch-settings/src/main/java/io/yuccaswitch/settings/ContainerTypes.java
@@ -239,9 +239,9 @@
          * @param context The context that collects errors.
          */
         void addUnknownKey(String name, SourcePosition position, KeyPath path, DecodingContext context) {
-            List<String> known = keys.stream().map(SettingKey::name).toList();
+            List<String> validNames = keys.stream().map(SettingKey::name).toList();
             String message = "There is no such key.";
-            context.addUnknown(SettingsErrorCode.UNKNOWN_KEY, position, path.child(name), message, name, known);
+            context.addUnknown(SettingsErrorCode.UNKNOWN_KEY, position, path.child(name), message, name, validNames);
         }
 
         /**
--- a/yuccaswitch-settings/src/main/java/io/yuccaswitch/settings/NearestName.java
+++ b/yuccaswitch-settings/src/main/java/io/yuccaswitch/settings/NearestName.java
@@ -8,7 +8,9 @@
 /** Finds the valid name that is most similar to a misspelt name. */
 final class NearestName {
 
-    /** The number of letters in a name per permitted spelling mistake. */
+    /**
+     * The number of letters per permitted mistake: one mistake in up to 5 letters, two from 6 letters on, and so on.
+     */
     private static final int LETTERS_PER_MISTAKE = 3;
 
     /** This class has no instances. */
--- a/yuccaswitch-settings/src/main/java/io/yuccaswitch/settings/SettingsReference.java
+++ b/yuccaswitch-settings/src/main/java/io/yuccaswitch/settings/SettingsReference.java
@@ -16,7 +16,7 @@
             """
             # Configuration of the fleet
 
-            This page is generated from the annotations in `io.yuccaswitch.core.configuration`; a test verifies that they match.
+            This page is generated from the annotations in `io.yuccaswitch.core.configuration`; a test verifies it.
             How a folder is written, checked and applied is described in [operations/configuration.md](operations/configuration.md).
 
             Durations are written as `"250ms"`, `"30s"`, `"5m"` or `"1h"`. `<name>` stands for a name of the writer's choice.
--- a/yuccaswitch-settings/src/test/java/io/yuccaswitch/settings/SettingsDecoderTest.java
+++ b/yuccaswitch-settings/src/test/java/io/yuccaswitch/settings/SettingsDecoderTest.java
@@ -164,7 +164,7 @@
     }
 
     @Test
-    void numbersOutOfEveryRangeAreRejected() {
+    void numbersOutOfEveryRangeAreRejectedQuickly() {
         SettingsResult<NodeSettings> result = decode(
                 "{\"name\": \"vm-1\", \"port\": 1e999999999, \"size\": 1e-999999999, \"share\": -1e99999}",
                 NodeSettings.class);
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void invalidNamesAreRejectedAsKeys() {
+    void invalidNamesAreAlsoRejectedAsKeys() {
         SettingsResult<FleetConfiguration> result =
                 decode("{\"site\": \"x\", \"availabilityZones\": {\"a zone\": {}}}", FleetConfiguration.class);
         assertThat(result.errors())
