--- a/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/GatewayCommand.java
+++ b/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/GatewayCommand.java
@@ -8,12 +8,12 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A gateway that runs in a checkout with the command of its deploy file. */
+/** A gateway process that is started in a checkout with the run command of its deploy file. */
 final class GatewayCommand implements AutoCloseable {
 
-    private static final Pattern RUN = Pattern.compile("\\[roles\\.gateway]\\s+run = \"([^\"]+)\"");
-    private static final int ADDRESSES = 5;
-    private static final int PEER = 3;
+    private static final Pattern RUN_COMMAND = Pattern.compile("\\[roles\\.gateway]\\s+run = \"([^\"]+)\"");
+    private static final int ADDRESS_COUNT = 5;
+    private static final int PEER_ADDRESS_INDEX = 3;
 
     private final Path checkout;
     private final Path settings;
@@ -22,7 +22,7 @@
 
     GatewayCommand(Path checkout, Path folder, int number, String store, List<String> seeds) throws IOException {
         this.checkout = checkout;
-        addresses = LoopbackAddresses.next(ADDRESSES);
+        addresses = LoopbackAddresses.next(ADDRESS_COUNT);
         String name = "node-" + number;
         settings = folder.resolve(name + ".json");
         Files.writeString(
@@ -38,9 +38,9 @@
     }
 
     void start() throws IOException {
-        Matcher run = RUN.matcher(Files.readString(checkout.resolve("deploy/system.toml")));
+        Matcher run = RUN_COMMAND.matcher(Files.readString(checkout.resolve("deploy/system.toml")));
         if (!run.find()) {
-            throw new IllegalStateException("The deploy file has no command for gateways");
+            throw new IllegalStateException("deploy/system.toml has no run command for the gateway role");
         }
         ProcessBuilder builder = new ProcessBuilder(run.group(1).split(" ", -1));
         builder.directory(checkout.toFile());
@@ -52,7 +52,7 @@
     }
 
     String peerAddress() {
-        return addresses.get(PEER);
+        return addresses.get(PEER_ADDRESS_INDEX);
     }
 
     long pid() {
--- a/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/GatewayCost.java
+++ b/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/GatewayCost.java
@@ -19,23 +19,23 @@
 import java.util.stream.Stream;
 
 /**
- * Measures what gateways cost while nobody calls them: the processor time of a start, and of an idle minute by thread.
- * The gateways run with the command of the deploy file, as separate processes beside a platform's stand-in. A second
- * folder, a checkout of earlier code that was built, is measured in the same run, so that ratios can be told.
+ * Measures the processor time of gateways without load: of a start, and of an idle minute by kind of thread. The
+ * gateways run with the command of the deploy file, as separate processes next to a platform stand-in. A second folder,
+ * a built checkout of earlier code, can be measured in the same run, which then prints the ratios.
  */
 final class GatewayCost {
 
-    private static final Duration SETTLING_TIME = Duration.ofSeconds(12);
+    private static final Duration SETTLING_DELAY = Duration.ofSeconds(12);
     private static final double NANOS_PER_MILLI = 1e6;
-    private static final int SEEDS = 3;
+    private static final int MAXIMUM_SEEDS = 3;
 
-    @Parameter(names = "--gateways", description = "How many gateways run at once")
+    @Parameter(names = "--gateways", description = "Number of gateways that run at once")
     private int gateways = 40;
 
-    @Parameter(names = "--seconds", description = "How long the idle gateways are watched")
+    @Parameter(names = "--seconds", description = "Duration of the idle measurement in seconds")
     private int seconds = 20;
 
-    @Parameter(names = "--before", description = "A checkout of earlier code that was built, to compare with")
+    @Parameter(names = "--before", description = "Built checkout of earlier code to compare with")
     private String before = "";
 
     private GatewayCost() {}
@@ -43,21 +43,21 @@
     public static void main(String[] arguments) throws Exception {
         GatewayCost run = new GatewayCost();
         JCommander.newBuilder().addObject(run).build().parse(arguments);
-        Cost now = run.measure(Path.of("."));
-        System.out.println("this code: " + now);
+        ProcessorTime current = run.measure(Path.of("."));
+        System.out.println("this code: " + current);
         if (!run.before.isEmpty()) {
-            Cost earlier = run.measure(Path.of(run.before));
+            ProcessorTime earlier = run.measure(Path.of(run.before));
             System.out.println("earlier code: " + earlier);
             System.out.printf(
                     Locale.ROOT,
                     "ratio to earlier code: start %.2f, idle %.2f%n",
-                    now.startMillis() / earlier.startMillis(),
-                    now.idleMillisPerMinute() / earlier.idleMillisPerMinute());
+                    current.startMillis() / earlier.startMillis(),
+                    current.idleMillisPerMinute() / earlier.idleMillisPerMinute());
         }
         System.exit(0);
     }
 
-    private Cost measure(Path checkout) throws IOException, InterruptedException {
+    private ProcessorTime measure(Path checkout) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("gateway-cost-");
         List<GatewayCommand> running = new ArrayList<>();
         try (StoreStandIn store = new StoreStandIn();
@@ -71,7 +71,7 @@
             for (int number = 1; number <= gateways; number++) {
                 GatewayCommand gateway =
                         new GatewayCommand(checkout, folder, number, store.address(), List.copyOf(seeds));
-                if (seeds.size() < SEEDS) {
+                if (seeds.size() < MAXIMUM_SEEDS) {
                     seeds.add(gateway.peerAddress());
                 }
                 running.add(gateway);
@@ -79,12 +79,12 @@
             for (GatewayCommand gateway : running) {
                 gateway.start();
             }
-            Thread.sleep(SETTLING_TIME.toMillis());
-            Map<String, Double> started = processorTimes(running);
+            Thread.sleep(SETTLING_DELAY.toMillis());
+            Map<String, Double> startTimes = processorTimes(running);
             Thread.sleep(Duration.ofSeconds(seconds).toMillis());
-            Map<String, Double> later = processorTimes(running);
-            later.replaceAll((name, time) -> (time - started.getOrDefault(name, 0.0)) * 60 / seconds);
-            return new Cost(sum(started), sum(later), started, later);
+            Map<String, Double> idleTimes = processorTimes(running);
+            idleTimes.replaceAll((name, time) -> (time - startTimes.getOrDefault(name, 0.0)) * 60 / seconds);
+            return new ProcessorTime(sum(startTimes), sum(idleTimes), startTimes, idleTimes);
         } finally {
             running.forEach(GatewayCommand::close);
         }
@@ -110,8 +110,8 @@
         return times;
     }
 
-    /** What one gateway cost on average, in milliseconds of processor time. */
-    private record Cost(
+    /** The mean processor time of a gateway, in milliseconds. */
+    private record ProcessorTime(
             double startMillis,
             double idleMillisPerMinute,
             Map<String, Double> startByThread,
--- a/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakCallers.java
+++ b/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakCallers.java
@@ -13,15 +13,15 @@
 import java.util.Optional;
 import java.util.Random;
 
-/** Callers and trainers that go on through all faults, and keep their connections open. */
+/** Callers and trainers that send requests throughout all faults and keep their connections open. */
 final class SoakCallers implements AutoCloseable {
 
-    private static final int CALLERS = 4;
-    private static final int TRAINERS = 2;
-    private static final int ITEMS = 6;
+    private static final int CALLER_COUNT = 4;
+    private static final int TRAINER_COUNT = 2;
+    private static final int ITEMS_PER_JOB = 6;
 
-    /** How long a trainer waits for a whole job. Faults last a few seconds, and jobs are taken over after two more. */
-    private static final Duration PATIENCE = Duration.ofSeconds(45);
+    /** Timeout of a complete job. Faults last a few seconds, and jobs are taken over two seconds later. */
+    private static final Duration JOB_TIMEOUT = Duration.ofSeconds(45);
 
     private final SoakSite site;
     private final SoakHistory history;
@@ -31,27 +31,27 @@
     SoakCallers(SoakSite site, SoakHistory history, long seed) {
         this.site = site;
         this.history = history;
-        for (int i = 0; i < CALLERS; i++) {
+        for (int i = 0; i < CALLER_COUNT; i++) {
             start("caller-" + i, new Random(seed * 31 + i), this::call);
         }
-        for (int i = 0; i < TRAINERS; i++) {
+        for (int i = 0; i < TRAINER_COUNT; i++) {
             start("trainer-" + i, new Random(seed * 37 + i), this::train);
         }
-        start("harmful", new Random(seed * 41), this::harm);
+        start("harmful", new Random(seed * 41), this::sendCrashingRequest);
     }
 
-    /** Ends the callers, and lets the trainers finish what they have submitted. */
+    /** Stops the callers, and waits until the trainers have read the jobs that they submitted. */
     @Override
     public void close() {
         stopped = true;
         for (Thread thread : threads) {
             try {
-                thread.join(PATIENCE.plusSeconds(20).toMillis());
+                thread.join(JOB_TIMEOUT.plusSeconds(20).toMillis());
             } catch (InterruptedException exception) {
                 Thread.currentThread().interrupt();
             }
             if (thread.isAlive()) {
-                history.failures.add(thread.getName() + " hangs");
+                history.failures.add(thread.getName() + " did not end in time");
             }
         }
     }
@@ -81,19 +81,19 @@
         Thread.sleep(20 + random.nextInt(40));
     }
 
-    /** Sends a request again and again that crashes each endpoint that runs it. */
-    private void harm(CallerStandIn caller, String id, Random random) throws InterruptedException {
+    /** Sends a request that crashes each endpoint that runs it. */
+    private void sendCrashingRequest(CallerStandIn caller, String id, Random random) throws InterruptedException {
         caller.post(entry(random), SiteDocuments.path("safe"), id, CrashingService.HARMFUL);
         Thread.sleep(100 + random.nextInt(400));
     }
 
     private void train(CallerStandIn caller, String id, Random random) throws InterruptedException {
         long minimum = Math.max(1, site.version.get() - 1);
-        long end = System.nanoTime() + PATIENCE.toNanos();
+        long end = System.nanoTime() + JOB_TIMEOUT.toNanos();
         boolean accepted = false;
         for (int attempt = 0; attempt < 6 && !accepted; attempt++) {
-            Optional<Reply> reply = caller.submit(entry(random), id, ITEMS, minimum);
-            history.submissions.add(new SoakHistory.Submission(id, ITEMS, minimum, reply));
+            Optional<Reply> reply = caller.submit(entry(random), id, ITEMS_PER_JOB, minimum);
+            history.submissions.add(new SoakHistory.Submission(id, ITEMS_PER_JOB, minimum, reply));
             accepted = reply.filter(found -> found.status() == 202).isPresent();
             Thread.sleep(100);
         }
@@ -106,15 +106,15 @@
             return;
         }
         if (!readAll(caller, id, random, end)) {
-            history.failures.add(
-                    "job " + id + " was accepted and not whole in " + PATIENCE.toSeconds() + " s: " + lastPages(id));
+            history.failures.add("job " + id + " was accepted but not complete after " + JOB_TIMEOUT.toSeconds()
+                    + " s; statuses of its pages: " + pageStatusCounts(id));
         }
     }
 
-    /** Reads a job until all its results were seen, at changing nodes and sometimes from an earlier position. */
+    /** Reads a job at random nodes, sometimes from an earlier position, until all its results were received. */
     private boolean readAll(CallerStandIn caller, String id, Random random, long end) throws InterruptedException {
         int next = 0;
-        while (next < ITEMS && System.nanoTime() < end) {
+        while (next < ITEMS_PER_JOB && System.nanoTime() < end) {
             int from = random.nextInt(4) == 0 ? random.nextInt(next + 1) : next;
             int node = random.nextInt(site.gateways.size());
             Optional<Page> page = caller.results(site.gateways.get(node).entry(), id, from);
@@ -124,10 +124,10 @@
             }
             Thread.sleep(50);
         }
-        return next == ITEMS;
+        return next == ITEMS_PER_JOB;
     }
 
-    private Map<Integer, Integer> lastPages(String id) {
+    private Map<Integer, Integer> pageStatusCounts(String id) {
         Map<Integer, Integer> statuses = new HashMap<>();
         synchronized (history.reads) {
             history.reads.stream()
@@ -141,7 +141,7 @@
         return site.gateways.get(random.nextInt(site.gateways.size())).entry();
     }
 
-    /** What a caller or a trainer does, again and again. */
+    /** The action that a caller or a trainer repeats. */
     private interface Role {
         void act(CallerStandIn caller, String id, Random random) throws InterruptedException;
     }
--- a/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakChecks.java
+++ b/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakChecks.java
@@ -19,34 +19,34 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 
-/** The promises, each judged by what callers, trainers and endpoints have seen. */
+/** Checks each promise against the observations of callers, trainers and endpoints. */
 final class SoakChecks {
 
-    /** The least time between orders of two holders, as the gateways' settings of the stand-ins say. */
-    static final Duration ORDER_SAFETY = Duration.ofMillis(500);
+    /** The minimum time between orders of two holders, as the stand-ins configure it for the gateways. */
+    static final Duration ORDER_SAFETY_TIME = Duration.ofMillis(500);
 
-    /** The whole output of an item. */
-    static final String OUTPUT = "e1\ne2\ne3\ne4\ne5";
+    /** The complete output of an item. */
+    static final String COMPLETE_OUTPUT = "e1\ne2\ne3\ne4\ne5";
 
-    /** What the identifiers of scoring requests begin with. The item's identifier follows. */
-    private static final String SCORING = "s-";
+    /** The prefix of the identifiers of scoring requests. The item's identifier follows. */
+    private static final String SCORING_PREFIX = "s-";
 
     private static final int OK = 200;
 
     private SoakChecks() {}
 
-    /** Returns what broke a promise, empty if nothing did. */
+    /** Returns a description of each violation of a promise. */
     static List<String> violations(SoakHistory history) {
         List<String> found = new ArrayList<>(history.failures);
         found.addAll(requestsThatRanTwice(history));
-        found.addAll(untrueRefusals(history));
+        found.addAll(refusalsOfRequestsThatRan(history));
         found.addAll(wrongAnswers(history));
         found.addAll(itemsListedTwice(history));
         found.addAll(changedPositions(history));
         found.addAll(wrongOutputs(history));
         found.addAll(wrongVersions(history));
         found.addAll(wrongScores(history));
-        found.addAll(scoringOfNoOutput(history));
+        found.addAll(scoringBeforeOutput(history));
         found.addAll(refusedJobsThatRan(history));
         found.addAll(ordersOfTwoHolders(history));
         return found;
@@ -60,16 +60,17 @@
                 .collect(Collectors.groupingBy(Seen::id, Collectors.counting()));
         return counts.entrySet().stream()
                 .filter(count -> count.getValue() > 1)
-                .map(count -> "request " + count.getKey() + " may run once and ran " + count.getValue() + " times")
+                .map(count ->
+                        "request " + count.getKey() + " may run at most once but ran " + count.getValue() + " times")
                 .toList();
     }
 
-    static List<String> untrueRefusals(SoakHistory history) {
+    static List<String> refusalsOfRequestsThatRan(SoakHistory history) {
         Set<String> ran = history.allRuns().stream().map(Seen::id).collect(Collectors.toSet());
         return history.plain.stream()
                 .filter(Plain::once)
                 .filter(plain -> plain.reply().filter(Reply::saysNotRun).isPresent() && ran.contains(plain.id()))
-                .map(plain -> "request " + plain.id() + " was said not to have run and ran")
+                .map(plain -> "request " + plain.id() + " was reported as not run but ran")
                 .toList();
     }
 
@@ -90,7 +91,7 @@
             Set<String> items = new HashSet<>();
             positions.forEach((_position, listed) -> {
                 if (!items.add(listed.get(0).item())) {
-                    found.add("item " + listed.get(0).item() + " of " + job + " stands at two positions");
+                    found.add("item " + listed.get(0).item() + " of " + job + " is listed at two positions");
                 }
             });
         });
@@ -102,7 +103,8 @@
         positions(history)
                 .forEach((job, positions) -> positions.forEach((position, listed) -> {
                     if (Set.copyOf(listed).size() > 1) {
-                        found.add("position " + position + " of " + job + " held " + Set.copyOf(listed));
+                        found.add("position " + position + " of " + job + " had different results: "
+                                + Set.copyOf(listed));
                     }
                 }));
         return found;
@@ -111,7 +113,7 @@
     static List<String> wrongOutputs(SoakHistory history) {
         return listed(history).stream()
                 .filter(Listed::completed)
-                .filter(listed -> !listed.output().equals(OUTPUT))
+                .filter(listed -> !listed.output().equals(COMPLETE_OUTPUT))
                 .map(listed -> "item " + listed.item() + " has the output '" + listed.output() + "'")
                 .toList();
     }
@@ -127,7 +129,7 @@
                 .filter(listed -> listed.versions().isEmpty()
                         || !produced.getOrDefault(listed.item(), Set.of()).containsAll(listed.versions())
                         || listed.versions().stream().anyMatch(version -> version < minimum.get(jobOf(listed.item()))))
-                .map(listed -> "item " + listed.item() + " names versions " + listed.versions() + ", produced by "
+                .map(listed -> "item " + listed.item() + " lists versions " + listed.versions() + ", produced by "
                         + produced.get(listed.item()))
                 .toList();
     }
@@ -135,29 +137,29 @@
     static List<String> wrongScores(SoakHistory history) {
         return listed(history).stream()
                 .filter(Listed::completed)
-                .filter(listed -> !listed.score().equals(EngineStandIn.scoreOf(SCORING + listed.item())))
-                .map(listed -> "item " + listed.item() + " bears the score '" + listed.score() + "'")
+                .filter(listed -> !listed.score().equals(EngineStandIn.scoreOf(SCORING_PREFIX + listed.item())))
+                .map(listed -> "item " + listed.item() + " has the score '" + listed.score() + "'")
                 .toList();
     }
 
-    static List<String> scoringOfNoOutput(SoakHistory history) {
+    static List<String> scoringBeforeOutput(SoakHistory history) {
         Map<String, Long> firstRuns =
                 history.allRuns().stream().collect(Collectors.toMap(Seen::id, Seen::nanoseconds, Math::min));
         return history.allRuns().stream()
-                .filter(run -> run.id().startsWith(SCORING))
-                .filter(run -> firstRuns.getOrDefault(run.id().substring(SCORING.length()), Long.MAX_VALUE)
+                .filter(run -> run.id().startsWith(SCORING_PREFIX))
+                .filter(run -> firstRuns.getOrDefault(run.id().substring(SCORING_PREFIX.length()), Long.MAX_VALUE)
                         >= run.nanoseconds())
                 .map(run -> "scoring request " + run.id() + " ran before its item did")
                 .toList();
     }
 
     static List<String> refusedJobsThatRan(SoakHistory history) {
-        Map<String, Boolean> open = new HashMap<>();
-        history.submissions.forEach(
-                submission -> open.merge(submission.job(), submission.isOpen(), Boolean::logicalOr));
+        Map<String, Boolean> possiblyAccepted = new HashMap<>();
+        history.submissions.forEach(submission ->
+                possiblyAccepted.merge(submission.job(), submission.mayHaveBeenAccepted(), Boolean::logicalOr));
         return history.allRuns().stream()
-                .filter(run -> open.containsKey(jobOf(run.id())) && !open.get(jobOf(run.id())))
-                .map(run -> "item " + run.id() + " ran though its job was refused at every attempt")
+                .filter(run -> possiblyAccepted.containsKey(jobOf(run.id())) && !possiblyAccepted.get(jobOf(run.id())))
+                .map(run -> "item " + run.id() + " ran although its job was refused at every attempt")
                 .distinct()
                 .toList();
     }
@@ -166,20 +168,20 @@
         List<String> found = new ArrayList<>();
         history.orders.forEach((engine, orders) -> {
             for (int i = 1; i < orders.size(); i++) {
-                judge(engine, orders.get(i - 1), orders.get(i)).ifPresent(found::add);
+                orderViolation(engine, orders.get(i - 1), orders.get(i)).ifPresent(found::add);
             }
         });
         return found;
     }
 
-    private static Optional<String> judge(String engine, Ordered before, Ordered after) {
+    private static Optional<String> orderViolation(String engine, Ordered before, Ordered after) {
         boolean sameHolder = before.holder().equals(after.holder());
         long between = after.nanoseconds() - before.nanoseconds();
-        if (!sameHolder && (between < ORDER_SAFETY.toNanos() || before.fence() == after.fence())) {
-            return Optional.of(engine + " took orders of two holders: " + before + " and " + after);
+        if (!sameHolder && (between < ORDER_SAFETY_TIME.toNanos() || before.fence() == after.fence())) {
+            return Optional.of(engine + " received conflicting orders of two holders: " + before + " and " + after);
         }
         return after.fence() < before.fence()
-                ? Optional.of(engine + " took a lower fencing number: " + before + " and " + after)
+                ? Optional.of(engine + " received a lower fencing number: " + before + " and " + after)
                 : Optional.empty();
     }
 
@@ -191,7 +193,7 @@
                 .collect(Collectors.toSet());
     }
 
-    /** Returns what was ever shown at the positions of each job. */
+    /** Returns all results that were read at each position of each job. */
     private static Map<String, Map<Integer, List<Listed>>> positions(SoakHistory history) {
         Map<String, Map<Integer, List<Listed>>> positions = new TreeMap<>();
         for (Read read : history.reads) {
@@ -214,7 +216,7 @@
 
     /** Returns the job of an item, or of the item that a scoring request is for. */
     private static String jobOf(String item) {
-        String scored = item.startsWith(SCORING) ? item.substring(SCORING.length()) : item;
+        String scored = item.startsWith(SCORING_PREFIX) ? item.substring(SCORING_PREFIX.length()) : item;
         int end = scored.lastIndexOf('-');
         return end < 0 ? scored : scored.substring(0, end);
     }
--- a/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakChecksTest.java
+++ b/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakChecksTest.java
@@ -15,90 +15,91 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Each check finds a fault that is planted in a history without one. */
+/** Each check detects a violation that is added to a history without violations. */
 final class SoakChecksTest {
 
     private final SoakHistory history = new SoakHistory();
 
     @BeforeEach
-    void recordARunWithoutFaults() {
+    void recordARunWithoutViolations() {
         history.plain.add(new Plain("a", true, answer("answer to a")));
         history.plain.add(new Plain("b", true, refusal()));
         history.submissions.add(new Submission("job", 2, 1, reply(202)));
         history.submissions.add(new Submission("refused", 2, 1, refusal()));
-        history.reads.add(read(0, listed("job-0", SoakChecks.OUTPUT, 1), listed("job-1", SoakChecks.OUTPUT, 1)));
-        history.reads.add(read(1, listed("job-1", SoakChecks.OUTPUT, 1)));
+        history.reads.add(read(
+                0, listed("job-0", SoakChecks.COMPLETE_OUTPUT, 1), listed("job-1", SoakChecks.COMPLETE_OUTPUT, 1)));
+        history.reads.add(read(1, listed("job-1", SoakChecks.COMPLETE_OUTPUT, 1)));
         history.runs.put("i-1", List.of(run("a", 1), run("job-0", 1), run("job-1", 1), scoring("job-0", 5)));
         history.orders.put("i-1", List.of(order(0, "n1", 1), order(2000, "n2", 2)));
     }
 
     @Test
-    void aRunWithoutFaultsIsFoundSo() {
+    void aRunWithoutViolationsPassesAllChecks() {
         assertThat(SoakChecks.violations(history)).isEmpty();
     }
 
     @Test
-    void aRequestThatRanTwiceIsFound() {
+    void aRequestThatRanTwiceIsDetected() {
         history.runs.put("i-2", List.of(run("a", 1)));
         assertThat(SoakChecks.requestsThatRanTwice(history)).hasSize(1);
     }
 
     @Test
-    void aRefusalOfARequestThatRanIsFound() {
+    void aRefusalOfARequestThatRanIsDetected() {
         history.runs.put("i-2", List.of(run("b", 1)));
-        assertThat(SoakChecks.untrueRefusals(history)).hasSize(1);
+        assertThat(SoakChecks.refusalsOfRequestsThatRan(history)).hasSize(1);
     }
 
     @Test
-    void theAnswerOfAnotherRequestIsFound() {
+    void theAnswerOfAnotherRequestIsDetected() {
         history.plain.add(new Plain("c", false, answer("answer to a")));
         assertThat(SoakChecks.wrongAnswers(history)).hasSize(1);
     }
 
     @Test
-    void anItemAtTwoPositionsIsFound() {
-        history.reads.add(read(2, listed("job-0", SoakChecks.OUTPUT, 1)));
+    void anItemAtTwoPositionsIsDetected() {
+        history.reads.add(read(2, listed("job-0", SoakChecks.COMPLETE_OUTPUT, 1)));
         assertThat(SoakChecks.itemsListedTwice(history)).hasSize(1);
     }
 
     @Test
-    void aPositionThatChangesIsFound() {
-        history.reads.add(read(0, listed("job-1", SoakChecks.OUTPUT, 1)));
+    void aPositionThatChangesIsDetected() {
+        history.reads.add(read(0, listed("job-1", SoakChecks.COMPLETE_OUTPUT, 1)));
         assertThat(SoakChecks.changedPositions(history)).hasSize(1);
     }
 
     @Test
-    void aPartOfAnOutputIsFound() {
+    void anIncompleteOutputIsDetected() {
         history.reads.add(read(0, listed("job-0", "e1\ne2", 1)));
         assertThat(SoakChecks.wrongOutputs(history)).hasSize(1);
     }
 
     @Test
-    void aVersionThatProducedNothingIsFound() {
-        history.reads.add(read(0, listed("job-0", SoakChecks.OUTPUT, 7)));
+    void aVersionThatDidNotProduceTheItemIsDetected() {
+        history.reads.add(read(0, listed("job-0", SoakChecks.COMPLETE_OUTPUT, 7)));
         assertThat(SoakChecks.wrongVersions(history)).hasSize(1);
     }
 
     @Test
-    void aVersionBelowTheMinimumIsFound() {
+    void aVersionBelowTheMinimumIsDetected() {
         history.submissions.add(new Submission("job", 2, 2, reply(202)));
         assertThat(SoakChecks.wrongVersions(history)).hasSize(2);
     }
 
     @Test
-    void theScoreOfAnotherRequestIsFound() {
-        history.reads.add(read(0, new Listed("job-0", true, SoakChecks.OUTPUT, List.of(1L), "score-s-job-1")));
+    void theScoreOfAnotherRequestIsDetected() {
+        history.reads.add(read(0, new Listed("job-0", true, SoakChecks.COMPLETE_OUTPUT, List.of(1L), "score-s-job-1")));
         assertThat(SoakChecks.wrongScores(history)).hasSize(1);
     }
 
     @Test
-    void aScoringRequestBeforeItsItemRanIsFound() {
+    void aScoringRequestBeforeItsItemRanIsDetected() {
         history.runs.put("i-2", List.of(scoring("job-1", -5)));
-        assertThat(SoakChecks.scoringOfNoOutput(history)).hasSize(1);
+        assertThat(SoakChecks.scoringBeforeOutput(history)).hasSize(1);
     }
 
     @Test
-    void aRefusedJobThatRanIsFound() {
+    void aRefusedJobThatRanIsDetected() {
         history.runs.put("i-2", List.of(run("refused-0", 1)));
         assertThat(SoakChecks.refusedJobsThatRan(history)).hasSize(1);
         history.runs.put("i-3", List.of(scoring("refused-0", 5)));
@@ -110,7 +111,7 @@
     }
 
     @Test
-    void ordersOfTwoHoldersAtATimeAreFound() {
+    void conflictingOrdersAndLowerFencingNumbersAreDetected() {
         history.orders.put("i-2", List.of(order(0, "n1", 1), order(300, "n2", 2)));
         history.orders.put("i-3", List.of(order(0, "n1", 1), order(2000, "n2", 1)));
         history.orders.put("i-4", List.of(order(0, "n1", 2), order(2000, "n1", 1)));
--- a/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakFaults.java
+++ b/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakFaults.java
@@ -17,7 +17,7 @@
 import java.util.Random;
 import java.util.function.Predicate;
 
-/** Faults from outside the programs, drawn with a seed, in series and overlapping, each of which passes. */
+/** Injects temporary external faults, chosen by a seeded random generator, one by one and overlapping. */
 final class SoakFaults {
 
     private static final List<String> FOREIGN_ENTRIES = List.of(
@@ -28,103 +28,106 @@
             "{\"service\":\"ledger\",\"address\":\"127.0.0.1:1\",\"zone\":\"zone-a\",\"slots\":\"4\",\"state\":\"ready\"}",
             "{\"service\":\"sampler\",\"address\":\"127.0.0.1:1\",\"zone\":\"zone-a\",\"slots\":4,\"state\":\"resting\"}",
             "{\"service\":\"other\",\"address\":\"127.0.0.1:1\",\"zone\":\"zone-a\",\"slots\":4,\"state\":\"ready\"}");
-    private static final int LONGEST_FAULT_MILLIS = 3500;
+    private static final int FAULT_MILLIS_RANGE = 3500;
 
     private final SoakSite site;
     private final Random random;
-    private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparingLong(Due::at));
-    private final List<String> told = new ArrayList<>();
+    private final PriorityQueue<ScheduledAction> scheduled =
+            new PriorityQueue<>(Comparator.comparingLong(ScheduledAction::at));
+    private final List<String> injectedFaults = new ArrayList<>();
 
     SoakFaults(SoakSite site, long seed) {
         this.site = site;
         random = new Random(seed);
     }
 
-    /** Lets faults strike for some time, and lifts them all. */
+    /** Injects faults for the given duration, and then heals all of them. */
     void run(Duration length) throws IOException, InterruptedException {
-        long begun = System.currentTimeMillis();
-        long end = begun + length.toMillis();
-        long next = begun + 300;
-        long beat = begun;
+        long start = System.currentTimeMillis();
+        long end = start + length.toMillis();
+        long nextFault = start + 300;
+        long nextEntryWrite = start;
         while (System.currentTimeMillis() < end) {
             long now = System.currentTimeMillis();
-            lift(now);
-            if (now >= next) {
-                next = now + 150 + random.nextInt(1200);
-                strike(now, now - begun);
+            runScheduled(now);
+            if (now >= nextFault) {
+                nextFault = now + 150 + random.nextInt(1200);
+                injectFault(now, now - start);
             }
-            if (now >= beat) {
-                beat = now + 300;
+            if (now >= nextEntryWrite) {
+                nextEntryWrite = now + 300;
                 site.restartCrashed();
-                site.beat();
+                site.writeEntries();
             }
             Thread.sleep(20);
         }
-        lift(Long.MAX_VALUE);
+        runScheduled(Long.MAX_VALUE);
         site.restartCrashed();
-        site.beat();
+        site.writeEntries();
     }
 
-    /** Returns what struck when, for the reader of a failed run. */
-    List<String> told() {
-        return told;
+    /** Returns the injected faults with their times, for the diagnosis of a failed run. */
+    List<String> injectedFaults() {
+        return injectedFaults;
     }
 
-    private void lift(long now) throws IOException, InterruptedException {
-        while (!due.isEmpty() && due.peek().at() <= now) {
-            due.poll().action().run();
+    private void runScheduled(long now) throws IOException, InterruptedException {
+        while (!scheduled.isEmpty() && scheduled.peek().at() <= now) {
+            scheduled.poll().action().run();
         }
     }
 
-    private void strike(long now, long elapsed) throws IOException, InterruptedException {
+    private void injectFault(long now, long elapsed) throws IOException, InterruptedException {
         int node = random.nextInt(site.gateways.size());
         GatewayProcess gateway = site.gateways.get(node);
-        long until = now + 200 + random.nextInt(LONGEST_FAULT_MILLIS);
+        long until = now + 200 + random.nextInt(FAULT_MILLIS_RANGE);
         Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
-        told.add(elapsed + " ms: " + kind + " node-" + node + " for " + (until - now) + " ms");
+        injectedFaults.add(elapsed + " ms: " + kind + " node-" + node + " for " + (until - now) + " ms");
         switch (kind) {
             case KILL -> {
                 gateway.kill();
-                due.add(new Due(until, () -> restart(gateway)));
+                scheduled.add(new ScheduledAction(until, () -> restart(gateway)));
             }
             case PAUSE -> {
                 gateway.signal("STOP");
-                due.add(new Due(until, () -> gateway.signal("CONT")));
+                scheduled.add(new ScheduledAction(until, () -> gateway.signal("CONT")));
             }
             case STOP -> {
                 gateway.signal("CONT");
                 gateway.terminate();
-                due.add(new Due(now + 9500, () -> restart(gateway)));
+                scheduled.add(new ScheduledAction(now + 9500, () -> restart(gateway)));
             }
             case HANG_UP -> gateway.signal("HUP");
             case STORE_DOWN -> {
                 site.store.down(true);
-                due.add(new Due(until, () -> site.store.down(false)));
+                scheduled.add(new ScheduledAction(until, () -> site.store.down(false)));
             }
             case STORE_ANSWERS_LOST -> {
                 int share = 2 + random.nextInt(4);
                 site.store.loseAnswersWhere(_context -> Math.floorMod(System.nanoTime() / 1000, share) == 0);
-                due.add(new Due(until, () -> site.store.loseAnswersWhere(_context -> false)));
+                scheduled.add(new ScheduledAction(until, () -> site.store.loseAnswersWhere(_context -> false)));
             }
             case STORE_SILENT -> {
-                List<Predicate<Context>> silences =
+                List<Predicate<Context>> silentCalls =
                         List.of(_call -> true, call -> call.method().name().equals("GET"), call -> call.path()
                                 .endsWith("/batch-index"));
-                site.store.silentWhere(silences.get(random.nextInt(silences.size())));
-                due.add(new Due(until, () -> site.store.silentWhere(_call -> false)));
+                site.store.silentWhere(silentCalls.get(random.nextInt(silentCalls.size())));
+                scheduled.add(new ScheduledAction(until, () -> site.store.silentWhere(_call -> false)));
             }
             case STORE_FORGETS -> site.store.compact();
-            case STORE_LINK -> fault(site.storeLinks.get(node), until);
-            case ENGINE_LINK -> fault(site.engineLinks.get(engine()), until);
+            case STORE_LINK -> injectLinkFault(site.storeLinks.get(node), until);
+            case ENGINE_LINK -> injectLinkFault(site.engineLinks.get(randomEngine()), until);
             case ENGINE_MISBEHAVES -> {
                 EngineStandIn.Fault[] faults = EngineStandIn.Fault.values();
-                site.engines.get(engine()).misbehave(faults[random.nextInt(faults.length)], 1 + random.nextInt(6));
+                site.engines
+                        .get(randomEngine())
+                        .misbehave(faults[random.nextInt(faults.length)], 1 + random.nextInt(6));
             }
-            case ENGINE_REPLACED -> site.replaceEngine(engine());
-            case ENGINE_RESTARTED -> site.restartEngine(engine());
+            case ENGINE_REPLACED -> site.replaceEngine(randomEngine());
+            case ENGINE_RESTARTED -> site.restartEngine(randomEngine());
             case FOREIGN_ENTRY ->
                 site.writeForeignEntry(
-                        random.nextBoolean() ? engine() : "foreign-" + random.nextInt(4),
+                        random.nextBoolean() ? randomEngine() : "foreign-" + random.nextInt(4),
                         FOREIGN_ENTRIES.get(random.nextInt(FOREIGN_ENTRIES.size())));
             case CONFIGURATION ->
                 site.store.put(
@@ -135,7 +138,7 @@
         }
     }
 
-    private void fault(Link link, long until) {
+    private void injectLinkFault(Link link, long until) {
         LinkFaults faults =
                 switch (random.nextInt(5)) {
                     case 0 -> LinkFaults.of(LinkMode.BLACKHOLE);
@@ -145,13 +148,13 @@
                     default -> LinkFaults.NONE.withCut(random.nextBoolean() ? Direction.UP : Direction.DOWN);
                 };
         link.apply(faults);
-        due.add(new Due(until, () -> {
+        scheduled.add(new ScheduledAction(until, () -> {
             link.apply(LinkFaults.NONE);
             link.cutConnections();
         }));
     }
 
-    private String engine() {
+    private String randomEngine() {
         List<String> names = new ArrayList<>(site.engines.keySet());
         return names.get(random.nextInt(names.size()));
     }
@@ -184,10 +187,10 @@
         STORE_SILENT
     }
 
-    /** Something that is due at a time. */
-    private record Due(long at, Action action) {}
+    /** An action that is scheduled for a time. */
+    private record ScheduledAction(long at, Action action) {}
 
-    /** What is due. */
+    /** A scheduled action, which heals a fault. */
     private interface Action {
         void run() throws IOException, InterruptedException;
     }
--- a/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakHistory.java
+++ b/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakHistory.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** What callers, trainers and endpoints have seen. */
+/** The observations of callers, trainers and endpoints during a soak run. */
 final class SoakHistory {
 
     final List<Plain> plain = Collections.synchronizedList(new ArrayList<>());
@@ -21,14 +21,14 @@
     final Map<String, List<Seen>> runs = new TreeMap<>();
     final Map<String, List<Ordered>> orders = new TreeMap<>();
 
-    /** A request of a caller, each with an identifier of its own. */
+    /** A plain request of a caller with its unique identifier, and whether it may run at most once. */
     record Plain(String id, boolean once, Optional<Reply> reply) {}
 
     /** An attempt to submit a batch job. */
     record Submission(String job, int items, long minimumVersion, Optional<Reply> reply) {
 
-        /** Returns whether the attempt leaves open whether the job was accepted. */
-        boolean isOpen() {
+        /** Returns whether the job may have been accepted. */
+        boolean mayHaveBeenAccepted() {
             return reply.isEmpty() || !reply.get().saysNotRun();
         }
 
@@ -38,10 +38,10 @@
         }
     }
 
-    /** A page of results as a node showed it. */
+    /** A page of results that a node returned. */
     record Read(String job, String node, Page page) {}
 
-    /** Returns all runs of requests and items, whichever endpoint they reached. */
+    /** Returns all runs of requests and items at all endpoints. */
     List<Seen> allRuns() {
         return runs.values().stream().flatMap(List::stream).toList();
     }
--- a/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakRun.java
+++ b/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakRun.java
@@ -15,29 +15,30 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Runs the real programs under random faults, and judges the promises. */
+/** Runs the real programs under random faults, and checks the promises. */
 final class SoakRun {
 
-    /** How long the site may take to be whole after the last fault: takeovers, restarts and the longest back-off. */
-    private static final Duration RECOVERY = Duration.ofSeconds(25);
+    /** How long the site may take to recover after the last fault: takeovers, restarts and the maximum backoff. */
+    private static final Duration RECOVERY_TIMEOUT = Duration.ofSeconds(25);
 
-    /** How long after its word a leaving endpoint may still get requests. */
-    private static final Duration LEAVING_TIME = Duration.ofSeconds(3);
+    /** How long an endpoint may still receive requests after it has announced that it leaves. */
+    private static final Duration LEAVING_BOUND = Duration.ofSeconds(3);
 
     @Parameter(names = "--seeds", description = "First and last seed, such as 1-50", required = true)
     private String seeds = "";
 
-    @Parameter(names = "--seconds", description = "How long faults strike, for each seed")
+    @Parameter(names = "--seconds", description = "Duration of the fault injection for each seed, in seconds")
     private int seconds = 20;
 
-    @Parameter(names = "--gateways", description = "How many gateways run")
+    @Parameter(names = "--gateways", description = "Number of gateways")
     private int gateways = 4;
 
     /**
-     * How many endpoints may crash at one request: four until it is known for what it does, as two of them run it at
-     * the same moment at times, and as many again while nodes are killed or cut off and can't tell each other.
+     * How many endpoints a harmful request may crash: four until it is recognized as the cause, as two of them
+     * sometimes run it at the same time, and four more while nodes are killed or partitioned and cannot notify each
+     * other.
      */
-    private static final int MOST_CRASHES = 8;
+    private static final int MAXIMUM_CRASHES = 8;
 
     private SoakRun() {}
 
@@ -69,18 +70,18 @@
                 SoakSite site = new SoakSite(folder, gateways)) {
             site.awaitReady(caller);
             try (SoakCallers _callers = new SoakCallers(site, history, seed)) {
-                SoakFaults striking = new SoakFaults(site, seed);
-                striking.run(length);
-                faults = striking.told();
+                SoakFaults faultInjector = new SoakFaults(site, seed);
+                faultInjector.run(length);
+                faults = faultInjector.injectedFaults();
                 awaitRecovery(site, caller, history);
             }
-            judgeLeaving(site, caller, history);
-            judgeCrashes(site, history);
+            checkLeaving(site, caller, history);
+            checkCrashes(site, history);
             crashes = site.crashes();
             for (EngineStandIn engine : site.allEngines()) {
-                String start = engine.id() + "@" + engine.born();
-                history.runs.put(start, engine.seen());
-                history.orders.put(start, engine.orders());
+                String incarnation = engine.id() + "@" + engine.born();
+                history.runs.put(incarnation, engine.seen());
+                history.orders.put(incarnation, engine.orders());
             }
         }
         return new Result(
@@ -92,39 +93,40 @@
                 crashes);
     }
 
-    /** Waits until the newest configuration and version are in force everywhere. */
+    /** Waits until the newest configuration and version are active everywhere. */
     private static void awaitRecovery(SoakSite site, CallerStandIn caller, SoakHistory history)
             throws IOException, InterruptedException {
-        long end = System.nanoTime() + RECOVERY.toNanos();
-        List<String> missing = missing(site, caller);
-        while (!missing.isEmpty() && System.nanoTime() < end) {
+        long end = System.nanoTime() + RECOVERY_TIMEOUT.toNanos();
+        List<String> unrecovered = unrecovered(site, caller);
+        while (!unrecovered.isEmpty() && System.nanoTime() < end) {
             Thread.sleep(200);
             site.restartCrashed();
-            site.beat();
-            missing = missing(site, caller);
+            site.writeEntries();
+            unrecovered = unrecovered(site, caller);
         }
-        missing.forEach(what -> history.failures.add(what + " " + RECOVERY.toSeconds() + " s after the last fault"));
+        unrecovered.forEach(
+                what -> history.failures.add(what + " " + RECOVERY_TIMEOUT.toSeconds() + " s after the last fault"));
     }
 
-    private static List<String> missing(SoakSite site, CallerStandIn caller) {
-        List<String> missing = new ArrayList<>();
+    private static List<String> unrecovered(SoakSite site, CallerStandIn caller) {
+        List<String> unrecovered = new ArrayList<>();
         String route = SiteDocuments.path("v" + site.configuration.get());
         for (GatewayProcess gateway : site.gateways) {
             Optional<Reply> reply = caller.plain(gateway.entry(), route, "probe-" + System.nanoTime());
             if (reply.filter(found -> found.status() == 200).isEmpty()) {
-                missing.add("no answer on the newest route at " + gateway.entry() + ", but "
+                unrecovered.add("the newest route at " + gateway.entry() + " was answered with status "
                         + reply.map(found -> Integer.toString(found.status())).orElse("none"));
             }
         }
         site.engines.values().stream()
                 .filter(engine -> SoakSite.serviceOf(engine.id()).equals("sampler"))
                 .filter(engine -> engine.version() < site.version.get())
-                .forEach(engine -> missing.add(engine.id() + " is not at the newest version"));
-        return missing;
+                .forEach(engine -> unrecovered.add(engine.id() + " is not at the newest version"));
+        return unrecovered;
     }
 
-    /** Lets an endpoint leave in calm, after which no request may reach it any more. */
-    private static void judgeLeaving(SoakSite site, CallerStandIn caller, SoakHistory history)
+    /** Lets an endpoint leave after the faults have ended, and checks that it then receives no more requests. */
+    private static void checkLeaving(SoakSite site, CallerStandIn caller, SoakHistory history)
             throws InterruptedException {
         String leaving = site.engines.keySet().stream()
                 .filter(id -> SoakSite.serviceOf(id).equals("ledger"))
@@ -132,7 +134,7 @@
                 .orElseThrow();
         EngineStandIn engine = site.engines.get(leaving);
         site.replaceEngine(leaving);
-        Thread.sleep(LEAVING_TIME.toMillis());
+        Thread.sleep(LEAVING_BOUND.toMillis());
         int before = engine.seen().size();
         for (GatewayProcess gateway : site.gateways) {
             for (int i = 0; i < 10; i++) {
@@ -140,13 +142,14 @@
             }
         }
         if (engine.seen().size() > before) {
-            history.failures.add(leaving + " got requests " + LEAVING_TIME.toSeconds() + " s after it said it leaves");
+            history.failures.add(leaving + " received requests " + LEAVING_BOUND.toSeconds()
+                    + " s after it announced that it leaves");
         }
     }
 
-    private static void judgeCrashes(SoakSite site, SoakHistory history) {
-        if (site.crashes() > MOST_CRASHES) {
-            history.failures.add(site.crashes() + " endpoints crashed at one request");
+    private static void checkCrashes(SoakSite site, SoakHistory history) {
+        if (site.crashes() > MAXIMUM_CRASHES) {
+            history.failures.add(site.crashes() + " endpoints crashed while they ran the harmful request");
         }
     }
 
@@ -157,7 +160,7 @@
                 .count();
     }
 
-    /** What became of a seed. */
+    /** The result of a seed. */
     record Result(List<String> violations, List<String> faults, int requests, int answered, int jobs, int crashes) {
 
         @Override
--- a/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakSite.java
+++ b/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakSite.java
@@ -18,11 +18,11 @@
 import java.util.TreeMap;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Gateways as processes of their own, each behind a link of its own to the platform, and endpoints behind links. */
+/** Gateways as separate processes, each with its own link to the platform, and endpoints behind links. */
 final class SoakSite implements AutoCloseable {
 
-    private static final Duration START_TIME = Duration.ofSeconds(40);
-    private static final Duration RUN_TIME = Duration.ofMillis(30);
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(40);
+    private static final Duration CRASH_DELAY = Duration.ofMillis(30);
 
     final StoreStandIn store = new StoreStandIn();
     final List<GatewayProcess> gateways = new ArrayList<>();
@@ -57,7 +57,7 @@
 
     /** Waits until all gateways are ready. */
     void awaitReady(CallerStandIn caller) throws InterruptedException {
-        long end = System.nanoTime() + START_TIME.toNanos();
+        long end = System.nanoTime() + START_TIMEOUT.toNanos();
         while (!gateways.stream().allMatch(gateway -> caller.isReady(gateway.readiness()))) {
             if (System.nanoTime() > end) {
                 throw new IllegalStateException("Not all gateways became ready");
@@ -78,7 +78,7 @@
         return id;
     }
 
-    /** Lets an endpoint say that it leaves, and adds another one. */
+    /** Adds a replacement for an endpoint, and announces that the endpoint leaves. */
     synchronized void replaceEngine(String id) {
         String service = serviceOf(id);
         addEngine(service);
@@ -86,7 +86,7 @@
         retired.add(engines.remove(id));
     }
 
-    /** Ends an endpoint and starts it again under its name, with its version and nothing else that it held. */
+    /** Restarts an endpoint under the same identifier. It keeps its version and loses all other state. */
     synchronized void restartEngine(String id) throws IOException {
         EngineStandIn before = engines.get(id);
         before.close();
@@ -99,14 +99,14 @@
         store.put("servers", id, entry(id));
     }
 
-    /** Starts an endpoint that crashes at a harmful request. */
+    /** Starts an endpoint that crashes while it runs a harmful request. */
     private EngineStandIn start(String id) {
         EngineStandIn engine = new EngineStandIn(id);
-        engine.endAt(CrashingService.HARMFUL, RUN_TIME, () -> crash(engine));
+        engine.endAt(CrashingService.HARMFUL, CRASH_DELAY, () -> recordCrash(engine));
         return engine;
     }
 
-    private synchronized void crash(EngineStandIn engine) {
+    private synchronized void recordCrash(EngineStandIn engine) {
         crashes++;
         if (engines.get(engine.id()) == engine) {
             engineLinks.get(engine.id()).close();
@@ -114,7 +114,7 @@
         }
     }
 
-    /** Starts the endpoints again that have crashed since the last time. */
+    /** Restarts the endpoints that have crashed since the last call. */
     synchronized void restartCrashed() throws IOException {
         for (EngineStandIn engine : crashed) {
             if (engines.get(engine.id()) == engine) {
@@ -124,22 +124,22 @@
         crashed.clear();
     }
 
-    /** Returns how often an endpoint has crashed. */
+    /** Returns the number of endpoint crashes. */
     synchronized int crashes() {
         return crashes;
     }
 
-    /** Writes an entry that no endpoint wrote, as a new one or in the place of an endpoint's own. */
+    /** Writes a registry entry that is not from an endpoint, as a new one or in place of an endpoint's entry. */
     synchronized void writeForeignEntry(String id, String entry) {
         store.put("servers", id, entry);
     }
 
-    /** Writes the newest versions to the registry, as engines do. */
-    synchronized void beat() {
+    /** Writes the entries of all endpoints with their current versions to the registry, as engines do. */
+    synchronized void writeEntries() {
         engines.keySet().forEach(id -> store.put("servers", id, entry(id)));
     }
 
-    /** Returns all endpoints that there ever were. */
+    /** Returns all endpoints, including those that were replaced or restarted. */
     synchronized List<EngineStandIn> allEngines() {
         List<EngineStandIn> all = new ArrayList<>(engines.values());
         all.addAll(retired);
--- a/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakTest.java
+++ b/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A short soak with seeds that stay the same. Seeds that ever failed are added here, with a line on the cause. */
+/** A short soak with fixed seeds. Each seed that ever failed is added here, with a line on the cause. */
 final class SoakTest {
 
     @TempDir
@@ -16,7 +16,7 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2})
-    void noPromiseBreaksUnderRandomFaults(long seed) throws Exception {
+    void everyPromiseHoldsUnderRandomFaults(long seed) throws Exception {
         SoakRun.Result result = SoakRun.run(folder, seed, Duration.ofSeconds(12), 3);
         assertThat(result.violations()).as("faults %s", result.faults()).isEmpty();
         assertThat(result.answered()).isPositive();
