--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/RunLog.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/RunLog.java
@@ -15,9 +15,9 @@
      *
      * @param requestId The identifier of the request.
      * @param generated The versions in use, without tokens, or empty.
-     * @return The run, to be given to {@link #ended}.
+     * @return The run, to be given to {@link #recordEnd}.
      */
-    EndpointRun begun(String requestId, List<Segment> generated);
+    EndpointRun recordStart(String requestId, List<Segment> generated);
 
     /**
      * Records that a run ended.
@@ -26,14 +26,14 @@
      * @param completed Whether it came to its end.
      * @param generated The tokens that it generated, or empty.
      */
-    void ended(EndpointRun run, boolean completed, List<Segment> generated);
+    void recordEnd(EndpointRun run, boolean completed, List<Segment> generated);
 
     /**
      * Records that a request was refused because the endpoint is leaving.
      *
      * @param requestId The identifier of the request.
      */
-    void refused(String requestId);
+    void recordRefusal(String requestId);
 
     /**
      * Creates a log.
@@ -56,7 +56,7 @@
 
         /** {@inheritDoc} */
         @Override
-        public EndpointRun begun(String requestId, List<Segment> generated) {
+        public EndpointRun recordStart(String requestId, List<Segment> generated) {
             EndpointRun run = new EndpointRun(
                     endpoint, UUID.randomUUID().toString(), requestId, System.currentTimeMillis(), false, generated);
             log.write(run);
@@ -65,14 +65,14 @@
 
         /** {@inheritDoc} */
         @Override
-        public void ended(EndpointRun run, boolean completed, List<Segment> generated) {
+        public void recordEnd(EndpointRun run, boolean completed, List<Segment> generated) {
             log.write(
                     new EndpointRun(run.endpoint(), run.run(), run.requestId(), run.startedAt(), completed, generated));
         }
 
         /** {@inheritDoc} */
         @Override
-        public void refused(String requestId) {
+        public void recordRefusal(String requestId) {
             log.write(new EndpointRefused(endpoint, requestId, System.currentTimeMillis()));
         }
     }
@@ -82,16 +82,16 @@
 
         /** {@inheritDoc} */
         @Override
-        public EndpointRun begun(String requestId, List<Segment> generated) {
+        public EndpointRun recordStart(String requestId, List<Segment> generated) {
             return new EndpointRun("", "", requestId, 0, false, generated);
         }
 
         /** {@inheritDoc} */
         @Override
-        public void ended(EndpointRun _run, boolean _completed, List<Segment> _generated) {}
+        public void recordEnd(EndpointRun _run, boolean _completed, List<Segment> _generated) {}
 
         /** {@inheritDoc} */
         @Override
-        public void refused(String _requestId) {}
+        public void recordRefusal(String _requestId) {}
     }
 }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/EngineCommand.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/EngineCommand.java
@@ -25,7 +25,7 @@
     @Override
     public void run() {
         EngineStandIn standIn = new EngineStandIn(options);
-        standIn.server().onDeath(() -> Runtime.getRuntime().halt(KILLED));
+        standIn.server().onCrash(() -> Runtime.getRuntime().halt(KILLED));
         TestkitCommand.announceListening(standIn.server().port());
     }
 }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/EngineStandIn.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/EngineStandIn.java
@@ -152,7 +152,7 @@
         String model = body.path("model").asText(models.first());
         Optional<String> refusal = refusal(model);
         if (refusal.isPresent()) {
-            runLog.refused(Answer.requestId(context));
+            runLog.recordRefusal(Answer.requestId(context));
             answer.refuse(refusal.get().equals("model-not-found") ? NOT_FOUND : UNAVAILABLE, refusal.get());
             return;
         }
@@ -161,11 +161,11 @@
             answer.refuse(UNAVAILABLE, "overloaded");
             return;
         }
-        EndpointRun begun = runLog.begun(run.requestId(), observed(run));
+        EndpointRun begun = runLog.recordStart(run.requestId(), observed(run));
         try {
             answer(body, run, answer, chat);
         } finally {
-            runLog.ended(begun, run.record().completed(), observed(run));
+            runLog.recordEnd(begun, run.record().completed(), observed(run));
         }
     }
 
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/http/Answer.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/http/Answer.java
@@ -87,7 +87,7 @@
      * @throws IOException If the connection is broken.
      */
     public void json(int status, Object body) throws IOException {
-        whole(status, JSON, Json.bytes(body));
+        complete(status, JSON, Json.bytes(body));
     }
 
     /**
@@ -98,7 +98,7 @@
      * @param body The body.
      * @throws IOException If the connection is broken.
      */
-    public void whole(int status, String contentType, byte[] body) throws IOException {
+    public void complete(int status, String contentType, byte[] body) throws IOException {
         begin(status, contentType);
         wrongLength = faults.take(Fault.WRONG_LENGTH_ANSWERS);
         context.res().setContentLengthLong((long) body.length + (wrongLength ? MISSING_BYTES : 0));
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/http/StandInServer.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/http/StandInServer.java
@@ -90,7 +90,7 @@
      *
      * @param action The action.
      */
-    public void onDeath(Runnable action) {
+    public void onCrash(Runnable action) {
         death = action;
     }
 
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/scorer/ScorerCommand.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/scorer/ScorerCommand.java
@@ -25,7 +25,7 @@
     @Override
     public void run() {
         ScorerStandIn standIn = new ScorerStandIn(options);
-        standIn.server().onDeath(() -> Runtime.getRuntime().halt(KILLED));
+        standIn.server().onCrash(() -> Runtime.getRuntime().halt(KILLED));
         TestkitCommand.announceListening(standIn.server().port());
     }
 }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/service/ServiceCommand.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/service/ServiceCommand.java
@@ -25,7 +25,7 @@
     @Override
     public void run() {
         ServiceStandIn standIn = new ServiceStandIn(options);
-        standIn.server().onDeath(() -> Runtime.getRuntime().halt(KILLED));
+        standIn.server().onCrash(() -> Runtime.getRuntime().halt(KILLED));
         TestkitCommand.announceListening(standIn.server().port());
     }
 }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/service/ServiceStandIn.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/service/ServiceStandIn.java
@@ -123,7 +123,7 @@
             return;
         }
         if (faults().on(Fault.LEAVING) || faults().take(Fault.REFUSALS)) {
-            runLog.refused(Answer.requestId(context));
+            runLog.recordRefusal(Answer.requestId(context));
             answer.refuse(UNAVAILABLE, faults().on(Fault.LEAVING) ? "leaving" : "refused");
             return;
         }
@@ -132,16 +132,16 @@
             answer.refuse(CONFLICT, "settled-not-run");
             return;
         }
-        EndpointRun begun = runLog.begun(requestId, List.of());
+        EndpointRun begun = runLog.recordStart(requestId, List.of());
         String body = run(context, requestId);
         ledger.finish(requestId, body);
-        runLog.ended(begun, true, List.of());
+        runLog.recordEnd(begun, true, List.of());
         if (faults().take(Fault.RESETS_AFTER_RUN)) {
             answer.closeConnection();
             return;
         }
         faults().pause();
-        answer.whole(OK, Answer.JSON, body.getBytes(StandardCharsets.UTF_8));
+        answer.complete(OK, Answer.JSON, body.getBytes(StandardCharsets.UTF_8));
     }
 
     /**
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/weightstore/WeightStoreCommand.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/weightstore/WeightStoreCommand.java
@@ -25,7 +25,7 @@
     @Override
     public void run() {
         WeightStoreStandIn standIn = new WeightStoreStandIn(options);
-        standIn.server().onDeath(() -> Runtime.getRuntime().halt(KILLED));
+        standIn.server().onCrash(() -> Runtime.getRuntime().halt(KILLED));
         TestkitCommand.announceListening(standIn.server().port());
     }
 }
--- a/yuccaswitch-testkit/src/test/java/io/yuccaswitch/testkit/check/ObservationLogTest.java
+++ b/yuccaswitch-testkit/src/test/java/io/yuccaswitch/testkit/check/ObservationLogTest.java
@@ -18,9 +18,9 @@
     @Test
     void aTornLineOfAKilledProcessIsSkippedAndItsFollowerGoesOn() throws Exception {
         Path file = folder.resolve("ledger-1.observations");
-        EndpointRun first = RunLog.to("ledger-1", file.toString()).begun("vm-1@1/a", List.of());
+        EndpointRun first = RunLog.to("ledger-1", file.toString()).recordStart("vm-1@1/a", List.of());
         Files.writeString(file, "{\"observation\":\"endpoint-run\",\"endp", StandardOpenOption.APPEND);
-        EndpointRun second = RunLog.to("ledger-1", file.toString()).begun("vm-1@1/b", List.of());
+        EndpointRun second = RunLog.to("ledger-1", file.toString()).recordStart("vm-1@1/b", List.of());
 
         assertThat(ObservationLog.read(file)).containsExactly(first, second);
     }
@@ -29,7 +29,7 @@
     void theEndOfARunReplacesItsBeginning() throws Exception {
         Path file = folder.resolve("ledger-1.observations");
         RunLog log = RunLog.to("ledger-1", file.toString());
-        log.ended(log.begun("vm-1@1/a", List.of()), true, List.of());
+        log.recordEnd(log.recordStart("vm-1@1/a", List.of()), true, List.of());
 
         assertThat(new Observations(ObservationLog.read(file)).of(EndpointRun.class))
                 .singleElement()
