--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/BreachCollector.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/BreachCollector.java
@@ -3,32 +3,32 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Counts the cases of one promise and keeps its breaches. */
+/** Counts the cases in which one promise was checked and collects its breaches. */
 final class BreachCollector {
 
-    /** The promise, in words. */
+    /** The description of the promise. */
     private final String promise;
 
-    /** The breaches so far. */
+    /** The descriptions of the breaches found so far. */
     private final List<String> breaches = new ArrayList<>();
 
-    /** The number of cases judged so far. */
+    /** The number of cases checked so far. */
     private long judged;
 
     /**
      * Creates a new collector.
      *
-     * @param promise The promise, in words.
+     * @param promise The description of the promise.
      */
     BreachCollector(String promise) {
         this.promise = promise;
     }
 
     /**
-     * Judges one case.
+     * Records the result of one case.
      *
      * @param holds Whether the promise holds in this case.
-     * @param breach The description of the case if it does not.
+     * @param breach The description of the breach, used only if the promise does not hold.
      */
     void judge(boolean holds, String breach) {
         judged++;
@@ -38,9 +38,9 @@
     }
 
     /**
-     * Returns what the promise came to.
+     * Returns the verdict on the promise.
      *
-     * @return What the promise came to.
+     * @return The verdict on all cases recorded so far.
      */
     Verdict verdict() {
         return new Verdict(promise, judged, breaches);
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/CheckCommand.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/CheckCommand.java
@@ -11,23 +11,23 @@
 import java.util.List;
 import java.util.Map;
 
-/** Judges the promises from files of observations, and fails if one is broken. */
-@Parameters(commandDescription = "Judge the promises from files of observations")
+/** Checks the promises against recorded observations and fails if one is broken. */
+@Parameters(commandDescription = "Check the promises against files of observations")
 public final class CheckCommand implements TestkitCommand {
 
-    /** The files of observations. */
+    /** The files that contain the observations. */
     @Parameter(description = "FILE...", required = true)
     private List<Path> files = new ArrayList<>();
 
-    /** The staleness bounds. */
+    /** The staleness bounds, each as {@code trainer=versions}. */
     @Parameter(names = "--staleness-bound", description = "Staleness bound of a trainer, as trainer=versions")
     private List<String> bounds = new ArrayList<>();
 
-    /** The time after which a leaving endpoint gets nothing. */
-    @Parameter(names = "--leaving-millis", description = "Time after which a leaving endpoint gets nothing")
+    /** The time in milliseconds after which a leaving endpoint must receive no further requests. */
+    @Parameter(names = "--leaving-millis", description = "Time after which a leaving endpoint receives no requests")
     private long leavingMillis = PromiseChecker.LEAVING_BOUND.toMillis();
 
-    /** The time after which an accepted configuration is in force. */
+    /** The time in milliseconds after which an accepted configuration must be active on every node. */
     @Parameter(names = "--configuration-millis", description = "Time after which a configuration is in force")
     private long configurationMillis = PromiseChecker.CONFIGURATION_BOUND.toMillis();
 
@@ -49,14 +49,14 @@
         List<Verdict> verdicts = checker.judge(new Observations(observations));
         System.out.print(PromiseChecker.describe(verdicts));
         if (!verdicts.stream().allMatch(Verdict::held)) {
-            throw new IllegalStateException("a promise is broken");
+            throw new IllegalStateException("at least one promise is broken, see the verdicts printed above");
         }
     }
 
     /**
-     * Reads the staleness bounds.
+     * Parses the staleness bounds.
      *
-     * @return The bounds by the names of the trainers.
+     * @return The bounds by trainer name.
      */
     private Map<String, Integer> stalenessBounds() {
         Map<String, Integer> byTrainer = new HashMap<>();
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/ConfigurationPromise.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/ConfigurationPromise.java
@@ -9,7 +9,7 @@
 /** The promises to operators. */
 public interface ConfigurationPromise extends Promise {
 
-    /** No node goes back to an older generation of the configuration. */
+    /** No node reverts to an older generation of the configuration. */
     final class NeverReverts implements ConfigurationPromise {
 
         /** {@inheritDoc} */
@@ -23,9 +23,10 @@
         }
 
         /**
-         * Judges the reads at one node. A read must not fall behind one that was answered before it was asked.
+         * Checks the reads at one node. A read must not return an older generation than any read that had completed
+         * before it was sent.
          *
-         * @param collector The collector of breaches.
+         * @param collector The collector that records the result.
          * @param node The name of the node.
          * @param reads The reads at the node.
          */
@@ -41,33 +42,33 @@
                         .orElse(0);
                 collector.judge(
                         read.generation() >= highest,
-                        node + " went from generation " + highest + " to " + read.generation());
+                        node + " reverted from generation " + highest + " to " + read.generation());
             }
         }
     }
 
     /**
-     * An accepted configuration is in force on every node that answers within seconds, counted from the end of the
-     * faults that struck meanwhile.
+     * An accepted configuration is active on every responding node within a bound, which restarts at the end of each
+     * fault that occurs in the meantime.
      *
-     * @param bound The time after which no node may still name an older generation.
+     * @param bound The time after which no node may report an older generation.
      */
-    record InForceSoon(Duration bound) implements ConfigurationPromise {
+    record ActiveWithinBound(Duration bound) implements ConfigurationPromise {
 
         /** {@inheritDoc} */
         @Override
         public Verdict judge(Observations observations) {
             BreachCollector collector = new BreachCollector("an accepted configuration is in force within " + bound);
             List<ConfigurationRead> reads = observations.of(ConfigurationRead.class);
-            Grace grace = Grace.of(bound, observations);
+            PropagationDeadline propagation = PropagationDeadline.of(bound, observations);
             for (ConfigurationAccepted accepted : observations.of(ConfigurationAccepted.class)) {
-                long deadline = grace.deadline(accepted.acceptedAt());
+                long deadline = propagation.deadline(accepted.acceptedAt());
                 reads.stream()
                         .filter(read -> read.askedAt() > deadline)
                         .forEach(read -> collector.judge(
                                 read.generation() >= accepted.generation(),
-                                read.node() + " named generation " + read.generation() + " after "
-                                        + (read.askedAt() - accepted.acceptedAt()) + " ms of "
+                                read.node() + " reported generation " + read.generation() + " after "
+                                        + (read.askedAt() - accepted.acceptedAt()) + " ms instead of "
                                         + accepted.generation()));
             }
             return collector.verdict();
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/Observation.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/Observation.java
@@ -5,7 +5,8 @@
 import java.util.List;
 
 /**
- * Something that a party outside the system recorded. All times are milliseconds since the epoch, taken on one machine.
+ * An event that a party outside the system recorded. All times are milliseconds since the epoch, read from the clock of
+ * one machine.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "observation")
 @JsonSubTypes({
@@ -25,22 +26,22 @@
 
     /** How an attempt of a caller ended, as the caller saw it. */
     enum AttemptEnd {
-        /** A whole answer of an endpoint came. */
+        /** The caller received a complete answer of an endpoint. */
         ANSWERED,
-        /** The system said that the request did not run. */
+        /** The system reported that the request did not run. */
         NOT_RUN,
-        /** The system said that the request ran, may have run, or that it can't tell. */
+        /** The system reported that the request ran, may have run, or that this is unknown. */
         MAY_HAVE_RUN,
-        /** The connection could not be made. */
+        /** The connection could not be established. */
         NOT_CONNECTED,
-        /** The connection was lost, or the answer ended before its end. */
+        /** The connection was lost, or the answer was truncated. */
         CUT,
-        /** The caller gave up waiting. */
+        /** The caller timed out. */
         TIMED_OUT
     }
 
     /**
-     * One attempt of a caller at a request; attempts at the same request bear the same identifier.
+     * One attempt of a caller to execute a request. All attempts for the same request carry the same identifier.
      *
      * @param requestId The identifier of the request.
      * @param node The name of the node that the caller connected to.
@@ -48,9 +49,9 @@
      * @param sentAt The time at which the caller began to send.
      * @param endedAt The time at which the attempt ended.
      * @param end How the attempt ended.
-     * @param own Whether an answer that came is the answer to this request.
-     * @param whole Whether an answer that came is whole.
-     * @param detail The status or error, for reading.
+     * @param own Whether a received answer belongs to this request.
+     * @param whole Whether a received answer is complete.
+     * @param detail The status or error, for diagnosis.
      */
     record CallerAttempt(
             String requestId,
@@ -68,11 +69,12 @@
      * One run of a request at an endpoint. A later observation of the same run replaces an earlier one.
      *
      * @param endpoint The name or address of the endpoint.
-     * @param run What tells the run from all others.
-     * @param requestId The identifier that the request bore.
-     * @param startedAt The time at which the endpoint took the request in.
-     * @param completed Whether the endpoint came to the end of the run.
-     * @param generated The tokens that an engine generated, with the versions that truly produced them, or empty.
+     * @param run The unique identifier of the run.
+     * @param requestId The identifier that the request carried.
+     * @param startedAt The time at which the endpoint accepted the request.
+     * @param completed Whether the endpoint completed the run.
+     * @param generated The tokens that an engine generated, with the weight versions that actually produced them, or
+     *     empty.
      */
     record EndpointRun(
             String endpoint, String run, String requestId, long startedAt, boolean completed, List<Segment> generated)
@@ -82,10 +84,10 @@
          * Copies the segments.
          *
          * @param endpoint The name or address of the endpoint.
-         * @param run What tells the run from all others.
-         * @param requestId The identifier that the request bore.
-         * @param startedAt The time at which the endpoint took the request in.
-         * @param completed Whether the endpoint came to the end of the run.
+         * @param run The unique identifier of the run.
+         * @param requestId The identifier that the request carried.
+         * @param startedAt The time at which the endpoint accepted the request.
+         * @param completed Whether the endpoint completed the run.
          * @param generated The tokens that an engine generated, or {@code null}.
          */
         public EndpointRun {
@@ -97,42 +99,42 @@
      * An endpoint refused a request because it is leaving.
      *
      * @param endpoint The name or address of the endpoint.
-     * @param requestId The identifier that the request bore.
+     * @param requestId The identifier that the request carried.
      * @param refusedAt The time at which the endpoint refused it.
      */
     record EndpointRefused(String endpoint, String requestId, long refusedAt) implements Observation {}
 
     /**
-     * The platform could not be used, or only slowly, or gave old answers.
+     * The platform was unreachable, slow, or returned stale answers.
      *
-     * @param from The time just before the fault.
-     * @param until The time at which the fault had ended.
+     * @param from A time just before the fault began.
+     * @param until A time at which the fault had ended.
      */
     record PlatformFault(long from, long until) implements Observation {}
 
     /**
-     * An endpoint said that it is leaving.
+     * An endpoint reported that it is leaving.
      *
      * @param endpoint The name or address of the endpoint.
-     * @param leftAt The time at which it first said so.
-     * @param replacedAt The time before which no other process took its address.
+     * @param leftAt The time of its first such report.
+     * @param replacedAt The time before which no other process used its address.
      */
     record EndpointLeft(String endpoint, long leftAt, long replacedAt) implements Observation {}
 
     /**
      * The system accepted a group of a trainer.
      *
-     * @param slot The group's place, with index zero.
+     * @param slot The group's slot, with index zero.
      * @param size The number of samples of the group.
      */
     record GroupAccepted(Slot slot, int size) implements Observation {}
 
     /**
-     * A trainer took in a sample.
+     * A trainer received a sample.
      *
-     * @param slot The sample's place.
-     * @param useVersion The version at which the trainer said it would use the sample.
-     * @param segments The versions that the system says produced the sample.
+     * @param slot The sample's slot.
+     * @param useVersion The version at which the trainer declared that it uses the sample.
+     * @param segments The versions that the system reports as having produced the sample.
      * @param text The sample's text.
      */
     record SampleReceived(Slot slot, long useVersion, List<Segment> segments, String text) implements Observation {
@@ -140,7 +142,7 @@
         /**
          * Copies the segments.
          *
-         * @param slot The sample's place.
+         * @param slot The sample's slot.
          * @param useVersion The version at which the sample is used.
          * @param segments The versions that the sample is labelled with.
          * @param text The sample's text.
@@ -151,56 +153,56 @@
     }
 
     /**
-     * An operator was told that a configuration is accepted.
+     * The system confirmed to an operator that a configuration is accepted.
      *
      * @param generation The generation.
-     * @param acceptedAt The time at which the operator was told.
+     * @param acceptedAt The time at which the operator received the confirmation.
      */
     record ConfigurationAccepted(long generation, long acceptedAt) implements Observation {}
 
     /**
-     * A reader asked a node which generation of the configuration is in force.
+     * A reader queried a node for the active generation of the configuration.
      *
      * @param node The name of the node.
-     * @param generation The generation that the node named.
-     * @param askedAt The time at which the reader asked.
-     * @param answeredAt The time at which the answer was there.
+     * @param generation The generation that the node reported.
+     * @param askedAt The time at which the reader sent the query.
+     * @param answeredAt The time at which the reader received the answer.
      */
     record ConfigurationRead(String node, long generation, long askedAt, long answeredAt) implements Observation {}
 
     /**
-     * A node was told to stop gracefully.
+     * A node was ordered to stop gracefully.
      *
      * @param node The name of the node.
-     * @param from The time just before it was told.
-     * @param until The time at which its process had ended.
+     * @param from A time just before the order.
+     * @param until A time at which its process had ended.
      */
     record PlannedStop(String node, long from, long until) implements Observation {}
 
     /**
-     * A node's process was killed or cut off, such that callers may lose connections to it.
+     * A node's process was killed or partitioned, so that callers may lose connections to it.
      *
      * @param node The name of the node.
-     * @param from The time just before the fault.
-     * @param until The time at which the fault had ended.
+     * @param from A time just before the fault began.
+     * @param until A time at which the fault had ended.
      */
     record NodeCrash(String node, long from, long until) implements Observation {}
 
     /**
-     * The place of a sample.
+     * The slot of a sample: its position in the work of a trainer.
      *
      * @param trainer The name of the trainer.
      * @param step The step of the trainer.
-     * @param group The group in the step.
-     * @param index The sample in the group.
+     * @param group The index of the group in the step.
+     * @param index The index of the sample in the group.
      */
     record Slot(String trainer, long step, long group, int index) {
 
         /**
-         * Returns the place of another sample of this group.
+         * Returns the slot of another sample of this group.
          *
          * @param other The other sample's index.
-         * @return The other sample's place.
+         * @return The other sample's slot.
          */
         public Slot withIndex(int other) {
             return new Slot(trainer, step, group, other);
@@ -208,7 +210,7 @@
     }
 
     /**
-     * A run of tokens that one weight version produced.
+     * A sequence of consecutive tokens that one weight version produced.
      *
      * @param version The version.
      * @param tokens The number of tokens.
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/ObservationLog.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/ObservationLog.java
@@ -12,7 +12,7 @@
 import java.util.List;
 
 /**
- * A file of observations, one JSON document on each line. A process that is killed may leave a torn line, which readers
+ * A file of observations, with one JSON document per line. A killed process may leave an incomplete line, which readers
  * skip.
  */
 public final class ObservationLog implements AutoCloseable {
@@ -24,7 +24,8 @@
     private final BufferedWriter writer;
 
     /**
-     * Creates a new file, or goes on with an old one.
+     * Opens a file for appending, and creates it if it does not exist. The first write is a line break, which
+     * terminates an incomplete line of a killed process.
      *
      * @param file The file.
      */
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/Observations.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/Observations.java
@@ -14,7 +14,7 @@
  */
 public record Observations(List<Observation> all) {
 
-    /** Keeps the last observation of each run, and all others. */
+    /** Retains only the last observation of each endpoint run, and all other observations. */
     public Observations {
         Map<String, Observation> runs = new LinkedHashMap<>();
         List<Observation> kept = new ArrayList<>();
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/Promise.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/Promise.java
@@ -1,13 +1,13 @@
 package io.yuccaswitch.testkit.check;
 
-/** A promise of the system that can be judged from observations. */
+/** A promise of the system that can be checked against observations. */
 public interface Promise {
 
     /**
-     * Judges the promise.
+     * Checks the promise.
      *
-     * @param observations Everything that was observed.
-     * @return What the promise came to.
+     * @param observations All observations of the run.
+     * @return The verdict on the promise.
      */
     Verdict judge(Observations observations);
 }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/PromiseChecker.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/PromiseChecker.java
@@ -6,20 +6,20 @@
 import java.util.Map;
 
 /**
- * Judges all promises.
+ * Checks a list of promises.
  *
- * @param promises The promises to judge.
+ * @param promises The promises to check.
  */
 public record PromiseChecker(List<Promise> promises) {
 
-    /** The time after which a leaving endpoint gets nothing. */
+    /** The time after which a leaving endpoint must receive no further requests. */
     public static final Duration LEAVING_BOUND = Duration.ofSeconds(3);
 
-    /** The time after which an accepted configuration is in force. */
+    /** The time after which an accepted configuration must be active on every node. */
     public static final Duration CONFIGURATION_BOUND = Duration.ofSeconds(5);
 
-    /** The largest number of breaches of one promise that are printed. */
-    private static final int PRINTED_BREACHES = 5;
+    /** The maximum number of breaches that are printed for each promise. */
+    private static final int MAXIMUM_PRINTED_BREACHES = 5;
 
     /** Copies the promises. */
     public PromiseChecker {
@@ -29,32 +29,32 @@
     /**
      * Creates a checker of all promises.
      *
-     * @param stalenessBounds The staleness bounds by the names of the trainers.
-     * @param leavingBound The time after which a leaving endpoint gets nothing.
-     * @param configurationBound The time after which an accepted configuration is in force.
+     * @param stalenessBounds The staleness bounds by trainer name.
+     * @param leavingBound The time after which a leaving endpoint must receive no further requests.
+     * @param configurationBound The time after which an accepted configuration must be active on every node.
      * @return The checker.
      */
     public static PromiseChecker ofAll(
             Map<String, Integer> stalenessBounds, Duration leavingBound, Duration configurationBound) {
         return new PromiseChecker(List.of(
                 new RequestPromise.AtMostOnce(),
-                new RequestPromise.TrueRefusals(),
-                new RequestPromise.WholeOwnAnswers(),
-                new RequestPromise.AnswersRan(),
-                new SamplePromise.NoneDoubled(),
-                new SamplePromise.NoneLost(),
-                new SamplePromise.Fresh(stalenessBounds),
-                new SamplePromise.TrulyLabelled(),
-                new StopPromise.LeavingEndpointsRest(leavingBound),
-                new StopPromise.PlannedStopsCutNothing(),
+                new RequestPromise.AccurateRefusals(),
+                new RequestPromise.CompleteOwnAnswers(),
+                new RequestPromise.AnswersFromCompletedRuns(),
+                new SamplePromise.NoDuplicates(),
+                new SamplePromise.NoLosses(),
+                new SamplePromise.WithinStalenessBound(stalenessBounds),
+                new SamplePromise.AccuratelyLabelled(),
+                new StopPromise.LeavingEndpointsReceiveNothing(leavingBound),
+                new StopPromise.PlannedStopsInterruptNothing(),
                 new ConfigurationPromise.NeverReverts(),
-                new ConfigurationPromise.InForceSoon(configurationBound)));
+                new ConfigurationPromise.ActiveWithinBound(configurationBound)));
     }
 
     /**
-     * Judges all promises.
+     * Checks a list of promises.
      *
-     * @param observations Everything that was observed.
+     * @param observations All observations of the run.
      * @return A verdict for each promise.
      */
     public List<Verdict> judge(Observations observations) {
@@ -62,10 +62,10 @@
     }
 
     /**
-     * Writes verdicts as text.
+     * Formats verdicts as text.
      *
      * @param verdicts The verdicts.
-     * @return One line for each verdict, and one for each of the first breaches.
+     * @return One line for each verdict, followed by one line for each of its first breaches.
      */
     public static String describe(List<Verdict> verdicts) {
         StringBuilder text = new StringBuilder();
@@ -78,7 +78,7 @@
                     verdict.promise(),
                     verdict.judged(),
                     verdict.breaches().size()));
-            verdict.breaches().stream().limit(PRINTED_BREACHES).forEach(breach -> text.append("            ")
+            verdict.breaches().stream().limit(MAXIMUM_PRINTED_BREACHES).forEach(breach -> text.append("            ")
                     .append(breach)
                     .append(System.lineSeparator()));
         }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/RequestPromise.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/RequestPromise.java
@@ -29,10 +29,10 @@
     }
 
     /**
-     * A refusal that says "not run" is true. A run that began before the refusal came, or that no later attempt of the
-     * caller explains, gives the lie to it.
+     * A refusal that reports "not run" is accurate. It is contradicted by a run that started before the caller received
+     * the refusal, or by a run that no later attempt of the caller explains.
      */
-    final class TrueRefusals implements RequestPromise {
+    final class AccurateRefusals implements RequestPromise {
 
         /** {@inheritDoc} */
         @Override
@@ -46,10 +46,10 @@
         }
 
         /**
-         * Judges one request.
+         * Checks the refusals of one request.
          *
-         * @param collector The collector of breaches.
-         * @param attempts The attempts of the caller at the request.
+         * @param collector The collector that records the results.
+         * @param attempts The attempts of the caller for the request.
          * @param runs The runs of the request.
          */
         private static void judge(BreachCollector collector, List<CallerAttempt> attempts, List<EndpointRun> runs) {
@@ -68,11 +68,11 @@
 
         /**
          * Returns whether a run of an idempotent request belongs to the refused attempt, because the attempt is the
-         * only one of the caller that was open when the run began.
+         * only one of the caller that had been sent when the run started.
          *
          * @param refused The refused attempt.
          * @param run The run.
-         * @param attempts All attempts at the request.
+         * @param attempts All attempts for the request.
          * @return {@code true} if no other attempt explains the run.
          */
         private static boolean ranFor(CallerAttempt refused, EndpointRun run, List<CallerAttempt> attempts) {
@@ -80,8 +80,8 @@
         }
     }
 
-    /** A caller receives the whole answer to its own request. */
-    final class WholeOwnAnswers implements RequestPromise {
+    /** A caller receives the complete answer to its own request. */
+    final class CompleteOwnAnswers implements RequestPromise {
 
         /** {@inheritDoc} */
         @Override
@@ -91,17 +91,17 @@
                 if (attempt.end() == AttemptEnd.ANSWERED) {
                     collector.judge(
                             attempt.own() && attempt.whole(),
-                            attempt.requestId() + " got an answer that is"
+                            attempt.requestId() + " received an answer that is"
                                     + (attempt.own() ? "" : " not its own")
-                                    + (attempt.whole() ? "" : " not whole") + ": " + attempt.detail());
+                                    + (attempt.whole() ? "" : " not complete") + ": " + attempt.detail());
                 }
             }
             return collector.verdict();
         }
     }
 
-    /** An answer to a request that is not idempotent is the answer of a run that came to its end. */
-    final class AnswersRan implements RequestPromise {
+    /** An answer to a request that is not idempotent results from a completed run. */
+    final class AnswersFromCompletedRuns implements RequestPromise {
 
         /** {@inheritDoc} */
         @Override
@@ -113,7 +113,7 @@
                     collector.judge(
                             runs.getOrDefault(attempt.requestId(), List.of()).stream()
                                     .anyMatch(EndpointRun::completed),
-                            attempt.requestId() + " was answered but never ran to its end");
+                            attempt.requestId() + " was answered but has no completed run");
                 }
             }
             return collector.verdict();
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/RunLog.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/RunLog.java
@@ -7,23 +7,23 @@
 import java.util.List;
 import java.util.UUID;
 
-/** Where an endpoint records its runs, such that they outlive its process. */
+/** Records the runs of an endpoint, such that the records survive the end of its process. */
 public interface RunLog {
 
     /**
-     * Records that a run began.
+     * Records that a run started.
      *
      * @param requestId The identifier of the request.
-     * @param generated The versions in use, without tokens, or empty.
-     * @return The run, to be given to {@link #recordEnd}.
+     * @param generated The weight versions in use, without tokens, or empty.
+     * @return The run, to be passed to {@link #recordEnd}.
      */
     EndpointRun recordStart(String requestId, List<Segment> generated);
 
     /**
      * Records that a run ended.
      *
-     * @param run The run, as it began.
-     * @param completed Whether it came to its end.
+     * @param run The run, as returned by {@link #recordStart}.
+     * @param completed Whether it completed.
      * @param generated The tokens that it generated, or empty.
      */
     void recordEnd(EndpointRun run, boolean completed, List<Segment> generated);
@@ -39,7 +39,7 @@
      * Creates a log.
      *
      * @param endpoint The name of the endpoint.
-     * @param file The file, or an empty text to record nothing.
+     * @param file The path of the file, or an empty string to record nothing.
      * @return The log.
      */
     static RunLog to(String endpoint, String file) {
@@ -50,7 +50,7 @@
      * Records runs in a file.
      *
      * @param endpoint The name of the endpoint.
-     * @param log The file.
+     * @param log The log that the runs are written to.
      */
     record ToFile(String endpoint, ObservationLog log) implements RunLog {
 
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/SamplePromise.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/SamplePromise.java
@@ -17,7 +17,7 @@
 public interface SamplePromise extends Promise {
 
     /** No sample is delivered twice. */
-    final class NoneDoubled implements SamplePromise {
+    final class NoDuplicates implements SamplePromise {
 
         /** {@inheritDoc} */
         @Override
@@ -32,7 +32,7 @@
     }
 
     /** Every sample of an accepted group is delivered. */
-    final class NoneLost implements SamplePromise {
+    final class NoLosses implements SamplePromise {
 
         /** {@inheritDoc} */
         @Override
@@ -54,18 +54,18 @@
     }
 
     /**
-     * No sample is older than the staleness bound of its trainer.
+     * No sample exceeds the staleness bound of its trainer.
      *
-     * @param bounds The staleness bounds by the names of the trainers.
+     * @param bounds The staleness bounds by trainer name.
      */
-    record Fresh(Map<String, Integer> bounds) implements SamplePromise {
+    record WithinStalenessBound(Map<String, Integer> bounds) implements SamplePromise {
 
         /**
          * Copies the bounds.
          *
-         * @param bounds The staleness bounds by the names of the trainers.
+         * @param bounds The staleness bounds by trainer name.
          */
-        public Fresh {
+        public WithinStalenessBound {
             bounds = Map.copyOf(bounds);
         }
 
@@ -88,13 +88,13 @@
     }
 
     /**
-     * Every sample names the versions that truly produced it. The stand-in of an engine writes the true version into
-     * each token, as {@code t<index>v<version>}, whatever it reports; and some run in the engines' records must have
-     * used the version of each segment.
+     * Every sample is labelled with the versions that actually produced it. The engine stand-in encodes the actual
+     * version in each token as {@code t<index>v<version>}, independently of what it reports. In addition, some recorded
+     * engine run must have used the version of each segment.
      */
-    final class TrulyLabelled implements SamplePromise {
+    final class AccuratelyLabelled implements SamplePromise {
 
-        /** The form of a token. */
+        /** The format of a token: its index and its version. */
         private static final Pattern TOKEN = Pattern.compile("t(\\d+)v(\\d+)");
 
         /** {@inheritDoc} */
@@ -115,7 +115,7 @@
         }
 
         /**
-         * Reads the versions out of a text, which must hold the tokens from the first on without a gap.
+         * Extracts the versions from a text, which must contain consecutive tokens that start at index zero.
          *
          * @param text The text.
          * @return The segments, or empty if a token is missing or repeated.
@@ -135,10 +135,10 @@
         }
 
         /**
-         * Joins neighbouring segments of the same version.
+         * Merges adjacent segments of the same version and drops empty ones.
          *
          * @param segments The segments.
-         * @return The joined segments.
+         * @return The merged segments.
          */
         private static List<Segment> joined(List<Segment> segments) {
             List<Segment> joined = new ArrayList<>();
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/StopPromise.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/StopPromise.java
@@ -13,16 +13,16 @@
 import java.util.OptionalLong;
 import java.util.stream.LongStream;
 
-/** The promises about what leaves. */
+/** The promises about leaving endpoints and planned stops of nodes. */
 public interface StopPromise extends Promise {
 
     /**
-     * An endpoint that is leaving gets no new work after a few seconds, counted from the end of the faults that struck
-     * meanwhile. Work that it refuses counts too.
+     * A leaving endpoint receives no new request after a bound, which restarts at the end of each fault that occurs in
+     * the meantime. Requests that it refuses count as received.
      *
-     * @param bound The time after which it gets nothing.
+     * @param bound The time after which it must receive no request.
      */
-    record LeavingEndpointsRest(Duration bound) implements StopPromise {
+    record LeavingEndpointsReceiveNothing(Duration bound) implements StopPromise {
 
         /** {@inheritDoc} */
         @Override
@@ -31,9 +31,9 @@
             Map<String, List<EndpointRun>> runs = observations.by(EndpointRun.class, EndpointRun::endpoint);
             Map<String, List<EndpointRefused>> refusals =
                     observations.by(EndpointRefused.class, EndpointRefused::endpoint);
-            Grace grace = Grace.of(bound, observations);
+            PropagationDeadline propagation = PropagationDeadline.of(bound, observations);
             for (EndpointLeft left : observations.of(EndpointLeft.class)) {
-                long end = grace.deadline(left.leftAt());
+                long end = propagation.deadline(left.leftAt());
                 LongStream ran =
                         runs.getOrDefault(left.endpoint(), List.of()).stream().mapToLong(EndpointRun::startedAt);
                 LongStream refused = refusals.getOrDefault(left.endpoint(), List.of()).stream()
@@ -43,14 +43,15 @@
                         .min();
                 collector.judge(
                         late.isEmpty(),
-                        left.endpoint() + " got work " + (late.orElse(0) - left.leftAt()) + " ms after it left");
+                        left.endpoint() + " received a request " + (late.orElse(0) - left.leftAt())
+                                + " ms after it reported that it is leaving");
             }
             return collector.verdict();
         }
     }
 
-    /** A planned stop of a node cuts no request in progress. */
-    final class PlannedStopsCutNothing implements StopPromise {
+    /** A planned stop of a node interrupts no request in progress. */
+    final class PlannedStopsInterruptNothing implements StopPromise {
 
         /** {@inheritDoc} */
         @Override
@@ -68,7 +69,8 @@
                     if (during && !crashed) {
                         collector.judge(
                                 attempt.end() != AttemptEnd.CUT && attempt.end() != AttemptEnd.NOT_CONNECTED,
-                                attempt.requestId() + " was cut by the stop of " + stop.node() + ": " + attempt);
+                                attempt.requestId() + " was interrupted by the planned stop of " + stop.node() + ": "
+                                        + attempt);
                     }
                 }
             }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/Verdict.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/Verdict.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What a promise came to.
+ * The result of checking one promise.
  *
- * @param promise The promise, in words.
- * @param judged The number of cases that were judged.
- * @param breaches The breaches, each described for a reader.
+ * @param promise The description of the promise.
+ * @param judged The number of cases that were checked.
+ * @param breaches The descriptions of the breaches.
  */
 public record Verdict(String promise, long judged, List<String> breaches) {
 
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/package-info.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Judges the promises of the system from what callers, trainers and endpoints recorded themselves, without trusting
- * anything that the system says.
+ * Checks the promises of the system against observations that callers, trainers and endpoints recorded themselves,
+ * independently of anything that the system reports.
  */
 package io.yuccaswitch.testkit.check;
--- a/yuccaswitch-testkit/src/test/java/io/yuccaswitch/testkit/check/ObservationLogTest.java
+++ b/yuccaswitch-testkit/src/test/java/io/yuccaswitch/testkit/check/ObservationLogTest.java
@@ -16,7 +16,7 @@
     private Path folder;
 
     @Test
-    void aTornLineOfAKilledProcessIsSkippedAndItsFollowerGoesOn() throws Exception {
+    void anIncompleteLineOfAKilledProcessIsSkippedAndItsSuccessorAppends() throws Exception {
         Path file = folder.resolve("ledger-1.observations");
         EndpointRun first = RunLog.to("ledger-1", file.toString()).recordStart("vm-1@1/a", List.of());
         Files.writeString(file, "{\"observation\":\"endpoint-run\",\"endp", StandardOpenOption.APPEND);
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void theEndOfARunReplacesItsBeginning() throws Exception {
+    void theEndOfARunReplacesItsStart() throws Exception {
         Path file = folder.resolve("ledger-1.observations");
         RunLog log = RunLog.to("ledger-1", file.toString());
         log.recordEnd(log.recordStart("vm-1@1/a", List.of()), true, List.of());
--- a/yuccaswitch-testkit/src/test/java/io/yuccaswitch/testkit/check/PromiseCheckerTest.java
+++ b/yuccaswitch-testkit/src/test/java/io/yuccaswitch/testkit/check/PromiseCheckerTest.java
@@ -27,7 +27,7 @@
 
     private static final Slot SLOT = new Slot("matcher", 1, 0, 0);
 
-    private final List<Observation> sound = List.of(
+    private final List<Observation> validObservations = List.of(
             attempt("vm-1@1/a", 100, 200, AttemptEnd.ANSWERED),
             run("ledger-1", "vm-1@1/a", 120),
             attempt("vm-1@1/b", 100, 200, AttemptEnd.NOT_RUN),
@@ -46,63 +46,63 @@
             new ConfigurationRead("vm-2", 2, 9_050, 9_060));
 
     @Test
-    void soundRecordsBreakNoPromiseAndEachPromiseIsJudged() {
-        assertThat(judge(sound)).allSatisfy(verdict -> {
+    void validObservationsBreakNoPromiseAndEachPromiseIsChecked() {
+        assertThat(judge(validObservations)).allSatisfy(verdict -> {
             assertThat(verdict.breaches()).isEmpty();
             assertThat(verdict.judged()).isPositive();
         });
     }
 
     @Test
-    void aSecondRunOfAPostIsSeen() {
+    void aSecondRunOfANonIdempotentRequestIsDetected() {
         assertBroken("runs at most once", run("ledger-2", "vm-1@1/a", 300));
     }
 
     @Test
-    void aRefusalAsNotRunIsSeenAsFalseIfTheRequestRanBeforeOrAfter() {
+    void aNotRunRefusalIsABreachIfTheRequestRanBeforeOrAfterIt() {
         assertBroken("says not run", run("ledger-2", "vm-1@1/b", 120));
         assertBroken("says not run", run("ledger-2", "vm-1@1/b", 900));
     }
 
     @Test
-    void aRefusalAsNotRunIsFalseEvenIfALaterAttemptWasMade() {
+    void aNotRunRefusalIsABreachIfTheRequestRanBeforeItDespiteALaterAttempt() {
         assertBroken(
                 "says not run", attempt("vm-1@1/b", 300, 400, AttemptEnd.ANSWERED), run("ledger-2", "vm-1@1/b", 120));
     }
 
     @Test
-    void aRefusalAsNotRunStaysTrueIfALaterAttemptRan() {
+    void aNotRunRefusalIsNoBreachIfOnlyALaterAttemptRan() {
         assertThat(judge(with(attempt("vm-1@1/b", 300, 400, AttemptEnd.ANSWERED), run("ledger-2", "vm-1@1/b", 350))))
                 .allMatch(Verdict::held);
     }
 
     @Test
-    void aForeignAnswerIsSeen() {
+    void anAnswerToAnotherRequestIsDetected() {
         assertBroken("own request", answer("vm-1@1/a", false, true));
     }
 
     @Test
-    void aTruncatedAnswerIsSeen() {
+    void aTruncatedAnswerIsDetected() {
         assertBroken("own request", answer("vm-1@1/a", true, false));
     }
 
     @Test
-    void anAnswerWithoutARunIsSeen() {
+    void anAnswerWithoutARunIsDetected() {
         assertBroken("ran to its end", attempt("vm-1@1/z", 100, 200, AttemptEnd.ANSWERED));
     }
 
     @Test
-    void aDoubledSampleIsSeen() {
+    void aDuplicateSampleIsDetected() {
         assertBroken("delivered twice", new SampleReceived(SLOT, 4, List.of(new Segment(4, 1)), "t0v4 "));
     }
 
     @Test
-    void aLostSampleIsSeen() {
+    void aLostSampleIsDetected() {
         assertBroken("every accepted sample", new GroupAccepted(new Slot("matcher", 2, 0, 0), 1));
     }
 
     @Test
-    void aSampleWhoseOldestSegmentIsPastTheBoundIsSeen() {
+    void aSampleWhoseOldestSegmentExceedsTheStalenessBoundIsDetected() {
         assertBroken(
                 "staleness bound",
                 new SampleReceived(
@@ -110,14 +110,14 @@
     }
 
     @Test
-    void aSampleLabelledWithAnotherVersionThanProducedItIsSeen() {
+    void aSampleLabelledWithAnotherVersionThanTheOneThatProducedItIsDetected() {
         assertBroken(
                 "versions that produced it",
                 new SampleReceived(new Slot("matcher", 1, 1, 0), 4, List.of(new Segment(4, 2)), "t0v3 t1v4 "));
     }
 
     @Test
-    void aSampleWithARepeatedOrMissingTokenIsSeen() {
+    void aSampleWithARepeatedOrMissingTokenIsDetected() {
         assertBroken(
                 "versions that produced it",
                 new SampleReceived(new Slot("matcher", 1, 1, 0), 4, List.of(new Segment(4, 2)), "t0v4 t0v4 "));
@@ -127,14 +127,14 @@
     }
 
     @Test
-    void aSampleThatNoEngineCanHaveProducedIsSeen() {
+    void aSampleOfAVersionThatNoEngineRanIsDetected() {
         assertBroken(
                 "versions that produced it",
                 new SampleReceived(new Slot("matcher", 1, 1, 0), 9, List.of(new Segment(9, 1)), "t0v9 "));
     }
 
     @Test
-    void workThatComesLongAfterAnEndpointLeftIsSeen() {
+    void aRequestToAnEndpointThatLeftBeforeTheBoundIsDetected() {
         EndpointRun late = run("ledger-1", "vm-1@1/late", 150 + 3_001);
 
         assertBroken("leaving endpoint", late);
@@ -144,7 +144,7 @@
     }
 
     @Test
-    void aRequestThatAPlannedStopCutsIsSeenUnlessTheNodeWasKilledToo() {
+    void aRequestInterruptedByAPlannedStopIsDetectedUnlessTheNodeAlsoCrashed() {
         CallerAttempt cut = attempt("vm-1@1/cut", 180, 300, AttemptEnd.CUT);
 
         assertBroken("planned stop", cut);
@@ -152,12 +152,12 @@
     }
 
     @Test
-    void anOlderConfigurationAfterANewerOneIsSeen() {
+    void anOlderConfigurationAfterANewerOneIsDetected() {
         assertBroken("older configuration", new ConfigurationRead("vm-1", 1, 1_200, 1_210));
     }
 
     @Test
-    void aConfigurationThatComesIntoForceLateIsSeen() {
+    void aConfigurationThatBecomesActiveLateIsDetected() {
         ConfigurationRead late = new ConfigurationRead("vm-2", 1, 6_001, 6_010);
 
         assertBroken("is in force", late);
@@ -165,13 +165,13 @@
     }
 
     @Test
-    void observationsSurviveTheirFile(@TempDir Path folder) throws Exception {
+    void observationsAreReadBackAsWritten(@TempDir Path folder) throws Exception {
         Path file = folder.resolve("observations.jsonl");
         try (ObservationLog log = new ObservationLog(file)) {
-            sound.forEach(log::write);
+            validObservations.forEach(log::write);
         }
 
-        assertThat(ObservationLog.read(file)).isEqualTo(sound);
+        assertThat(ObservationLog.read(file)).isEqualTo(validObservations);
     }
 
     private void assertBroken(String promise, Observation... additional) {
@@ -184,7 +184,7 @@
     }
 
     private List<Observation> with(Observation... additional) {
-        List<Observation> all = new ArrayList<>(sound);
+        List<Observation> all = new ArrayList<>(validObservations);
         all.addAll(List.of(additional));
         return all;
     }
