--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/Batch.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/Batch.java
@@ -12,14 +12,14 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Supplier;
 
-/** Generates for all active runs at once, one token each in an iteration, and lets the waiting ones in by priority. */
+/** Generates one token for each active run in every iteration, and admits waiting runs by priority. */
 final class Batch implements AutoCloseable {
 
-    /** The number of records that are kept. */
-    private static final int KEPT_RECORDS = 200_000;
+    /** The maximum number of retained records. */
+    private static final int MAXIMUM_RECORDS = 200_000;
 
-    /** The pause of an idle batch. */
-    private static final long IDLE_NANOS = TimeUnit.MICROSECONDS.toNanos(500);
+    /** The interval at which an idle batch checks for work. */
+    private static final long IDLE_INTERVAL_NANOS = TimeUnit.MICROSECONDS.toNanos(500);
 
     /** The options of the engine. */
     private final EngineOptions options;
@@ -27,22 +27,22 @@
     /** The weight versions in use. */
     private final LoadedModels models;
 
-    /** The faults that are ordered. */
+    /** The injected faults. */
     private final Supplier<Faults> faults;
 
-    /** The runs that wait, the first in priority at the head. */
+    /** The waiting runs, ordered by priority. */
     private final PriorityQueue<Run> waiting = new PriorityQueue<>();
 
-    /** The runs that are generated for. */
+    /** The runs for which tokens are generated. */
     private final List<Run> active = new ArrayList<>();
 
     /** The records of all runs, oldest first. */
     private final Deque<Run> records = new ArrayDeque<>();
 
-    /** The thread that iterates. */
+    /** The thread that executes the iterations. */
     private final Thread thread = new Thread(this::iterate, "batch");
 
-    /** Whether the thread goes on. */
+    /** Whether the thread continues to iterate. */
     private volatile boolean running = true;
 
     /**
@@ -50,7 +50,7 @@
      *
      * @param options The options of the engine.
      * @param models The weight versions in use.
-     * @param faults The faults that are ordered.
+     * @param faults The injected faults.
      */
     Batch(EngineOptions options, LoadedModels models, Supplier<Faults> faults) {
         this.options = options;
@@ -64,7 +64,7 @@
      * Adds a run.
      *
      * @param run The run.
-     * @return {@code false} if too many wait already.
+     * @return {@code false} if the queue is full.
      */
     synchronized boolean add(Run run) {
         if (waiting.size() >= options.queueLength) {
@@ -72,16 +72,16 @@
         }
         waiting.add(run);
         records.add(run);
-        if (records.size() > KEPT_RECORDS) {
+        if (records.size() > MAXIMUM_RECORDS) {
             records.remove();
         }
         return true;
     }
 
     /**
-     * Finds a run.
+     * Finds the latest run of a request.
      *
-     * @param wireId The identifier that its request bore.
+     * @param wireId The identifier that its request carried.
      * @return The run, or empty if there is none.
      */
     synchronized Optional<Run> find(String wireId) {
@@ -89,7 +89,7 @@
     }
 
     /**
-     * Returns the number of runs that are generated for.
+     * Returns the number of runs for which tokens are generated.
      *
      * @return The number of active runs.
      */
@@ -98,7 +98,7 @@
     }
 
     /**
-     * Returns the number of runs that wait.
+     * Returns the number of waiting runs.
      *
      * @return The number of waiting runs.
      */
@@ -107,7 +107,7 @@
     }
 
     /**
-     * Returns what was truly done.
+     * Returns the records of the work that was actually done.
      *
      * @return The records, oldest first.
      */
@@ -128,7 +128,8 @@
         while (running) {
             int size = admit();
             boolean idle = size == 0 || faults.get().on(Fault.FROZEN);
-            due = Math.max(due, System.nanoTime() - IDLE_NANOS) + (idle ? IDLE_NANOS : iterationNanos(size));
+            due = Math.max(due, System.nanoTime() - IDLE_INTERVAL_NANOS)
+                    + (idle ? IDLE_INTERVAL_NANOS : iterationNanos(size));
             LockSupport.parkNanos(due - System.nanoTime());
             if (!idle) {
                 generate();
@@ -137,10 +138,10 @@
     }
 
     /**
-     * Computes the time of an iteration.
+     * Computes the duration of an iteration.
      *
      * @param size The number of active runs.
-     * @return The time in nanoseconds.
+     * @return The duration in nanoseconds.
      */
     private long iterationNanos(int size) {
         long micros = options.iterationBaseMicros + options.iterationRequestMicros * size;
@@ -148,7 +149,7 @@
     }
 
     /**
-     * Lets waiting runs in and the ended ones out.
+     * Removes the ended runs, and admits waiting runs while capacity and token budget allow.
      *
      * @return The number of active runs.
      */
@@ -170,7 +171,7 @@
      * Ends a run that is complete or cancelled.
      *
      * @param run The run.
-     * @return {@code true} if the run is over.
+     * @return {@code true} if the run has ended.
      */
     private boolean ended(Run run) {
         if (!run.complete() && !run.cancelled()) {
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/Completion.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/Completion.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Writes what a run generates as an OpenAI-style answer, streamed or whole. */
+/** Writes the output of a run as an OpenAI-style answer, either streamed or as a single document. */
 final class Completion {
 
     /** The status of an answer. */
@@ -20,22 +20,22 @@
     /** The run. */
     private final Run run;
 
-    /** Whether the answer is a chat's. */
+    /** Whether the answer is a chat completion. */
     private final boolean chat;
 
-    /** Whether weight versions are told. */
+    /** Whether the answer reports weight versions. */
     private final boolean reported;
 
-    /** The reason for which the text ends. */
+    /** The finish reason that the answer reports. */
     private final String finishReason;
 
     /**
      * Creates a writer.
      *
      * @param run The run.
-     * @param chat Whether the answer is a chat's.
-     * @param reported Whether weight versions are told.
-     * @param finishReason The reason for which the text ends.
+     * @param chat Whether the answer is a chat completion.
+     * @param reported Whether the answer reports weight versions.
+     * @param finishReason The finish reason that the answer reports.
      */
     Completion(Run run, boolean chat, boolean reported, String finishReason) {
         this.run = run;
@@ -45,11 +45,11 @@
     }
 
     /**
-     * Streams the text as server-sent events while it is generated.
+     * Streams the text as server-sent events during generation.
      *
      * @param answer The answer to write.
      * @throws IOException If the connection is broken.
-     * @throws InterruptedException If the server is stopped meanwhile.
+     * @throws InterruptedException If the server is stopped in the meantime.
      */
     void stream(Answer answer) throws IOException, InterruptedException {
         answer.begin(OK, "text/event-stream");
@@ -68,13 +68,13 @@
     }
 
     /**
-     * Writes the whole text once it is generated.
+     * Writes the complete text after generation has ended.
      *
      * @param answer The answer to write.
      * @throws IOException If the connection is broken.
-     * @throws InterruptedException If the server is stopped meanwhile.
+     * @throws InterruptedException If the server is stopped in the meantime.
      */
-    void whole(Answer answer) throws IOException, InterruptedException {
+    void writeComplete(Answer answer) throws IOException, InterruptedException {
         StringBuilder text = new StringBuilder();
         List<Token> tokens = nextTokens();
         while (!tokens.isEmpty()) {
@@ -97,10 +97,10 @@
     }
 
     /**
-     * Waits for tokens and takes those that one version generated.
+     * Waits for tokens and removes consecutive available tokens of the same weight version from the output.
      *
-     * @return The tokens, or none at the end of the text.
-     * @throws InterruptedException If the server is stopped meanwhile.
+     * @return The tokens, or an empty list at the end of the text.
+     * @throws InterruptedException If the server is stopped in the meantime.
      */
     private List<Token> nextTokens() throws InterruptedException {
         List<Token> tokens = new ArrayList<>();
@@ -118,7 +118,7 @@
     }
 
     /**
-     * Makes the event of some tokens.
+     * Creates the event for a list of tokens.
      *
      * @param answer The answer that the event belongs to.
      * @param tokens The tokens.
@@ -136,7 +136,7 @@
     }
 
     /**
-     * Makes the final event.
+     * Creates the final event.
      *
      * @param answer The answer that the event belongs to.
      * @return The event.
@@ -156,7 +156,7 @@
     }
 
     /**
-     * Makes what all events share.
+     * Creates the fields that all events have in common.
      *
      * @param answer The answer that the event belongs to.
      * @param text The text of the event.
@@ -189,10 +189,10 @@
     }
 
     /**
-     * Returns whether a request asks for a stream.
+     * Returns whether a request asks for a streamed answer.
      *
      * @param body The body of the request.
-     * @return {@code true} if it does.
+     * @return {@code true} if the answer must be streamed.
      */
     static boolean streaming(JsonNode body) {
         return body.path("stream").asBoolean(false);
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/EngineStandIn.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/EngineStandIn.java
@@ -19,7 +19,7 @@
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A stand-in of a model engine. Its protocol is described in docs/API.md. */
+/** A stand-in for a model engine. Its protocol is described in docs/API.md. */
 public final class EngineStandIn implements AutoCloseable {
 
     /** The status of a request for a model that is not loaded. */
@@ -31,19 +31,19 @@
     /** The status of success. */
     private static final int OK = 200;
 
-    /** The prefix of the tokens that stand for an exported KV cache. */
-    private static final String KV_TOKEN = "kv-";
+    /** The prefix of the opaque tokens that identify an exported KV cache. */
+    private static final String KV_TOKEN_PREFIX = "kv-";
 
     /** The options. */
     private final EngineOptions options;
 
-    /** Where the runs are recorded. */
+    /** The log in which runs are recorded. */
     private final RunLog runLog;
 
-    /** The weight versions. */
+    /** The loaded weight versions. */
     private final LoadedModels models;
 
-    /** The number of tokens that prompts get. */
+    /** The distribution of output lengths. */
     private final LengthDistribution lengths;
 
     /** The cache of prompt prefixes. */
@@ -52,13 +52,13 @@
     /** The batch. */
     private final Batch batch;
 
-    /** The orders. */
+    /** The handler of orders. */
     private final Orders orders;
 
-    /** The load reports. */
+    /** The delayed load reports. */
     private final LoadHistory loads;
 
-    /** The number of requests that arrived. */
+    /** The number of received requests. */
     private final AtomicLong arrivals = new AtomicLong();
 
     /** The server. */
@@ -91,16 +91,16 @@
     }
 
     /**
-     * Returns the faults that are ordered.
+     * Returns the injected faults.
      *
-     * @return The faults.
+     * @return The injected faults.
      */
     public Faults faults() {
         return server.faults();
     }
 
     /**
-     * Returns what this engine truly did.
+     * Returns the records of the work that this engine actually did.
      *
      * @return The records, oldest first.
      */
@@ -134,13 +134,13 @@
     }
 
     /**
-     * Serves a request for text.
+     * Serves a completion request.
      *
      * @param context The request.
      * @param answer The answer to write.
-     * @param chat Whether it is a chat.
+     * @param chat Whether it is a chat completion.
      * @throws IOException If the connection is broken.
-     * @throws InterruptedException If the server is stopped meanwhile.
+     * @throws InterruptedException If the server is stopped in the meantime.
      */
     private void complete(Context context, Answer answer, boolean chat) throws IOException, InterruptedException {
         faults().pause();
@@ -149,7 +149,7 @@
             return;
         }
         JsonNode body = Json.parse(context.bodyAsBytes());
-        String model = body.path("model").asText(models.first());
+        String model = body.path("model").asText(models.defaultModel());
         Optional<String> refusal = refusal(model);
         if (refusal.isPresent()) {
             runLog.recordRefusal(Answer.requestId(context));
@@ -161,21 +161,21 @@
             answer.refuse(UNAVAILABLE, "overloaded");
             return;
         }
-        EndpointRun begun = runLog.recordStart(run.requestId(), observed(run));
+        EndpointRun startedRun = runLog.recordStart(run.requestId(), observedSegments(run));
         try {
             answer(body, run, answer, chat);
         } finally {
-            runLog.recordEnd(begun, run.record().completed(), observed(run));
+            runLog.recordEnd(startedRun, run.record().completed(), observedSegments(run));
         }
     }
 
     /**
-     * Lists the true versions of a run.
+     * Returns the weight versions that a run actually used.
      *
      * @param run The run.
-     * @return The versions with their tokens, or the version in use without tokens if none was generated.
+     * @return The versions with their token counts, or the version in use with zero tokens if none was generated.
      */
-    private List<Observation.Segment> observed(Run run) {
+    private List<Observation.Segment> observedSegments(Run run) {
         List<Observation.Segment> segments = run.segments().stream()
                 .map(segment -> new Observation.Segment(segment.version(), segment.tokens()))
                 .toList();
@@ -187,14 +187,14 @@
     }
 
     /**
-     * Answers a request whose run has begun.
+     * Answers a request whose run has started.
      *
      * @param body The body of the request.
      * @param run The run.
      * @param answer The answer to write.
-     * @param chat Whether it is a chat.
+     * @param chat Whether it is a chat completion.
      * @throws IOException If the connection is broken.
-     * @throws InterruptedException If the server is stopped meanwhile.
+     * @throws InterruptedException If the server is stopped in the meantime.
      */
     private void answer(JsonNode body, Run run, Answer answer, boolean chat) throws IOException, InterruptedException {
         if (faults().take(Fault.RESETS_AFTER_RUN)) {
@@ -202,12 +202,12 @@
             return;
         }
         boolean reported = !faults().on(Fault.UNREPORTED_VERSIONS);
-        Completion completion = new Completion(run, chat, reported, bounded(body, run) ? "length" : "stop");
+        Completion completion = new Completion(run, chat, reported, isLengthLimited(body, run) ? "length" : "stop");
         try {
             if (Completion.streaming(body)) {
                 completion.stream(answer);
             } else {
-                completion.whole(answer);
+                completion.writeComplete(answer);
             }
         } catch (IOException exception) {
             run.cancel();
@@ -216,10 +216,10 @@
     }
 
     /**
-     * Returns the reason to refuse a request.
+     * Returns the reason for which a request is refused, if any.
      *
-     * @param model The model that it asks for.
-     * @return The code, or empty to accept it.
+     * @param model The requested model.
+     * @return The error code, or empty if the request is accepted.
      */
     private Optional<String> refusal(String model) {
         if (faults().on(Fault.LEAVING)) {
@@ -243,10 +243,11 @@
         Prompt prompt = Prompt.of(body);
         int cached = cache.use(prompt);
         int resumed = body.path("resumeTokens").asInt(0);
-        boolean imported = body.path("kv").asText().startsWith(KV_TOKEN);
+        boolean imported = body.path("kv").asText().startsWith(KV_TOKEN_PREFIX);
         int uncached = imported ? 0 : Math.max(0, prompt.tokens() - cached) + resumed;
-        int natural = lengths.tokens(prompt.hash(), body.path("seed").asLong(0));
-        int total = Math.max(resumed, Math.min(natural, body.path("max_tokens").asInt(Integer.MAX_VALUE)));
+        int drawnTokens = lengths.tokens(prompt.hash(), body.path("seed").asLong(0));
+        int total =
+                Math.max(resumed, Math.min(drawnTokens, body.path("max_tokens").asInt(Integer.MAX_VALUE)));
         return new Run(
                 Answer.requestId(context),
                 model,
@@ -259,22 +260,22 @@
     }
 
     /**
-     * Returns whether the request bounds the text.
+     * Returns whether the request limits the length of the text.
      *
      * @param body The body of the request.
      * @param run The run.
-     * @return {@code true} if the text ends before its natural length.
+     * @return {@code true} if the text ends before its drawn length.
      */
-    private boolean bounded(JsonNode body, Run run) {
-        int natural = lengths.tokens(run.prompt().hash(), body.path("seed").asLong(0));
-        return natural > body.path("max_tokens").asInt(Integer.MAX_VALUE);
+    private boolean isLengthLimited(JsonNode body, Run run) {
+        int drawnTokens = lengths.tokens(run.prompt().hash(), body.path("seed").asLong(0));
+        return drawnTokens > body.path("max_tokens").asInt(Integer.MAX_VALUE);
     }
 
     /**
-     * Reads a priority.
+     * Parses a priority.
      *
      * @param header The header, or {@code null}.
-     * @return The priority, where a smaller number goes first.
+     * @return The priority, where smaller numbers are served first.
      */
     private static int priority(String header) {
         if ("urgent".equals(header)) {
@@ -310,13 +311,14 @@
             answer.refuse(NOT_FOUND, "request-not-found");
             return;
         }
-        answer.json(OK, Json.object().put("kv", KV_TOKEN + run.get().prompt().hash()));
+        answer.json(
+                OK, Json.object().put("kv", KV_TOKEN_PREFIX + run.get().prompt().hash()));
     }
 
     /**
-     * Returns the true state.
+     * Returns the current load.
      *
-     * @return The state.
+     * @return The load, without the delay of reports.
      */
     private Load load() {
         return new Load(
@@ -329,7 +331,7 @@
     }
 
     /**
-     * Makes a load report.
+     * Creates a load report.
      *
      * @return The report.
      */
@@ -351,7 +353,7 @@
      * Reads the events of the prefix cache.
      *
      * @param context The request.
-     * @return The events after the one that the reader knows.
+     * @return The events after the last one that the reader has received.
      */
     private ObjectNode cacheEvents(Context context) {
         String after = context.queryParam("after");
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/LengthDistribution.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/LengthDistribution.java
@@ -4,32 +4,32 @@
 import java.util.SplittableRandom;
 
 /**
- * The number of tokens that a prompt gets, drawn from a distribution with a heavy tail. The same prompt and seed get
+ * A heavy-tailed distribution of the number of tokens that are generated for a prompt. The same prompt and seed give
  * the same number on every engine.
  *
  * @param seed The seed of the distribution.
  * @param median The median number of tokens.
- * @param stragglerShare The share of prompts that get 10 to 30 times the median.
+ * @param stragglerShare The share of prompts for which 10 to 30 times the median is generated.
  */
 public record LengthDistribution(long seed, int median, double stragglerShare) {
 
-    /** The smallest number of medians that a straggler gets. */
-    private static final double STRAGGLER_FROM = 10;
+    /** The minimum length of a straggler, as a multiple of the median. */
+    private static final double MINIMUM_STRAGGLER_MEDIANS = 10;
 
-    /** The largest number of medians that a straggler gets. */
-    private static final double STRAGGLER_TO = 30;
+    /** The maximum length of a straggler, as a multiple of the median. */
+    private static final double MAXIMUM_STRAGGLER_MEDIANS = 30;
 
-    /** The smallest number of medians that any other prompt gets. */
-    private static final double ORDINARY_FROM = 0.25;
+    /** The minimum length of any other text, as a multiple of the median. */
+    private static final double MINIMUM_ORDINARY_MEDIANS = 0.25;
 
-    /** The largest number of medians that any other prompt gets. */
-    private static final double ORDINARY_TO = 1.75;
+    /** The maximum length of any other text, as a multiple of the median. */
+    private static final double MAXIMUM_ORDINARY_MEDIANS = 1.75;
 
     /**
      * Draws the number of tokens of a prompt.
      *
      * @param promptHash The hash of the prompt.
-     * @param sampleSeed The seed that the request gave.
+     * @param sampleSeed The seed of the request.
      * @return The number of tokens, at least one.
      */
     public int tokens(long promptHash, long sampleSeed) {
@@ -43,8 +43,8 @@
         SplittableRandom random = new SplittableRandom(mixed);
         boolean straggler = random.nextDouble() < stragglerShare;
         double medians = straggler
-                ? random.nextDouble(STRAGGLER_FROM, STRAGGLER_TO)
-                : random.nextDouble(ORDINARY_FROM, ORDINARY_TO);
+                ? random.nextDouble(MINIMUM_STRAGGLER_MEDIANS, MAXIMUM_STRAGGLER_MEDIANS)
+                : random.nextDouble(MINIMUM_ORDINARY_MEDIANS, MAXIMUM_ORDINARY_MEDIANS);
         return Math.max(1, (int) Math.round(medians * median));
     }
 }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/LoadHistory.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/LoadHistory.java
@@ -6,29 +6,29 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 
-/** Load reports that lag behind the engine's true state. */
+/** Load reports that lag behind the actual state of the engine. */
 final class LoadHistory implements AutoCloseable {
 
-    /** The interval at which the state is looked at. */
-    private static final long INTERVAL_MILLIS = 10;
+    /** The interval at which the state is sampled. */
+    private static final long SAMPLING_INTERVAL_MILLIS = 10;
 
     /** The lag of the reports in nanoseconds. */
     private final long lagNanos;
 
-    /** Reads the true state. */
+    /** The supplier of the actual state. */
     private final Supplier<Load> current;
 
     /** The states that may still be reported, oldest first. */
     private final Deque<Load> states = new ArrayDeque<>();
 
-    /** The thread that looks at the state. */
-    private final Thread thread = new Thread(this::observe, "load-history");
+    /** The thread that samples the state. */
+    private final Thread thread = new Thread(this::sample, "load-history");
 
     /**
      * Creates a history and starts it.
      *
-     * @param lagMillis The lag of the reports.
-     * @param current Reads the true state.
+     * @param lagMillis The lag of the reports in milliseconds.
+     * @param current The supplier of the actual state.
      */
     LoadHistory(long lagMillis, Supplier<Load> current) {
         lagNanos = TimeUnit.MILLISECONDS.toNanos(lagMillis);
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Returns the state as it was a lag ago.
+     * Returns the latest state that is at least as old as the lag.
      *
      * @return The state.
      */
@@ -62,11 +62,11 @@
         thread.interrupt();
     }
 
-    /** Looks at the state until the history is closed. */
-    private void observe() {
+    /** Samples the state until the history is closed. */
+    private void sample() {
         try {
             while (true) {
-                TimeUnit.MILLISECONDS.sleep(INTERVAL_MILLIS);
+                TimeUnit.MILLISECONDS.sleep(SAMPLING_INTERVAL_MILLIS);
                 add(current.get());
             }
         } catch (InterruptedException _exception) {
@@ -75,7 +75,7 @@
     }
 
     /**
-     * Adds a state and forgets those that can't be reported any more.
+     * Adds a state and removes those that are too old to be reported.
      *
      * @param state The state.
      */
@@ -89,10 +89,10 @@
      *
      * @param active The number of active requests.
      * @param waiting The number of waiting requests.
-     * @param cacheUse The used share of the cache.
+     * @param cacheUse The utilization of the cache, between zero and one.
      * @param loadedVersions The weight versions by model or adapter.
      * @param leaving Whether the engine is leaving.
-     * @param at The time of the state in nanoseconds.
+     * @param at The time of the sample, in nanoseconds of the monotonic clock.
      */
     record Load(int active, int waiting, double cacheUse, Map<String, Long> loadedVersions, boolean leaving, long at) {}
 }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/LoadedModels.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/LoadedModels.java
@@ -5,20 +5,20 @@
 import java.util.Optional;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** The weight versions that an engine holds, and those that it claims to hold. */
+/** The weight versions that are loaded in an engine, and those that it reports as loaded. */
 final class LoadedModels {
 
-    /** The true versions by model or adapter. */
+    /** The loaded versions by model or adapter. */
     private final Map<String, Long> versions = new ConcurrentHashMap<>();
 
-    /** The versions by model or adapter that load reports tell. */
+    /** The versions by model or adapter that load reports name. */
     private final Map<String, Long> claimed = new ConcurrentHashMap<>();
 
-    /** The model that requests get which name none. */
-    private final String first;
+    /** The default model, for requests that name none. */
+    private final String defaultModel;
 
     /**
-     * Creates the models that are loaded at the start.
+     * Creates the models that are loaded at startup.
      *
      * @param models The models as {@code name=version}.
      */
@@ -27,16 +27,16 @@
             int separator = model.indexOf('=');
             install(model.substring(0, separator), Long.parseLong(model.substring(separator + 1)));
         }
-        first = models.get(0).substring(0, models.get(0).indexOf('='));
+        defaultModel = models.get(0).substring(0, models.get(0).indexOf('='));
     }
 
     /**
-     * Returns the model that requests get which name none.
+     * Returns the default model, for requests that name none.
      *
      * @return The model's name.
      */
-    String first() {
-        return first;
+    String defaultModel() {
+        return defaultModel;
     }
 
     /**
@@ -51,7 +51,7 @@
     }
 
     /**
-     * Claims a version without installing it.
+     * Reports a version as loaded without installing it.
      *
      * @param model The model or adapter.
      * @param version The version.
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Returns the true version of a model.
+     * Returns the loaded version of a model.
      *
      * @param model The model or adapter.
      * @return The version, or empty if the model is not loaded.
@@ -71,7 +71,7 @@
     }
 
     /**
-     * Returns the versions that load reports tell.
+     * Returns the versions that load reports name.
      *
      * @return A copy of the versions by model or adapter.
      */
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/Orders.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/Orders.java
@@ -16,23 +16,23 @@
 import okhttp3.Request;
 import okhttp3.Response;
 
-/** Carries out orders to load weights. */
+/** Executes orders to load weights. */
 final class Orders {
 
-    /** The status of an order that was carried out. */
+    /** The status of an executed order. */
     private static final int OK = 200;
 
-    /** The status of an order with an old fencing number. */
+    /** The status of an order with an outdated fencing number. */
     private static final int CONFLICT = 409;
 
     /** The status of an order whose weights could not be loaded. */
     private static final int FAILED = 500;
 
     /** The size of the buffer that weights are read into. */
-    private static final int BUFFER_SIZE = 65_536;
+    private static final int BUFFER_BYTES = 65_536;
 
-    /** The time after which a silent weight store is given up. */
-    private static final long STORE_TIMEOUT_SECONDS = 60;
+    /** The read timeout of the weight store. */
+    private static final long WEIGHT_STORE_TIMEOUT_SECONDS = 60;
 
     /** The options of the engine. */
     private final EngineOptions options;
@@ -40,26 +40,26 @@
     /** The weight versions of the engine. */
     private final LoadedModels models;
 
-    /** The faults that are ordered. */
+    /** The injected faults. */
     private final Supplier<Faults> faults;
 
     /** The client of the weight store. */
     private final OkHttpClient client = new OkHttpClient.Builder()
-            .readTimeout(STORE_TIMEOUT_SECONDS, TimeUnit.SECONDS)
+            .readTimeout(WEIGHT_STORE_TIMEOUT_SECONDS, TimeUnit.SECONDS)
             .build();
 
-    /** What became of the orders, in the order of their ends. */
+    /** The results of the orders, in the order of their completion. */
     private final List<OrderRecord> records = new CopyOnWriteArrayList<>();
 
-    /** The highest fencing number that was seen. */
+    /** The highest fencing number received so far. */
     private long highestFencingNumber;
 
     /**
-     * Creates the orders of an engine.
+     * Creates the order handler of an engine.
      *
      * @param options The options of the engine.
      * @param models The weight versions of the engine.
-     * @param faults The faults that are ordered.
+     * @param faults The injected faults.
      */
     Orders(EngineOptions options, LoadedModels models, Supplier<Faults> faults) {
         this.options = options;
@@ -68,12 +68,12 @@
     }
 
     /**
-     * Carries out an order.
+     * Executes an order.
      *
      * @param context The request.
      * @param answer The answer to write.
      * @throws IOException If the connection is broken.
-     * @throws InterruptedException If the server is stopped meanwhile.
+     * @throws InterruptedException If the server is stopped in the meantime.
      */
     void serve(Context context, Answer answer) throws IOException, InterruptedException {
         faults.get().pause();
@@ -101,31 +101,31 @@
     }
 
     /**
-     * Returns what became of the orders.
+     * Returns the results of the orders.
      *
-     * @return The records, in the order of their ends.
+     * @return The records, in the order of completion.
      */
     List<OrderRecord> records() {
         return records;
     }
 
     /**
-     * Checks a fencing number, if this engine does.
+     * Records a fencing number, and checks it if this engine is configured to do so.
      *
      * @param fencingNumber The fencing number of the order.
-     * @return {@code true} if the order may go on.
+     * @return {@code true} if the order may proceed.
      */
     private synchronized boolean admit(long fencingNumber) {
-        boolean old = fencingNumber < highestFencingNumber;
+        boolean outdated = fencingNumber < highestFencingNumber;
         highestFencingNumber = Math.max(highestFencingNumber, fencingNumber);
-        return !old || !options.checkFencing;
+        return !outdated || !options.checkFencing;
     }
 
     /**
      * Loads weights from the store.
      *
-     * @param location The place of the weights.
-     * @return {@code true} if all bytes came.
+     * @param location The location of the weights in the store.
+     * @return {@code true} if all bytes were received.
      */
     private boolean load(String location) {
         if (options.weightStore.isEmpty()) {
@@ -136,9 +136,9 @@
                 .build();
         try (Response response = client.newCall(request).execute()) {
             InputStream stream = response.body().byteStream();
-            byte[] buffer = new byte[BUFFER_SIZE];
+            byte[] buffer = new byte[BUFFER_BYTES];
             while (stream.read(buffer) >= 0) {
-                // The weights are of no use to a stand-in.
+                // The stand-in discards the weights.
             }
             return response.isSuccessful();
         } catch (IOException _exception) {
@@ -147,11 +147,11 @@
     }
 
     /**
-     * Swaps the loaded weights in.
+     * Swaps in the loaded weights.
      *
      * @param order The order.
-     * @return The result for the records.
-     * @throws InterruptedException If the server is stopped meanwhile.
+     * @return The result to record.
+     * @throws InterruptedException If the server is stopped in the meantime.
      */
     private String swap(Order order) throws InterruptedException {
         TimeUnit.MILLISECONDS.sleep(options.swapMillis);
@@ -173,7 +173,7 @@
     }
 
     /**
-     * Records what became of an order.
+     * Records the result of an order.
      *
      * @param order The order.
      * @param result The result.
@@ -189,18 +189,18 @@
      * @param fencingNumber The fencing number of its sender.
      * @param model The model or adapter.
      * @param version The version to load.
-     * @param location The place of the weights.
+     * @param location The location of the weights in the store.
      */
     private record Order(long fencingNumber, String model, long version, String location) {}
 
     /**
-     * What became of an order.
+     * The result of an order.
      *
      * @param fencingNumber The fencing number of its sender.
      * @param model The model or adapter.
      * @param version The version to load.
-     * @param result What became of it: installed, claimed, failed or refused.
-     * @param atMillis The time of its end, since the epoch.
+     * @param result The result: installed, claimed, failed or refused.
+     * @param atMillis The time of completion in milliseconds since the epoch.
      */
     record OrderRecord(long fencingNumber, String model, long version, String result, long atMillis) {}
 }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/PrefixCache.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/PrefixCache.java
@@ -10,11 +10,14 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 
-/** A cache of prompt prefixes that evicts the least recently used one, and publishes events late and with gaps. */
+/**
+ * A cache of prompt prefixes with least-recently-used eviction. It publishes its events with a delay and loses some of
+ * them.
+ */
 final class PrefixCache {
 
-    /** The number of events that are kept for readers. */
-    private static final int KEPT_EVENTS = 4096;
+    /** The maximum number of events that are retained for readers. */
+    private static final int MAXIMUM_EVENTS = 4096;
 
     /** The options of the engine. */
     private final EngineOptions options;
@@ -25,10 +28,10 @@
     /** The cached prefixes, the least recently used one first. */
     private final Map<Long, Boolean> prefixes = new LinkedHashMap<>(16, 0.75f, true);
 
-    /** The latest events. */
+    /** The retained events, oldest first. */
     private final Deque<CacheEvent> events = new ArrayDeque<>();
 
-    /** The number of the latest event. */
+    /** The sequence number of the latest event. */
     private long sequence;
 
     /**
@@ -45,16 +48,16 @@
      * Looks up a prompt and caches its prefixes.
      *
      * @param prompt The prompt.
-     * @return The number of prompt tokens that were cached before.
+     * @return The number of prompt tokens that were already cached.
      */
     synchronized int use(Prompt prompt) {
         int cached = 0;
-        boolean unbroken = true;
+        boolean contiguous = true;
         for (long hash : prompt.prefixHashes()) {
-            boolean known = prefixes.put(hash, Boolean.TRUE) != null;
-            unbroken &= known;
-            cached += unbroken ? 1 : 0;
-            if (!known) {
+            boolean alreadyCached = prefixes.put(hash, Boolean.TRUE) != null;
+            contiguous &= alreadyCached;
+            cached += contiguous ? 1 : 0;
+            if (!alreadyCached) {
                 publish(hash, true);
             }
         }
@@ -63,19 +66,19 @@
     }
 
     /**
-     * Returns the used share of the cache.
+     * Returns the utilization of the cache.
      *
-     * @return The used share, between zero and one.
+     * @return The utilization, between zero and one.
      */
     synchronized double use() {
         return options.cachedPrefixes == 0 ? 0 : (double) prefixes.size() / options.cachedPrefixes;
     }
 
     /**
-     * Reads the events that are old enough to be published.
+     * Returns the events that are past the publication delay.
      *
-     * @param after The number of the last event that the reader knows.
-     * @return The events after it, in their order.
+     * @param after The sequence number of the last event that the reader has received.
+     * @return The later events, in sequence order.
      */
     synchronized List<CacheEvent> eventsAfter(long after) {
         long visible = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(options.reportLagMillis);
@@ -88,7 +91,7 @@
         return found;
     }
 
-    /** Evicts the least recently used prefixes until the rest fits. */
+    /** Evicts the least recently used prefixes until the cache is within its limit. */
     private void evict() {
         Iterator<Long> oldest = prefixes.keySet().iterator();
         while (prefixes.size() > options.cachedPrefixes) {
@@ -98,10 +101,10 @@
     }
 
     /**
-     * Publishes an event, or loses it.
+     * Publishes an event, or loses it with the configured probability.
      *
      * @param hash The hash of the prefix.
-     * @param cached Whether the prefix is cached now.
+     * @param cached Whether the prefix was added; {@code false} if it was evicted.
      */
     private void publish(long hash, boolean cached) {
         sequence++;
@@ -109,7 +112,7 @@
             return;
         }
         events.add(new CacheEvent(sequence, hash, cached, System.nanoTime()));
-        if (events.size() > KEPT_EVENTS) {
+        if (events.size() > MAXIMUM_EVENTS) {
             events.remove();
         }
     }
@@ -117,9 +120,9 @@
     /**
      * A change of the cache.
      *
-     * @param sequence The number of the event.
+     * @param sequence The sequence number of the event.
      * @param prefixHash The hash of the prefix.
-     * @param cached Whether the prefix is cached now.
+     * @param cached Whether the prefix was added; {@code false} if it was evicted.
      * @param at The time of the change in nanoseconds.
      */
     record CacheEvent(long sequence, long prefixHash, boolean cached, long at) {}
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/Prompt.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/Prompt.java
@@ -7,16 +7,16 @@
 import java.util.List;
 
 /**
- * The text that an engine goes on from.
+ * The text that an engine continues.
  *
  * @param text The text.
  */
 public record Prompt(String text) {
 
     /** The number of characters in a block of a prefix. */
-    private static final int BLOCK_LENGTH = 256;
+    private static final int BLOCK_CHARACTERS = 256;
 
-    /** The largest number of prefixes of a prompt that are cached. */
+    /** The maximum number of cached prefixes of a prompt. */
     private static final int MAXIMUM_PREFIXES = 16;
 
     /** The number of characters that count as one token. */
@@ -43,7 +43,7 @@
     }
 
     /**
-     * Computes the hash of the whole text.
+     * Computes the hash of the complete text.
      *
      * @return The FarmHash fingerprint of the text in UTF-8.
      */
@@ -61,13 +61,15 @@
     }
 
     /**
-     * Computes the hashes of the prefixes of 256, 512 and so on characters.
+     * Computes the hashes of the prefixes with 256, 512, 768 and so on characters.
      *
      * @return The hashes, from the shortest prefix to the longest.
      */
     public List<Long> prefixHashes() {
         List<Long> hashes = new ArrayList<>();
-        for (int end = BLOCK_LENGTH; end <= text.length() && hashes.size() < MAXIMUM_PREFIXES; end += BLOCK_LENGTH) {
+        for (int end = BLOCK_CHARACTERS;
+                end <= text.length() && hashes.size() < MAXIMUM_PREFIXES;
+                end += BLOCK_CHARACTERS) {
             hashes.add(hash(text.substring(0, end)));
         }
         return hashes;
@@ -80,7 +82,7 @@
      * @return The number of tokens.
      */
     public static int prefixTokens(int prefixes) {
-        return prefixes * BLOCK_LENGTH / CHARACTERS_PER_TOKEN;
+        return prefixes * BLOCK_CHARACTERS / CHARACTERS_PER_TOKEN;
     }
 
     /**
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/RunRecord.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/RunRecord.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What an engine truly did for a request, for independent checks.
+ * The work that an engine actually did for a request, for independent checks.
  *
  * @param requestId The identifier of the request.
  * @param model The model or adapter.
  * @param promptHash The hash of the prompt.
- * @param resumeTokens The number of tokens that another run had generated before.
- * @param segments The tokens that this run generated, with the weight versions that were truly used.
- * @param startMillis The time at which the run was accepted, since the epoch.
- * @param endMillis The time at which the run ended, since the epoch, or zero if it has not.
+ * @param resumeTokens The number of tokens that an earlier run had generated.
+ * @param segments The tokens that this run generated, with the weight versions that were actually used.
+ * @param startMillis The time at which the run was accepted, in milliseconds since the epoch.
+ * @param endMillis The time at which the run ended, in milliseconds since the epoch, or zero if it has not ended.
  * @param completed {@code true} if the run reached the end of the text.
  */
 public record RunRecord(
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/Segment.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/Segment.java
@@ -1,7 +1,7 @@
 package io.yuccaswitch.testkit.engine;
 
 /**
- * A run of tokens that one weight version generated.
+ * A sequence of consecutive tokens that one weight version generated.
  *
  * @param version The weight version.
  * @param tokens The number of tokens.
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/package-info.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/engine/package-info.java
@@ -1,2 +1,2 @@
-/** A stand-in of a model engine with continuous batching, a prefix cache, weight versions and orders. */
+/** A stand-in for a model engine with continuous batching, a prefix cache, weight versions and orders. */
 package io.yuccaswitch.testkit.engine;
--- a/yuccaswitch-testkit/src/test/java/io/yuccaswitch/testkit/engine/EngineStandInTest.java
+++ b/yuccaswitch-testkit/src/test/java/io/yuccaswitch/testkit/engine/EngineStandInTest.java
@@ -14,14 +14,14 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** The engine stand-in batches, queues and caches as engines do. */
+/** Tests the batching, queueing and caching of the engine stand-in. */
 final class EngineStandInTest {
 
-    private static final int ENDLESS = 1_000_000;
+    private static final int ENDLESS_TOKENS = 1_000_000;
     private static final HttpClient CLIENT = HttpClient.newHttpClient();
 
     @Test
-    void aFewPromptsRunForTenToThirtyTimesTheMedian() {
+    void aSmallShareOfPromptsGeneratesTenToThirtyTimesTheMedian() {
         LengthDistribution lengths = new LengthDistribution(1, 100, 0.02);
         List<Integer> drawn = IntStream.range(0, 20_000)
                 .mapToObj(hash -> lengths.tokens(hash, 0))
@@ -40,11 +40,11 @@
     }
 
     @Test
-    void anUrgentRequestOvertakesTheWaitingOnes() throws Exception {
+    void anUrgentRequestOvertakesWaitingRequests() throws Exception {
         EngineOptions options = options();
         options.capacity = 1;
         try (EngineStandIn engine = new EngineStandIn(options)) {
-            CompletableFuture<String> first = complete(engine, "first", "normal", ENDLESS);
+            CompletableFuture<String> first = complete(engine, "first", "normal", ENDLESS_TOKENS);
             await().until(() -> get(engine, "/load").contains("\"active\":1"));
             CompletableFuture<String> batch = complete(engine, "batch", "batch", 1);
             await().until(() -> get(engine, "/load").contains("\"waiting\":1"));
@@ -65,7 +65,7 @@
         options.capacity = 1;
         options.queueLength = 1;
         try (EngineStandIn engine = new EngineStandIn(options)) {
-            CompletableFuture<String> first = complete(engine, "first", "normal", ENDLESS);
+            CompletableFuture<String> first = complete(engine, "first", "normal", ENDLESS_TOKENS);
             await().until(() -> get(engine, "/load").contains("\"active\":1"));
             CompletableFuture<String> second = complete(engine, "second", "normal", 1);
             await().until(() -> get(engine, "/load").contains("\"waiting\":1"));
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void theCacheKeepsTheLatestPrefixesAndTellsWhatItEvicts() {
+    void theCacheRetainsTheLatestPrefixesAndPublishesItsEvictions() {
         EngineOptions options = options();
         options.cachedPrefixes = 2;
         options.cacheEventLoss = 0;
@@ -90,7 +90,7 @@
                 .extracting(PrefixCache.CacheEvent::cached)
                 .containsExactly(true, true, true, false);
         assertThat(cache.use(new Prompt("a".repeat(512))))
-                .as("the shorter prefix is gone")
+                .as("the shorter prefix was evicted")
                 .isZero();
     }
 
@@ -98,7 +98,7 @@
         EngineOptions options = new EngineOptions();
         options.timeScale = 0.2;
         options.reportLagMillis = 0;
-        options.medianTokens = ENDLESS;
+        options.medianTokens = ENDLESS_TOKENS;
         return options;
     }
 
