--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/http/Answer.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/http/Answer.java
@@ -6,7 +6,7 @@
 import java.io.OutputStream;
 import org.eclipse.jetty.ee10.servlet.ServletContextRequest;
 
-/** The answer to one request, which suffers the faults that were ordered. */
+/** The answer to one request, to which the injected faults are applied. */
 public final class Answer {
 
     /** The header that carries the identifier of a request. */
@@ -15,55 +15,57 @@
     /** The content type of JSON. */
     public static final String JSON = "application/json";
 
-    /** The number of bytes that an answer of a wrong length lacks. */
-    private static final int MISSING_BYTES = 17;
+    /** The number of bytes by which a wrong content length exceeds the body. */
+    private static final int EXCESS_LENGTH_BYTES = 17;
 
     /** The request and its answer. */
     private final Context context;
 
-    /** The faults to suffer. */
+    /** The injected faults. */
     private final Faults faults;
 
-    /** What to do to die. */
-    private final Runnable death;
+    /** The action that simulates a crash of the process. */
+    private final Runnable crashAction;
 
     /** The incarnation of the endpoint. */
     private final String incarnation;
 
-    /** The identifier that the answer bears. */
+    /** The identifier that the answer carries. */
     private final String requestId;
 
-    /** The number of bytes that may still be written, or a negative number for no bound. */
+    /**
+     * The number of bytes that may still be written before the connection is closed, or a negative number for no limit.
+     */
     private long bytesLeft = -1;
 
-    /** Whether the process dies where the answer is cut. */
-    private boolean dies;
+    /** Whether the process crashes at the point where the answer is truncated. */
+    private boolean crashes;
 
-    /** Whether the answer announces more bytes than it has. */
+    /** Whether the announced content length exceeds the body. */
     private boolean wrongLength;
 
     /**
      * Creates an answer.
      *
      * @param context The request and its answer.
-     * @param faults The faults to suffer.
-     * @param death What to do to die.
+     * @param faults The injected faults.
+     * @param crashAction The action that simulates a crash of the process.
      * @param incarnation The incarnation of the endpoint.
      */
-    Answer(Context context, Faults faults, Runnable death, String incarnation) {
+    Answer(Context context, Faults faults, Runnable crashAction, String incarnation) {
         this.context = context;
         this.faults = faults;
-        this.death = death;
+        this.crashAction = crashAction;
         this.incarnation = incarnation;
         String own = requestId(context);
         requestId = faults.take(Fault.CROSSED_ANSWERS) ? "crossed-" + own : own;
     }
 
     /**
-     * Returns the identifier that a request bears.
+     * Returns the identifier that a request carries.
      *
      * @param context The request.
-     * @return The identifier, or an empty text.
+     * @return The identifier, or an empty string.
      */
     public static String requestId(Context context) {
         String header = context.header(REQUEST_ID);
@@ -71,7 +73,7 @@
     }
 
     /**
-     * Returns the identifier that this answer bears.
+     * Returns the identifier that this answer carries.
      *
      * @return The identifier.
      */
@@ -80,7 +82,7 @@
     }
 
     /**
-     * Writes a whole answer of JSON.
+     * Writes a complete JSON answer.
      *
      * @param status The status.
      * @param body The body.
@@ -91,7 +93,7 @@
     }
 
     /**
-     * Writes a whole answer.
+     * Writes a complete answer.
      *
      * @param status The status.
      * @param contentType The content type.
@@ -101,7 +103,7 @@
     public void complete(int status, String contentType, byte[] body) throws IOException {
         begin(status, contentType);
         wrongLength = faults.take(Fault.WRONG_LENGTH_ANSWERS);
-        context.res().setContentLengthLong((long) body.length + (wrongLength ? MISSING_BYTES : 0));
+        context.res().setContentLengthLong((long) body.length + (wrongLength ? EXCESS_LENGTH_BYTES : 0));
         write(body);
         end();
     }
@@ -132,7 +134,7 @@
     }
 
     /**
-     * Begins an answer whose body is written piece by piece.
+     * Begins an answer whose body is written in chunks.
      *
      * @param status The status.
      * @param contentType The content type.
@@ -142,17 +144,17 @@
         context.res().setStatus(status);
         context.res().setContentType(contentType);
         context.res().setHeader(REQUEST_ID, requestId);
-        dies = faults.take(Fault.DEATHS);
-        if (dies || faults.take(Fault.CUT_ANSWERS)) {
+        crashes = faults.take(Fault.DEATHS);
+        if (crashes || faults.take(Fault.CUT_ANSWERS)) {
             bytesLeft = faults.value(Fault.CUT_AFTER_BYTES);
         }
     }
 
     /**
-     * Writes a piece of the body and sends it at once.
+     * Writes a chunk of the body and flushes it.
      *
-     * @param bytes The piece.
-     * @throws IOException If the connection is broken, also by an ordered fault.
+     * @param bytes The chunk.
+     * @throws IOException If the connection is broken, possibly by an injected fault.
      */
     public void write(byte[] bytes) throws IOException {
         OutputStream stream = context.res().getOutputStream();
@@ -166,22 +168,22 @@
         stream.flush();
         bytesLeft -= length;
         if (length < bytes.length) {
-            cut();
+            truncate();
         }
     }
 
     /**
      * Ends an answer.
      *
-     * @throws IOException If the connection is broken, also by an ordered fault.
+     * @throws IOException If the connection is broken, possibly by an injected fault.
      */
     public void end() throws IOException {
         if (bytesLeft >= 0 || wrongLength) {
-            cut();
+            truncate();
         }
     }
 
-    /** Closes the connection without any further byte. */
+    /** Closes the connection without writing further bytes. */
     public void closeConnection() {
         ServletContextRequest.getServletContextRequest(context.req())
                 .getConnectionMetaData()
@@ -191,15 +193,15 @@
     }
 
     /**
-     * Closes the connection in the midst of the answer.
+     * Closes the connection in the middle of the answer, and simulates a crash if one was injected.
      *
      * @throws IOException Always, as the connection is broken.
      */
-    private void cut() throws IOException {
-        if (dies) {
-            death.run();
+    private void truncate() throws IOException {
+        if (crashes) {
+            crashAction.run();
         }
         closeConnection();
-        throw new IOException("The answer was cut by order.");
+        throw new IOException("answer truncated by an injected fault");
     }
 }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/http/Fault.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/http/Fault.java
@@ -2,11 +2,14 @@
 
 import java.util.Locale;
 
-/** A fault that a stand-in causes on order. Its value is a switch (0 or 1), a quantity, or the number of times left. */
+/**
+ * A fault that can be injected into a stand-in. Its value is a switch (0 or 1), a quantity, or a remaining number of
+ * occurrences.
+ */
 public enum Fault {
-    /** The milliseconds that each answer is delayed by. */
+    /** The milliseconds by which each answer is delayed. */
     DELAY_MILLIS,
-    /** Whether no answer goes on at all. */
+    /** Whether all answers are suspended. */
     FROZEN,
     /** Whether the endpoint is leaving: it refuses new work and finishes what it has. */
     LEAVING,
@@ -16,23 +19,23 @@
     RESETS_BEFORE_RUN,
     /** The number of requests that run and whose connection is closed without an answer. */
     RESETS_AFTER_RUN,
-    /** The number of answers whose connection is closed in their midst. */
+    /** The number of answers whose connection is closed before the end of the body. */
     CUT_ANSWERS,
-    /** The number of answers in whose midst the whole process dies. */
+    /** The number of answers during which the process crashes. */
     DEATHS,
-    /** The number of bytes of the body after which an answer is cut or the process dies. */
+    /** The number of bytes of the body after which an answer is truncated or the process crashes. */
     CUT_AFTER_BYTES,
-    /** The number of answers that bear another request's identifier. */
+    /** The number of answers that carry the identifier of another request. */
     CROSSED_ANSWERS,
-    /** The number of answers that announce more bytes than they have. */
+    /** The number of answers whose announced content length exceeds the body. */
     WRONG_LENGTH_ANSWERS,
-    /** The number of orders whose swap of weights fails, all of them if negative. */
+    /** The number of orders whose weight swap fails; all orders if negative. */
     SWAP_FAILURES,
-    /** The number of orders that claim success and keep the old weights, all of them if negative. */
+    /** The number of orders that report success but keep the old weights; all orders if negative. */
     SWAP_CLAIMS,
-    /** The number of swaps after which the load report claims the new version and the old weights stay. */
+    /** The number of swaps after which the load report names the new version although the old weights stay in use. */
     SWAP_LOAD_CLAIMS,
-    /** Whether answers don't say which weight versions were used. */
+    /** Whether answers omit the weight versions that were used. */
     UNREPORTED_VERSIONS;
 
     /**
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/http/Faults.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/http/Faults.java
@@ -5,17 +5,17 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 
-/** The faults that were ordered of a stand-in. */
+/** The faults that are injected into a stand-in. */
 public final class Faults {
 
-    /** The pause between two looks at whether a freeze is over. */
-    private static final long FREEZE_CHECK_MILLIS = 5;
+    /** The interval at which a suspended answer checks whether the freeze has ended. */
+    private static final long FREEZE_CHECK_INTERVAL_MILLIS = 5;
 
-    /** The values of the faults that were ordered. */
+    /** The values of the injected faults. */
     private final Map<Fault, Long> values = new ConcurrentHashMap<>();
 
     /**
-     * Orders a fault, or ends it with zero.
+     * Injects a fault, or removes it if the value is zero.
      *
      * @param fault The fault.
      * @param value The new value.
@@ -28,7 +28,7 @@
      * Returns the value of a fault.
      *
      * @param fault The fault.
-     * @return The value, zero if the fault was not ordered.
+     * @return The value, or zero if the fault was not injected.
      */
     public long value(Fault fault) {
         return values.getOrDefault(fault, 0L);
@@ -45,10 +45,10 @@
     }
 
     /**
-     * Uses up one of the times that a fault was ordered for.
+     * Consumes one of the remaining occurrences of a fault. A negative value stands for an unlimited number.
      *
      * @param fault The fault.
-     * @return {@code true} if the fault is to be caused now.
+     * @return {@code true} if the fault must be applied now.
      */
     public boolean take(Fault fault) {
         long[] before = {0};
@@ -60,21 +60,21 @@
     }
 
     /**
-     * Waits for the delay that was ordered, and for the end of a freeze.
+     * Waits for the injected delay, and until a freeze has ended.
      *
-     * @throws InterruptedException If the thread is interrupted meanwhile.
+     * @throws InterruptedException If the thread is interrupted while it waits.
      */
     public void pause() throws InterruptedException {
         TimeUnit.MILLISECONDS.sleep(value(Fault.DELAY_MILLIS));
         while (on(Fault.FROZEN)) {
-            TimeUnit.MILLISECONDS.sleep(FREEZE_CHECK_MILLIS);
+            TimeUnit.MILLISECONDS.sleep(FREEZE_CHECK_INTERVAL_MILLIS);
         }
     }
 
     /**
-     * Returns all values that were ordered.
+     * Returns the values of all injected faults.
      *
-     * @return The values by the names of the faults.
+     * @return The values by fault name.
      */
     public Map<String, Long> toMap() {
         Map<String, Long> map = new TreeMap<>();
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/http/StandInServer.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/http/StandInServer.java
@@ -12,16 +12,16 @@
 import org.eclipse.jetty.http.UriCompliance;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** The HTTP server of a stand-in, with an interface to order faults at {@code /control/faults}. */
+/** The HTTP server of a stand-in, with a control interface for fault injection at {@code /control/faults}. */
 public final class StandInServer implements AutoCloseable {
 
     /** The address that stand-ins listen on. */
     private static final String HOST = "127.0.0.1";
 
-    /** The largest number of threads, which bounds the requests in progress. */
+    /** The maximum number of threads, which limits the requests in progress. */
     private static final int MAXIMUM_THREADS = 512;
 
-    /** The number of threads that are kept. */
+    /** The number of threads that the pool retains when idle. */
     private static final int MINIMUM_THREADS = 8;
 
     /** The status of an answer without a body. */
@@ -30,20 +30,20 @@
     /** The incarnation of the endpoint. */
     private final String incarnation = UUID.randomUUID().toString();
 
-    /** The faults that are ordered. */
+    /** The injected faults. */
     private final Faults faults = new Faults();
 
     /** The server. */
     private final Javalin server;
 
-    /** What to do to die in the midst of an answer. */
-    private volatile Runnable death = () -> new Thread(this::close, "death").start();
+    /** The action that simulates a crash of the process in the middle of an answer. */
+    private volatile Runnable crashAction = () -> new Thread(this::close, "death").start();
 
     /**
      * Creates and starts a server.
      *
-     * @param port The port to listen on, or zero for any.
-     * @param routes Adds the routes of the stand-in.
+     * @param port The port to listen on, or zero for any free port.
+     * @param routes The function that adds the routes of the stand-in.
      */
     public StandInServer(int port, Consumer<Routes> routes) {
         server = Javalin.create(config -> configure(config, routes)).start(HOST, port);
@@ -68,7 +68,7 @@
     }
 
     /**
-     * Returns the incarnation of the endpoint, which changes with each start.
+     * Returns the incarnation of the endpoint, which is different after each start.
      *
      * @return The incarnation.
      */
@@ -77,21 +77,22 @@
     }
 
     /**
-     * Returns the faults that are ordered.
+     * Returns the injected faults.
      *
-     * @return The faults.
+     * @return The injected faults.
      */
     public Faults faults() {
         return faults;
     }
 
     /**
-     * Sets what to do to die in the midst of an answer. A process halts; within a test the server just closes.
+     * Sets the action that simulates a crash of the process in the middle of an answer. A stand-in process halts. By
+     * default, as within a test, the server is closed.
      *
      * @param action The action.
      */
     public void onCrash(Runnable action) {
-        death = action;
+        crashAction = action;
     }
 
     /** {@inheritDoc} */
@@ -104,7 +105,7 @@
      * Configures the server.
      *
      * @param config The configuration to fill.
-     * @param routes Adds the routes of the stand-in.
+     * @param routes The function that adds the routes of the stand-in.
      */
     private void configure(JavalinConfig config, Consumer<Routes> routes) {
         config.startup.showJavalinBanner = false;
@@ -115,17 +116,17 @@
         config.jetty.modifyServletContextHandler(
                 handler -> handler.getServletHandler().setDecodeAmbiguousURIs(true));
         config.routes.get("/control/faults", context -> context.json(faults.toMap()));
-        config.routes.post("/control/faults", this::orderFaults);
+        config.routes.post("/control/faults", this::injectFaults);
         config.routes.exception(IOException.class, (_exception, _context) -> {});
         routes.accept(new Routes(config.routes));
     }
 
     /**
-     * Orders faults.
+     * Injects faults.
      *
-     * @param context The request, whose body holds values by the names of faults.
+     * @param context The request, whose body contains the values by fault name.
      */
-    private void orderFaults(Context context) {
+    private void injectFaults(Context context) {
         JsonNode body = Json.parse(context.bodyAsBytes());
         body.properties()
                 .forEach(field ->
@@ -149,7 +150,7 @@
         }
 
         /**
-         * Answers a path's GET requests with a value as JSON.
+         * Answers GET requests for a path with a value as JSON.
          *
          * @param path The path.
          * @param read Reads the value from the request.
@@ -159,7 +160,7 @@
         }
 
         /**
-         * Answers a path's GET requests with a value as JSON, after the delay or freeze that was ordered.
+         * Answers GET requests for a path with a value as JSON, after an injected delay or freeze.
          *
          * @param path The path.
          * @param read Reads the value from the request.
@@ -172,46 +173,46 @@
         }
 
         /**
-         * Answers a path's POST requests.
+         * Answers POST requests for a path.
          *
          * @param path The path.
          * @param serve Writes the answer.
          */
         public void post(String path, Serve serve) {
-            routes.post(path, faulty(serve));
+            routes.post(path, withFaults(serve));
         }
 
         /**
-         * Answers a path's DELETE requests.
+         * Answers DELETE requests for a path.
          *
          * @param path The path.
          * @param serve Writes the answer.
          */
         public void delete(String path, Serve serve) {
-            routes.delete(path, faulty(serve));
+            routes.delete(path, withFaults(serve));
         }
 
         /**
-         * Answers GET, POST, PUT and DELETE requests of a path.
+         * Answers GET, POST, PUT and DELETE requests for a path.
          *
          * @param path The path.
          * @param serve Writes the answer.
          */
         public void any(String path, Serve serve) {
-            routes.get(path, faulty(serve));
-            routes.post(path, faulty(serve));
-            routes.put(path, faulty(serve));
-            routes.delete(path, faulty(serve));
+            routes.get(path, withFaults(serve));
+            routes.post(path, withFaults(serve));
+            routes.put(path, withFaults(serve));
+            routes.delete(path, withFaults(serve));
         }
 
         /**
-         * Makes a handler whose answers suffer the ordered faults.
+         * Creates a handler whose answers are subject to the injected faults.
          *
          * @param serve Writes the answer.
          * @return The handler.
          */
-        private Handler faulty(Serve serve) {
-            return context -> serve.serve(context, new Answer(context, faults, () -> death.run(), incarnation));
+        private Handler withFaults(Serve serve) {
+            return context -> serve.serve(context, new Answer(context, faults, () -> crashAction.run(), incarnation));
         }
     }
 
@@ -223,7 +224,7 @@
          * Reads the value.
          *
          * @param context The request.
-         * @return The value, to be written as JSON.
+         * @return The value, which is written as JSON.
          */
         Object read(Context context);
     }
@@ -238,7 +239,7 @@
          * @param context The request.
          * @param answer The answer to write.
          * @throws IOException If the connection is broken.
-         * @throws InterruptedException If the server is stopped meanwhile.
+         * @throws InterruptedException If the server is stopped in the meantime.
          */
         void serve(Context context, Answer answer) throws IOException, InterruptedException;
     }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/http/package-info.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/http/package-info.java
@@ -1,2 +1,5 @@
-/** What the HTTP stand-ins share: the server, the faults that can be ordered, and answers that suffer them. */
+/**
+ * The common parts of the HTTP stand-ins: the server, the faults that can be injected, and the answers to which they
+ * apply.
+ */
 package io.yuccaswitch.testkit.http;
