--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/load/AnswerReader.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/load/AnswerReader.java
@@ -11,19 +11,19 @@
 import okhttp3.Response;
 import okio.BufferedSource;
 
-/** Reads answers, and judges whether they are whole and belong to their requests. */
+/** Reads answers, and checks whether they are complete and belong to their requests. */
 final class AnswerReader {
 
     /** The mapper of answers. */
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** The token of a stand-in's text. */
+    /** The format of a token in the text of an engine stand-in. */
     private static final Pattern TOKEN = Pattern.compile("t(\\d+)v\\d+");
 
     /** The prefix of a server-sent event. */
     private static final String EVENT_PREFIX = "data:";
 
-    /** The event that ends a stream. */
+    /** The data of the event that ends a stream. */
     private static final String DONE = "[DONE]";
 
     /** This class has no instances. */
@@ -35,8 +35,8 @@
      * @param kind The kind of the request.
      * @param id The identifier of the request.
      * @param response The answer.
-     * @return What the answer says.
-     * @throws IOException If the answer ends before its end.
+     * @return The result of reading the answer.
+     * @throws IOException If the answer is truncated.
      */
     static Reading read(LoadMix.Kind kind, String id, Response response) throws IOException {
         boolean own = id.equals(response.header("X-Request-Id"));
@@ -51,19 +51,19 @@
             AttemptEnd end = ran.asText().equals("no") ? AttemptEnd.NOT_RUN : AttemptEnd.MAY_HAVE_RUN;
             return new Reading(end, own, true, response.code() + " " + text);
         }
-        boolean whole = kind.target() == LoadMix.Target.SERVICE
-                ? !body.isMissingNode() && echoes(body, id)
-                : wholeCompletion(body);
-        return new Reading(AttemptEnd.ANSWERED, own, whole, response.code() + " " + text);
+        boolean complete = kind.target() == LoadMix.Target.SERVICE
+                ? !body.isMissingNode() && namesNoOtherRequest(body, id)
+                : isCompletionComplete(body);
+        return new Reading(AttemptEnd.ANSWERED, own, complete, response.code() + " " + text);
     }
 
     /**
      * Reads a stream of server-sent events.
      *
-     * @param own Whether the header of the answer names the request.
+     * @param own Whether the header of the answer carries the identifier of the request.
      * @param source The stream.
-     * @return What the answer says.
-     * @throws IOException If the stream ends before its end.
+     * @return The result of reading the answer.
+     * @throws IOException If the connection breaks.
      */
     private static Reading readStream(boolean own, BufferedSource source) throws IOException {
         StringBuilder text = new StringBuilder();
@@ -71,15 +71,15 @@
         while (true) {
             String line = source.readUtf8Line();
             if (line == null) {
-                return new Reading(AttemptEnd.CUT, own, false, "stream ended without its last event");
+                return new Reading(AttemptEnd.CUT, own, false, "stream ended before its [DONE] event");
             }
             if (!line.startsWith(EVENT_PREFIX)) {
                 continue;
             }
             String data = line.substring(EVENT_PREFIX.length()).strip();
             if (data.equals(DONE)) {
-                boolean whole = inOrder(text.toString()) > 0 && !finish.isEmpty();
-                return new Reading(AttemptEnd.ANSWERED, own, whole, text.toString());
+                boolean complete = countTokensInOrder(text.toString()) > 0 && !finish.isEmpty();
+                return new Reading(AttemptEnd.ANSWERED, own, complete, text.toString());
             }
             JsonNode event = decode(data);
             if (event.has("error")) {
@@ -91,25 +91,25 @@
     }
 
     /**
-     * Returns whether the answer of a plain service does not name another request than this one.
+     * Returns whether the body of a plain service is free of the identifier of another request.
      *
      * @param body The answer.
      * @param id The identifier of the request.
-     * @return {@code true} if the answer names this request or none.
+     * @return {@code true} if the body names this request or none.
      */
-    private static boolean echoes(JsonNode body, String id) {
+    private static boolean namesNoOtherRequest(JsonNode body, String id) {
         return body.path("requestId").asText(id).equals(id);
     }
 
     /**
-     * Returns whether a completion holds all tokens that it says it holds.
+     * Returns whether a completion contains all tokens that it reports, and a finish reason.
      *
      * @param body The answer.
-     * @return {@code true} if the completion is whole.
+     * @return {@code true} if the completion is complete.
      */
-    private static boolean wholeCompletion(JsonNode body) {
+    private static boolean isCompletionComplete(JsonNode body) {
         JsonNode choice = body.path("choices").path(0);
-        int tokens = inOrder(choice.path("text").asText(""));
+        int tokens = countTokensInOrder(choice.path("text").asText(""));
         return tokens > 0
                 && tokens == body.path("usage").path("completion_tokens").asInt(tokens)
                 && !choice.path("finish_reason").asText("").isEmpty();
@@ -121,7 +121,7 @@
      * @param text The text.
      * @return The number of tokens, or minus one if one is missing, repeated or out of order.
      */
-    private static int inOrder(String text) {
+    private static int countTokensInOrder(String text) {
         int index = 0;
         Matcher matcher = TOKEN.matcher(text);
         while (matcher.find()) {
@@ -137,7 +137,7 @@
      * Decodes a JSON document.
      *
      * @param text The document.
-     * @return The document, or a missing node if it can't be understood.
+     * @return The document, or a missing node if it is malformed.
      */
     private static JsonNode decode(String text) {
         try {
@@ -148,38 +148,40 @@
     }
 
     /**
-     * What an answer says.
+     * The result of reading an answer.
      *
      * @param end How the attempt ended.
      * @param own Whether the answer belongs to the request.
-     * @param whole Whether the answer is whole.
-     * @param detail The answer or error, for reading.
+     * @param complete Whether the answer is complete.
+     * @param detail The answer or error, for diagnosis.
      */
-    record Reading(AttemptEnd end, boolean own, boolean whole, String detail) {
+    record Reading(AttemptEnd end, boolean own, boolean complete, String detail) {
 
-        /** The number of characters of the detail that are kept. */
-        private static final int KEPT_CHARACTERS = 300;
+        /** The maximum number of characters of the detail. */
+        private static final int MAXIMUM_DETAIL_CHARACTERS = 300;
 
         /**
-         * Cuts the detail.
+         * Truncates the detail.
          *
          * @param end How the attempt ended.
          * @param own Whether the answer belongs to the request.
-         * @param whole Whether the answer is whole.
-         * @param detail The answer or error, for reading.
+         * @param complete Whether the answer is complete.
+         * @param detail The answer or error, for diagnosis.
          */
         Reading {
-            detail = detail.length() > KEPT_CHARACTERS ? detail.substring(0, KEPT_CHARACTERS) : detail;
+            detail = detail.length() > MAXIMUM_DETAIL_CHARACTERS
+                    ? detail.substring(0, MAXIMUM_DETAIL_CHARACTERS)
+                    : detail;
         }
 
         /**
-         * Creates the reading of an attempt without an answer.
+         * Creates the result of an attempt without an answer.
          *
          * @param end How the attempt ended.
          * @param exception The error.
-         * @return The reading.
+         * @return The result.
          */
-        static Reading none(AttemptEnd end, IOException exception) {
+        static Reading withoutAnswer(AttemptEnd end, IOException exception) {
             return new Reading(end, false, false, exception.toString());
         }
     }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/load/CallerClient.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/load/CallerClient.java
@@ -16,28 +16,29 @@
 import okhttp3.Response;
 
 /**
- * A caller as the interface of the entry addresses asks for: it names its requests by the prefix of the address that it
- * uses, and after a timeout or a lost connection it sends the same request with the same identifier through another
- * address. Only after a refusal that says "not run" does it use a new identifier.
+ * A caller that follows the protocol of the entry addresses: it prefixes its request identifiers with the prefix of the
+ * address that it uses, and after a timeout or a lost connection it sends the same request with the same identifier
+ * through another address. It uses a new identifier only after a refusal that reports "not run", or if no connection
+ * was established for the first attempt with an identifier.
  */
 public final class CallerClient {
 
-    /** The pause before a further attempt. */
-    private static final long PAUSE_MILLIS = 200;
+    /** The delay before a further attempt. */
+    private static final long RETRY_DELAY_MILLIS = 200;
 
-    /** The client, which never sends anything twice on its own. */
+    /** The client, which never retries on its own. */
     private final OkHttpClient client;
 
     /** The entry addresses. */
     private final EntryDirectory directory;
 
-    /** The bearer token of the caller, or empty. */
+    /** The bearer token of the caller, if any. */
     private final Optional<String> token;
 
-    /** The source of suffixes of identifiers, unique over all callers. */
+    /** The source of suffixes of identifiers, which are unique across all callers. */
     private final Supplier<String> suffixes;
 
-    /** Takes the record of each attempt. */
+    /** The receiver of the record of each attempt. */
     private final Consumer<CallerAttempt> recorder;
 
     /**
@@ -45,9 +46,9 @@
      *
      * @param client The client, which must not retry on its own.
      * @param directory The entry addresses.
-     * @param token The bearer token of the caller, or empty.
-     * @param suffixes The source of suffixes of identifiers, unique over all callers.
-     * @param recorder Takes the record of each attempt.
+     * @param token The bearer token of the caller, if any.
+     * @param suffixes The source of suffixes of identifiers, which are unique across all callers.
+     * @param recorder The receiver of the record of each attempt.
      */
     public CallerClient(
             OkHttpClient client,
@@ -63,10 +64,10 @@
     }
 
     /**
-     * Makes a request, with as many attempts as its kind allows.
+     * Executes a request with up to as many attempts as its kind allows.
      *
      * @param kind The kind of the request.
-     * @return The last attempt, or empty if no address could be used.
+     * @return The last attempt, or empty if no valid address was available.
      */
     public Optional<CallerAttempt> call(LoadMix.Kind kind) {
         Optional<CallerAttempt> last = Optional.empty();
@@ -89,14 +90,14 @@
                 return last;
             }
             avoided.add(entry.node());
-            boolean mayBeKnown = id.isPresent() || made.end() != AttemptEnd.NOT_CONNECTED;
-            id = made.end() != AttemptEnd.NOT_RUN && mayBeKnown ? Optional.of(sent) : Optional.empty();
+            boolean mayHaveBeenReceived = id.isPresent() || made.end() != AttemptEnd.NOT_CONNECTED;
+            id = made.end() != AttemptEnd.NOT_RUN && mayHaveBeenReceived ? Optional.of(sent) : Optional.empty();
         }
         return last;
     }
 
     /**
-     * Makes one attempt.
+     * Executes one attempt.
      *
      * @param kind The kind of the request.
      * @param entry The address to use.
@@ -114,7 +115,7 @@
                 System.currentTimeMillis(),
                 reading.end(),
                 reading.own(),
-                reading.whole(),
+                reading.complete(),
                 reading.detail());
     }
 
@@ -124,7 +125,7 @@
      * @param kind The kind of the request.
      * @param entry The address to use.
      * @param id The identifier of the request.
-     * @return What the answer says.
+     * @return The result of reading the answer.
      */
     private AnswerReader.Reading exchange(LoadMix.Kind kind, EntryAddress entry, String id) {
         Request request = RequestWriter.write(kind, entry.address(), id, token);
@@ -134,22 +135,22 @@
         try (Response response = limited.newCall(request).execute()) {
             return AnswerReader.read(kind, id, response);
         } catch (ConnectException exception) {
-            return AnswerReader.Reading.none(AttemptEnd.NOT_CONNECTED, exception);
+            return AnswerReader.Reading.withoutAnswer(AttemptEnd.NOT_CONNECTED, exception);
         } catch (InterruptedIOException exception) {
-            return AnswerReader.Reading.none(AttemptEnd.TIMED_OUT, exception);
+            return AnswerReader.Reading.withoutAnswer(AttemptEnd.TIMED_OUT, exception);
         } catch (IOException exception) {
-            return AnswerReader.Reading.none(AttemptEnd.CUT, exception);
+            return AnswerReader.Reading.withoutAnswer(AttemptEnd.CUT, exception);
         }
     }
 
     /**
-     * Pauses before a further attempt.
+     * Waits before a further attempt.
      *
      * @return {@code false} if the thread was interrupted.
      */
     private static boolean pause() {
         try {
-            Thread.sleep(PAUSE_MILLIS);
+            Thread.sleep(RETRY_DELAY_MILLIS);
             return true;
         } catch (InterruptedException _exception) {
             Thread.currentThread().interrupt();
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/load/CallerClients.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/load/CallerClients.java
@@ -11,23 +11,23 @@
 import okhttp3.Dispatcher;
 import okhttp3.OkHttpClient;
 
-/** Creates callers. */
+/** Creates callers and their HTTP clients. */
 public final class CallerClients {
 
-    /** The time within which a connection must stand. */
+    /** The maximum time for establishing a connection. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
 
-    /** The number of idle connections that are kept. */
-    private static final int IDLE_CONNECTIONS = 64;
+    /** The maximum number of idle connections. */
+    private static final int MAXIMUM_IDLE_CONNECTIONS = 64;
 
-    /** The time for which an idle connection is kept, shorter than any validity of an address. */
+    /** The time for which an idle connection is kept open, which is shorter than the validity of any address. */
     private static final long KEEP_ALIVE_MILLIS = 800;
 
     /** This class has no instances. */
     private CallerClients() {}
 
     /**
-     * Creates a client that never sends anything twice on its own.
+     * Creates a client that never retries on its own.
      *
      * @return The client.
      */
@@ -39,18 +39,18 @@
                 .followRedirects(false)
                 .connectTimeout(CONNECT_TIMEOUT)
                 .readTimeout(Duration.ZERO)
-                .connectionPool(new ConnectionPool(IDLE_CONNECTIONS, KEEP_ALIVE_MILLIS, TimeUnit.MILLISECONDS))
+                .connectionPool(new ConnectionPool(MAXIMUM_IDLE_CONNECTIONS, KEEP_ALIVE_MILLIS, TimeUnit.MILLISECONDS))
                 .build();
     }
 
     /**
      * Creates a caller.
      *
-     * @param entryAddresses The entry addresses to ask first.
+     * @param entryAddresses The entry addresses to query initially.
      * @param availabilityZone The availability zone of the caller.
-     * @param token The bearer token of the caller, or empty.
-     * @param suffixPrefix A text that tells this caller's identifiers from those of others.
-     * @param recorder Takes the record of each attempt.
+     * @param token The bearer token of the caller, if any.
+     * @param suffixPrefix A prefix that distinguishes the identifiers of this caller from those of others.
+     * @param recorder The receiver of the record of each attempt.
      * @return The caller.
      */
     public static CallerClient create(
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/load/EntryAddress.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/load/EntryAddress.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * An entry address, as the system names it.
+ * An entry address, as listed by the system.
  *
  * @param address The address as host:port.
  * @param node The name of the node.
@@ -17,8 +17,8 @@
     /**
      * An answer that lists entry addresses.
      *
-     * @param validForMillis The time for which the answer may be kept.
-     * @param addresses The entry addresses, the best first.
+     * @param validForMillis The time for which the answer may be used, in milliseconds.
+     * @param addresses The entry addresses, in order of preference.
      */
     @JsonIgnoreProperties(ignoreUnknown = true)
     public record Listing(long validForMillis, List<EntryAddress> addresses) {
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/load/EntryDirectory.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/load/EntryDirectory.java
@@ -16,52 +16,52 @@
 import okhttp3.Response;
 
 /**
- * Knows which entry addresses to use: it asks any of them, and asks again well before the answer is no longer valid. An
- * address is never used past its validity.
+ * Caches the list of entry addresses. It queries any of them, and refreshes the list well before it expires. An address
+ * is never used after the list has expired.
  */
 public final class EntryDirectory {
 
     /** The mapper of answers. */
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** The share of the validity after which the answer is asked for again. */
+    /** The share of the validity period after which the list is refreshed. */
     private static final double REFRESH_SHARE = 0.5;
 
-    /** The time within which an address must answer. */
-    private static final long TIMEOUT_MILLIS = 1_000;
+    /** The timeout of a query. */
+    private static final long QUERY_TIMEOUT_MILLIS = 1_000;
 
-    /** The client that asks. */
+    /** The client that sends the queries. */
     private final OkHttpClient client;
 
-    /** The addresses to ask if no other is known. */
+    /** The addresses to query if no listed one answers. */
     private final List<String> seeds;
 
     /** The availability zone of the caller. */
     private final String availabilityZone;
 
-    /** The bearer token of the caller, or empty. */
+    /** The bearer token of the caller, if any. */
     private final Optional<String> token;
 
-    /** Counts the addresses that were given out, to take turns. */
-    private final AtomicLong turn = new AtomicLong();
+    /** The number of addresses returned so far, for rotation among them. */
+    private final AtomicLong returnedCount = new AtomicLong();
 
-    /** The answer in use. */
+    /** The current list. */
     private volatile EntryAddress.Listing listing = new EntryAddress.Listing(0, List.of());
 
-    /** The time at which the answer in use was asked for, on the monotonic clock. */
-    private volatile long askedAt;
+    /** The time at which the query for the current list was sent, in nanoseconds of the monotonic clock. */
+    private volatile long queriedAt;
 
     /**
      * Creates a new directory.
      *
-     * @param client The client that asks.
-     * @param seeds The addresses to ask if no other is known.
+     * @param client The client that sends the queries.
+     * @param seeds The addresses to query if no listed one answers.
      * @param availabilityZone The availability zone of the caller.
-     * @param token The bearer token of the caller, or empty.
+     * @param token The bearer token of the caller, if any.
      */
     public EntryDirectory(OkHttpClient client, List<String> seeds, String availabilityZone, Optional<String> token) {
         this.client = client.newBuilder()
-                .callTimeout(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+                .callTimeout(QUERY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
                 .build();
         this.seeds = List.copyOf(seeds);
         this.availabilityZone = availabilityZone;
@@ -86,10 +86,10 @@
         if (choice.isEmpty()) {
             return Optional.empty();
         }
-        return Optional.of(choice.get((int) (turn.getAndIncrement() % choice.size())));
+        return Optional.of(choice.get((int) (returnedCount.getAndIncrement() % choice.size())));
     }
 
-    /** Asks again if the answer in use is half way to its end. */
+    /** Refreshes the list if half of its validity period has passed. */
     private void refreshIfDue() {
         if (ageMillis() < listing.validForMillis() * REFRESH_SHARE) {
             return;
@@ -101,32 +101,33 @@
         }
     }
 
-    /** Asks the known addresses and then the seeds, until one answers. */
+    /** Queries the listed addresses and then the seeds, until one answers with a non-empty list. */
     private void refresh() {
         Set<String> targets = new LinkedHashSet<>();
-        List<EntryAddress> known = new ArrayList<>(listing.addresses());
-        for (int index = 0; index < known.size(); index++) {
-            targets.add(known.get((int) ((index + turn.get()) % known.size())).address());
+        List<EntryAddress> listed = new ArrayList<>(listing.addresses());
+        for (int index = 0; index < listed.size(); index++) {
+            targets.add(listed.get((int) ((index + returnedCount.get()) % listed.size()))
+                    .address());
         }
         targets.addAll(seeds);
         for (String target : targets) {
             long sentAt = System.nanoTime();
-            Optional<EntryAddress.Listing> answer = ask(target);
+            Optional<EntryAddress.Listing> answer = query(target);
             if (answer.isPresent() && !answer.get().addresses().isEmpty()) {
                 listing = answer.get();
-                askedAt = sentAt;
+                queriedAt = sentAt;
                 return;
             }
         }
     }
 
     /**
-     * Asks one address.
+     * Queries one address.
      *
      * @param target The address.
      * @return The answer, or empty if there is none.
      */
-    private Optional<EntryAddress.Listing> ask(String target) {
+    private Optional<EntryAddress.Listing> query(String target) {
         HttpUrl url = HttpUrl.get("http://" + target + "/v1/entry-addresses")
                 .newBuilder()
                 .addQueryParameter("availabilityZone", availabilityZone)
@@ -144,7 +145,7 @@
      * Decodes an answer.
      *
      * @param body The body.
-     * @return The answer, or empty if it can't be understood.
+     * @return The answer, or empty if it is malformed.
      */
     private static Optional<EntryAddress.Listing> decode(String body) {
         try {
@@ -155,11 +156,11 @@
     }
 
     /**
-     * Returns the age of the answer in use.
+     * Returns the age of the current list.
      *
      * @return The age in milliseconds.
      */
     private long ageMillis() {
-        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - askedAt);
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - queriedAt);
     }
 }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/load/KindRecorder.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/load/KindRecorder.java
@@ -22,13 +22,13 @@
     /** The number of requests by the end of their last attempt. */
     private final Map<AttemptEnd, Long> ends = new EnumMap<>(AttemptEnd.class);
 
-    /** The number of requests for which no entry address could be used. */
+    /** The number of requests for which no valid entry address was available. */
     private long unreachable;
 
     /**
      * Records a request.
      *
-     * @param latencyNanos The time since the request was due.
+     * @param latencyNanos The time from the due time of the request to its end.
      * @param last The last attempt, or empty if there was none.
      */
     synchronized void record(long latencyNanos, Optional<CallerAttempt> last) {
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/load/LoadCommand.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/load/LoadCommand.java
@@ -18,27 +18,27 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 
-/** Offers load to the entry addresses and reports what became of it. */
+/** Generates load on the entry addresses and reports the results. */
 @Parameters(commandDescription = "Offer open-loop load to the entry addresses and report latencies")
 public final class LoadCommand implements TestkitCommand {
 
-    /** The entry addresses to ask first. */
+    /** The entry addresses to query initially. */
     @Parameter(names = "--entry", required = true, description = "Entry addresses as host:port, several with commas")
     private List<String> entryAddresses = new ArrayList<>();
 
-    /** The file of the mix. */
+    /** The file that describes the mix of requests. */
     @Parameter(names = "--mix", required = true, description = "File of the kinds of requests, JSON with comments")
     private Path mix;
 
-    /** The rate of requests. */
+    /** The rate in requests per second. */
     @Parameter(names = "--rate", description = "Requests per second")
     private double rate = 50;
 
-    /** The length of the load. */
-    @Parameter(names = "--seconds", description = "Length of the load in seconds")
+    /** The duration of the load in seconds. */
+    @Parameter(names = "--seconds", description = "Duration of the load in seconds")
     private int seconds = 10;
 
-    /** The number of requests. */
+    /** The number of requests after which the load ends early. */
     @Parameter(names = "--count", description = "Number of requests after which the load ends early")
     private long count = Long.MAX_VALUE;
 
@@ -46,8 +46,8 @@
     @Parameter(names = "--seed", description = "Seed of the arrivals and the mix")
     private long seed = 1;
 
-    /** The largest number of requests in flight. */
-    @Parameter(names = "--maximum-in-flight", description = "Largest number of requests in flight")
+    /** The maximum number of requests in flight. */
+    @Parameter(names = "--maximum-in-flight", description = "Maximum number of requests in flight")
     private int maximumInFlight = 1_000;
 
     /** The availability zone of the caller. */
@@ -58,11 +58,11 @@
     @Parameter(names = "--token", description = "Bearer token of the caller")
     private String token;
 
-    /** The file that takes the record of each attempt. */
-    @Parameter(names = "--records", description = "File for the record of each attempt, one JSON document a line")
+    /** The file to which the record of each attempt is written. */
+    @Parameter(names = "--records", description = "File for the record of each attempt, one JSON document per line")
     private Path records;
 
-    /** The file that takes the report. */
+    /** The file to which the report is written. */
     @Parameter(names = "--report", description = "File for the report; standard output if not given")
     private Path report;
 
@@ -77,30 +77,30 @@
     public void run() throws IOException {
         OpenLoop loop = new OpenLoop(LoadMix.read(mix), rate, Duration.ofSeconds(seconds), seed, maximumInFlight);
         if (records == null) {
-            offer(loop, _attempt -> {});
+            generate(loop, _attempt -> {});
             return;
         }
         try (ObservationLog log = new ObservationLog(records)) {
-            offer(loop, log::write);
+            generate(loop, log::write);
         }
     }
 
     /**
-     * Offers the load and writes the report.
+     * Generates the load and writes the report.
      *
-     * @param loop The load.
-     * @param recorder Takes the record of each attempt.
+     * @param loop The load to generate.
+     * @param recorder The receiver of the record of each attempt.
      * @throws IOException If the report can't be written.
      */
-    private void offer(OpenLoop loop, Consumer<Observation> recorder) throws IOException {
+    private void generate(OpenLoop loop, Consumer<Observation> recorder) throws IOException {
         CallerClient caller = CallerClients.create(
                 entryAddresses,
                 availabilityZone,
                 Optional.ofNullable(token),
                 "load-" + UUID.randomUUID(),
                 recorder::accept);
-        AtomicLong due = new AtomicLong();
-        LoadReport result = loop.run(caller::call, () -> due.incrementAndGet() > count);
+        AtomicLong started = new AtomicLong();
+        LoadReport result = loop.run(caller::call, () -> started.incrementAndGet() > count);
         String text =
                 new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT).writeValueAsString(result);
         if (report == null) {
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/load/LoadMix.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/load/LoadMix.java
@@ -16,12 +16,12 @@
  */
 public record LoadMix(List<Kind> kinds) {
 
-    /** The mapper of mixes, which takes comments. */
+    /** The mapper of mixes, which accepts comments. */
     private static final ObjectMapper MAPPER = JsonMapper.builder()
             .enable(JsonReadFeature.ALLOW_JAVA_COMMENTS, JsonReadFeature.ALLOW_TRAILING_COMMA)
             .build();
 
-    /** Copies the kinds. */
+    /** Copies the kinds and checks that there is at least one. */
     public LoadMix {
         kinds = List.copyOf(kinds);
         if (kinds.isEmpty()) {
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Draws a kind by the shares.
+     * Draws a kind with a probability in proportion to its share.
      *
      * @param random The source of randomness.
      * @return The kind.
@@ -58,7 +58,7 @@
         return kinds.get(kinds.size() - 1);
     }
 
-    /** What a request goes to. */
+    /** The target of a request. */
     public enum Target {
         /** A plain service. */
         SERVICE,
@@ -70,16 +70,16 @@
      * A kind of request.
      *
      * @param name The name of the kind in the report.
-     * @param share The share of the kind against the other kinds.
-     * @param target What the request goes to.
+     * @param share The weight of the kind relative to the other kinds.
+     * @param target The target of the request.
      * @param pool The pool of the plain service, or the model.
      * @param path The path at the plain service, without a leading slash.
      * @param idempotent Whether the request is marked as idempotent.
      * @param streaming Whether the completion is streamed.
-     * @param maximumTokens The largest number of tokens of the completion.
+     * @param maximumTokens The maximum number of tokens of the completion.
      * @param priority The priority class, or {@code null} for the default.
-     * @param timeoutMillis The time after which the caller gives an attempt up.
-     * @param attempts The largest number of attempts at one request.
+     * @param timeoutMillis The timeout of an attempt in milliseconds.
+     * @param attempts The maximum number of attempts for one request.
      */
     public record Kind(
             String name,
@@ -94,10 +94,10 @@
             long timeoutMillis,
             int attempts) {
 
-        /** The time after which an attempt is given up if the mix does not say. */
+        /** The timeout of an attempt if the mix does not specify one. */
         private static final long DEFAULT_TIMEOUT_MILLIS = 10_000;
 
-        /** Fills in defaults. */
+        /** Replaces missing values by defaults. */
         public Kind {
             timeoutMillis = timeoutMillis == 0 ? DEFAULT_TIMEOUT_MILLIS : timeoutMillis;
             attempts = attempts == 0 ? 1 : attempts;
@@ -106,12 +106,12 @@
         }
 
         /**
-         * Creates a kind of post to a plain service that is not idempotent.
+         * Creates a kind of non-idempotent POST request to a plain service.
          *
          * @param pool The pool of the plain service.
          * @param path The path at the plain service.
-         * @param timeoutMillis The time after which the caller gives an attempt up.
-         * @param attempts The largest number of attempts at one request.
+         * @param timeoutMillis The timeout of an attempt in milliseconds.
+         * @param attempts The maximum number of attempts for one request.
          * @return The kind.
          */
         public static Kind post(String pool, String path, long timeoutMillis, int attempts) {
@@ -119,13 +119,13 @@
         }
 
         /**
-         * Creates a kind of completion.
+         * Creates a kind of completion request.
          *
          * @param model The model.
-         * @param tokens The largest number of tokens.
+         * @param tokens The maximum number of tokens.
          * @param streaming Whether the completion is streamed.
-         * @param timeoutMillis The time after which the caller gives an attempt up.
-         * @param attempts The largest number of attempts at one request.
+         * @param timeoutMillis The timeout of an attempt in milliseconds.
+         * @param attempts The maximum number of attempts for one request.
          * @return The kind.
          */
         public static Kind completion(String model, int tokens, boolean streaming, long timeoutMillis, int attempts) {
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/load/LoadReport.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/load/LoadReport.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 
 /**
- * What a load came to.
+ * The results of a load.
  *
- * @param seconds The length of the load.
+ * @param seconds The duration of the load in seconds.
  * @param offered The number of requests that were due.
  * @param notSent The number of requests that were not sent because too many were in flight at the generator.
- * @param kinds The results by the names of the kinds.
+ * @param kinds The results by the name of the kind.
  */
 public record LoadReport(double seconds, long offered, long notSent, Map<String, KindReport> kinds) {
 
@@ -19,16 +19,16 @@
     }
 
     /**
-     * The results of one kind of request. Latencies run from the time at which the request was due, so that a stall of
-     * the system counts for each request that was due in it, and cover answered requests.
+     * The results of one kind of request. Latencies of answered requests are measured from the time at which the
+     * request was due, so that a stall of the system is included for each request that was due during the stall.
      *
      * @param ends The number of requests by the end of their last attempt.
-     * @param unreachable The number of requests for which no entry address could be used.
+     * @param unreachable The number of requests for which no valid entry address was available.
      * @param p50Millis The median of the latency.
      * @param p90Millis The 90th percentile of the latency.
      * @param p99Millis The 99th percentile of the latency.
      * @param p999Millis The 99.9th percentile of the latency.
-     * @param maximumMillis The largest latency.
+     * @param maximumMillis The maximum latency.
      */
     public record KindReport(
             Map<AttemptEnd, Long> ends,
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/load/OpenLoop.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/load/OpenLoop.java
@@ -16,26 +16,27 @@
 import java.util.stream.Collectors;
 
 /**
- * Offers requests at the times at which they are due, whatever became of those before: arrivals are a Poisson process
- * of a fixed rate.
+ * An open-loop load generator: it sends each request when it is due, independently of the outcome of earlier requests.
+ * Arrivals are a Poisson process of a fixed rate.
  *
  * @param mix The kinds of requests.
  * @param ratePerSecond The number of requests per second.
- * @param length The length of the load.
+ * @param length The duration of the load.
  * @param seed The seed of the arrivals and the mix.
- * @param maximumInFlight The largest number of requests in flight; what is due beyond it is counted as not sent.
+ * @param maximumInFlight The maximum number of requests in flight. Requests that are due beyond this limit are counted
+ *     as not sent.
  */
 public record OpenLoop(LoadMix mix, double ratePerSecond, Duration length, long seed, int maximumInFlight) {
 
-    /** The time that requests in flight are given after the last arrival. */
-    private static final long DRAIN_SECONDS = 120;
+    /** The time that requests in flight have for completion after the last arrival. */
+    private static final long DRAIN_TIMEOUT_SECONDS = 120;
 
     /**
      * Runs the load.
      *
-     * @param caller Makes one request and returns its last attempt.
-     * @param stopped Tells that the load shall end early.
-     * @return What the load came to.
+     * @param caller The function that executes one request and returns its last attempt.
+     * @param stopped Returns {@code true} if the load must end early.
+     * @return The results of the load.
      */
     public LoadReport run(Function<LoadMix.Kind, Optional<CallerAttempt>> caller, BooleanSupplier stopped) {
         Map<String, KindRecorder> recorders = new ConcurrentHashMap<>();
@@ -76,9 +77,9 @@
     }
 
     /**
-     * Makes one request and records it.
+     * Executes one request and records its result.
      *
-     * @param caller Makes the request.
+     * @param caller The function that executes the request.
      * @param kind The kind of the request.
      * @param due The time at which the request was due, on the monotonic clock.
      * @param recorder The recorder of the kind.
@@ -117,7 +118,7 @@
     private static void drain(ExecutorService executor) {
         executor.shutdown();
         try {
-            if (!executor.awaitTermination(DRAIN_SECONDS, TimeUnit.SECONDS)) {
+            if (!executor.awaitTermination(DRAIN_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 executor.shutdownNow();
             }
         } catch (InterruptedException _exception) {
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/load/RequestWriter.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/load/RequestWriter.java
@@ -7,7 +7,7 @@
 import okhttp3.Request;
 import okhttp3.RequestBody;
 
-/** Writes the requests of a load. */
+/** Creates the HTTP requests of a load. */
 final class RequestWriter {
 
     /** The content type of all requests. */
@@ -17,12 +17,12 @@
     private RequestWriter() {}
 
     /**
-     * Writes a request.
+     * Creates an HTTP request.
      *
      * @param kind The kind of the request.
      * @param address The address to send it to.
      * @param id The identifier of the request.
-     * @param token The bearer token of the caller, or empty.
+     * @param token The bearer token of the caller, if any.
      * @return The request.
      */
     static Request write(LoadMix.Kind kind, String address, String id, Optional<String> token) {
@@ -38,7 +38,7 @@
     }
 
     /**
-     * Writes the body of a request, which bears the identifier so that the answer can be told from others.
+     * Creates the body of a request. It contains the identifier, so that the answer can be distinguished from others.
      *
      * @param kind The kind of the request.
      * @param id The identifier of the request.
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/load/package-info.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/load/package-info.java
@@ -1,2 +1,2 @@
-/** An open-loop generator of load, and a caller that behaves as the interface of the entry addresses asks. */
+/** An open-loop load generator, and a caller that follows the protocol of the entry addresses. */
 package io.yuccaswitch.testkit.load;
--- a/yuccaswitch-testkit/src/test/java/io/yuccaswitch/testkit/load/CallerClientTest.java
+++ b/yuccaswitch-testkit/src/test/java/io/yuccaswitch/testkit/load/CallerClientTest.java
@@ -37,8 +37,8 @@
     }
 
     @Test
-    void aTimeoutIsSentAgainThroughAnotherNodeWithTheSameIdentifier() throws IOException {
-        Optional<CallerAttempt> last = caller(CallerClientTest::keepSilent, CallerClientTest::answerOwn)
+    void aTimedOutRequestIsRetriedThroughAnotherNodeWithTheSameIdentifier() throws IOException {
+        Optional<CallerAttempt> last = caller(CallerClientTest::answerNothing, CallerClientTest::answerOwn)
                 .call(LoadMix.Kind.post("ledger-app", "netting", TIMEOUT_MILLIS, 3));
 
         assertThat(last.orElseThrow().end()).isEqualTo(AttemptEnd.ANSWERED);
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aRefusalAsNotRunIsFollowedByANewIdentifier() throws IOException {
+    void aNotRunRefusalIsFollowedByANewIdentifier() throws IOException {
         caller(exchange -> answer(exchange, 503, "{\"error\":{\"ran\":\"no\"}}"), CallerClientTest::answerOwn)
                 .call(LoadMix.Kind.post("ledger-app", "netting", TIMEOUT_MILLIS, 3));
 
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void aTruncatedAnswerIsNotAnAnswer() throws IOException {
+    void aTruncatedAnswerIsNotCountedAsAnswered() throws IOException {
         caller(
                         exchange -> {
                             exchange.sendResponseHeaders(200, 100);
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void anAnswerThatNamesAnotherRequestIsNotItsOwn() throws IOException {
+    void anAnswerThatNamesAnotherRequestIsNotRecordedAsOwn() throws IOException {
         caller(
                         exchange -> {
                             exchange.getResponseHeaders().set("X-Request-Id", "vm-9@1/other");
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void latenciesCountFromTheTimeAtWhichARequestWasDue() {
+    void latenciesAreMeasuredFromTheTimeAtWhichARequestWasDue() {
         LoadMix mix = new LoadMix(List.of(LoadMix.Kind.post("ledger-app", "", TIMEOUT_MILLIS, 1)));
         LoadReport report = new OpenLoop(mix, 100, Duration.ofMillis(500), 1, 1)
                 .run(
@@ -140,7 +140,7 @@
         exchange.close();
     }
 
-    private static void keepSilent(HttpExchange _exchange) {
+    private static void answerNothing(HttpExchange _exchange) {
         sleep(2 * TIMEOUT_MILLIS);
     }
 
