--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/Answer.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/Answer.java
@@ -12,12 +12,12 @@
  * An answer to a call.
  *
  * @param status The HTTP status.
- * @param version The object's version for the header, if the answer bears one.
+ * @param version The object's version for the header, if the answer carries one.
  * @param body The body.
  */
 record Answer(int status, OptionalLong version, ByteString body) {
 
-    /** The header that bears an object's version. */
+    /** The header that carries an object's version. */
     static final String VERSION_HEADER = "X-Object-Version";
 
     /** The status of success. */
@@ -38,7 +38,7 @@
     /** The status of a write whose value is too large. */
     static final int TOO_LARGE = 413;
 
-    /** The status of a call over a rate limit. */
+    /** The status of a call that exceeds a rate limit. */
     static final int TOO_MANY_REQUESTS = 429;
 
     /** The status of an outage. */
@@ -55,7 +55,7 @@
     }
 
     /**
-     * Creates an answer that bears a JSON document.
+     * Creates an answer with a JSON document.
      *
      * @param document The document.
      * @return The answer.
@@ -109,7 +109,7 @@
     }
 
     /**
-     * Creates an answer that bears an object.
+     * Creates an answer with an object.
      *
      * @param status The HTTP status.
      * @param revision The object.
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/CallCounts.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/CallCounts.java
@@ -9,28 +9,28 @@
 final class CallCounts {
 
     /** The length of a time slot. */
-    private static final Duration SLOT = Duration.ofMillis(100);
+    private static final Duration SLOT_LENGTH = Duration.ofMillis(100);
 
-    /** The largest number of time slots that are kept. */
+    /** The maximum number of retained time slots. */
     private static final int MAXIMUM_SLOTS = 6000;
 
     /** The monotonic clock in nanoseconds. */
     private final LongSupplier clock;
 
-    /** The start of the first time slot. */
+    /** The start of the first time slot, in nanoseconds of the monotonic clock. */
     private long origin;
 
-    /** The calls by kind of call and of object, as they arrived. */
+    /** The received calls by kind of call and kind of object. */
     private final TreeMap<String, Long> arrived = new TreeMap<>();
 
-    /** The calls by status. */
+    /** The calls by kind of call and outcome. */
     private final TreeMap<String, Long> answered = new TreeMap<>();
 
     /** The arrivals by time slot. */
     private final TreeMap<Long, Long> slots = new TreeMap<>();
 
     /**
-     * Creates counts of nothing.
+     * Creates empty counts.
      *
      * @param clock The monotonic clock in nanoseconds.
      */
@@ -40,14 +40,14 @@
     }
 
     /**
-     * Counts a call that arrived, whatever becomes of it.
+     * Counts a received call, independently of its outcome.
      *
      * @param call The kind of call.
-     * @param objectKind The kind of object, or an empty text.
+     * @param objectKind The kind of object, or an empty string.
      */
     synchronized void arrived(CallKind call, String objectKind) {
         arrived.merge(objectKind.isEmpty() ? call.label() : call.label() + " " + objectKind, 1L, Long::sum);
-        slots.merge((clock.getAsLong() - origin) / SLOT.toNanos(), 1L, Long::sum);
+        slots.merge((clock.getAsLong() - origin) / SLOT_LENGTH.toNanos(), 1L, Long::sum);
         if (slots.size() > MAXIMUM_SLOTS) {
             slots.pollFirstEntry();
         }
@@ -63,7 +63,7 @@
         answered.merge(call.label() + " " + outcome, 1L, Long::sum);
     }
 
-    /** Starts all counts anew. */
+    /** Resets all counts. */
     synchronized void reset() {
         arrived.clear();
         answered.clear();
@@ -83,11 +83,11 @@
     }
 
     /**
-     * Counts at one moment.
+     * A snapshot of the counts.
      *
-     * @param total The number of calls that arrived.
+     * @param total The number of received calls.
      * @param elapsedMillis The time since counting started.
-     * @param arrived The calls by kind of call and of object.
+     * @param arrived The received calls by kind of call and kind of object.
      * @param answered The calls by kind of call and outcome.
      * @param tenthsOfSecond The arrivals by tenths of a second since counting started.
      */
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/CallKind.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/CallKind.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** The kinds of calls, as they are counted. */
+/** The kinds of calls for which counts are kept. */
 enum CallKind {
     /** A read of one object. */
     READ(false),
@@ -12,7 +12,7 @@
     WRITE(true),
     /** A conditional deletion. */
     DELETE(true),
-    /** A watch, which counts as one call however long it waits. */
+    /** A watch, which counts as one call independently of its duration. */
     WATCH(false),
     /** A list of the VMs. */
     VIRTUAL_MACHINES(false);
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Returns the name in counts.
+     * Returns the name that is used in counts.
      *
      * @return The name in lower case.
      */
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/Changes.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/Changes.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * Changes or objects of a kind.
+ * A list of changes or objects of one kind.
  *
  * @param version The version up to which the list is complete.
- * @param reset Whether changes since the version that was asked for are no longer known.
- * @param revisions The revisions in the order of their versions.
+ * @param reset Whether the changes since the requested version are no longer available.
+ * @param revisions The revisions ordered by version.
  */
 record Changes(long version, boolean reset, List<Revision> revisions) {
 
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/ControlRoutes.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/ControlRoutes.java
@@ -10,13 +10,13 @@
 import java.time.Duration;
 import java.util.Locale;
 
-/** The interface below {@code /control}, through which a test orders faults and reads counts. */
+/** The control interface at {@code /control}, through which a test injects faults and reads counts. */
 final class ControlRoutes {
 
-    /** The name of the list in documents. */
+    /** The field name of the list of VMs in documents. */
     private static final String VIRTUAL_MACHINES = "virtualMachines";
 
-    /** The codec of documents. */
+    /** The mapper of documents. */
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     /** The stand-in that is controlled. */
@@ -47,7 +47,7 @@
     }
 
     /**
-     * Wraps a list of VMs as the object API returns it.
+     * Wraps a list of VMs in the document that the object API returns.
      *
      * @param list The list.
      * @return The document.
@@ -78,10 +78,10 @@
     }
 
     /**
-     * Replaces the list of VMs, and its lag where the query gives one.
+     * Replaces the list of VMs, and changes its lag if the query specifies one.
      *
      * @param context The context of the call.
-     * @throws IOException If the body is not a document.
+     * @throws IOException If the body is malformed.
      */
     private void replaceVirtualMachines(Context context) throws IOException {
         if (context.queryParam("lagMillis") != null) {
@@ -105,7 +105,7 @@
      *
      * @param context The context of the call.
      * @param name The parameter's name.
-     * @return The number, or zero if the query does not give it.
+     * @return The number, or zero if the query does not contain it.
      */
     private static double number(Context context, String name) {
         String text = context.queryParam(name);
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/LaggingList.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/LaggingList.java
@@ -8,23 +8,23 @@
 import java.util.Iterator;
 import java.util.function.LongSupplier;
 
-/** The list of VMs, which readers see only after a lag. */
+/** The list of VMs, whose changes become visible to readers after a lag. */
 final class LaggingList {
 
-    /** The largest number of past lists that are kept. */
-    private static final int MAXIMUM_LISTS = 1000;
+    /** The maximum number of retained versions of the list. */
+    private static final int MAXIMUM_VERSIONS = 1000;
 
     /** The monotonic clock in nanoseconds. */
     private final LongSupplier clock;
 
-    /** The lists, the newest first. */
+    /** The versions of the list, newest first. */
     private final Deque<Entry> entries = new ArrayDeque<>();
 
     /** The lag. */
     private Duration lag = Duration.ZERO;
 
     /**
-     * Creates a list that is empty.
+     * Creates an empty list.
      *
      * @param clock The monotonic clock in nanoseconds.
      */
@@ -39,7 +39,7 @@
      */
     synchronized void replace(JsonNode list) {
         entries.addFirst(new Entry(list, clock.getAsLong()));
-        if (entries.size() > MAXIMUM_LISTS) {
+        if (entries.size() > MAXIMUM_VERSIONS) {
             entries.removeLast();
         }
     }
@@ -54,15 +54,15 @@
     }
 
     /**
-     * Returns the list as readers see it.
+     * Returns the version of the list that is visible to readers.
      *
-     * @return The newest list that is older than the lag, or the first one if none is.
+     * @return The newest version that is at least as old as the lag, or the oldest version if there is none.
      */
     synchronized JsonNode visible() {
-        long seen = clock.getAsLong() - lag.toNanos();
+        long visibleUntil = clock.getAsLong() - lag.toNanos();
         for (Iterator<Entry> newestFirst = entries.iterator(); newestFirst.hasNext(); ) {
             Entry entry = newestFirst.next();
-            if (entry.writtenAt() - seen <= 0) {
+            if (entry.writtenAt() - visibleUntil <= 0) {
                 return entry.list();
             }
         }
@@ -72,7 +72,7 @@
     }
 
     /**
-     * A list with the time at which it was written.
+     * A version of the list with the time at which it was written.
      *
      * @param list The list.
      * @param writtenAt The time in nanoseconds of the monotonic clock.
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/LossKind.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/LossKind.java
@@ -1,6 +1,6 @@
 package io.yuccaswitch.testkit.platform;
 
-/** What is lost of a write. */
+/** The part of a write that is lost. */
 public enum LossKind {
     /** Nothing. */
     NONE,
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/Outage.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/Outage.java
@@ -1,11 +1,11 @@
 package io.yuccaswitch.testkit.platform;
 
-/** How the stand-in is out of service. */
+/** The kinds of outages. */
 public enum Outage {
-    /** It serves. */
+    /** The stand-in serves calls normally. */
     NONE,
-    /** It answers each call with 503. */
+    /** The stand-in answers each call with status 503. */
     ERROR,
-    /** It accepts calls and never answers. */
+    /** The stand-in accepts calls and never answers. */
     SILENT
 }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/PlatformCommand.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/PlatformCommand.java
@@ -5,24 +5,24 @@
 import io.yuccaswitch.testkit.TestkitCommand;
 import java.util.Optional;
 
-/** Runs the stand-in of the platform. */
-@Parameters(commandDescription = "Runs a stand-in of the platform's object API.")
+/** Runs the platform stand-in. */
+@Parameters(commandDescription = "Runs a stand-in for the platform's object API.")
 public final class PlatformCommand implements TestkitCommand {
 
-    /** The port on the loopback address. */
+    /** The port on the loopback address, or zero for any free port. */
     @Parameter(names = "--port", description = "The port on the loopback address; 0 takes any free one.")
     private int port;
 
-    /** The token that calls must bear. */
-    @Parameter(names = "--token", description = "The bearer token that calls must bear; none by default.")
+    /** The token that calls must carry. */
+    @Parameter(names = "--token", description = "The bearer token that calls must carry; none by default.")
     private String token = "";
 
-    /** The changing calls each second. */
-    @Parameter(names = "--writes-per-second", description = "The limit of writes each second; 0 for none.")
+    /** The maximum number of changing calls per second, or zero for no limit. */
+    @Parameter(names = "--writes-per-second", description = "The limit of writes per second; 0 for none.")
     private double writesPerSecond;
 
-    /** The other calls each second. */
-    @Parameter(names = "--reads-per-second", description = "The limit of reads each second; 0 for none.")
+    /** The maximum number of other calls per second, or zero for no limit. */
+    @Parameter(names = "--reads-per-second", description = "The limit of reads per second; 0 for none.")
     private double readsPerSecond;
 
     /** Creates the subcommand with default parameters. */
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/PlatformFaults.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/PlatformFaults.java
@@ -3,31 +3,31 @@
 import java.time.Duration;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The faults that are in force. All methods may be called from any thread. */
+/** The active faults of the platform stand-in. This class is thread-safe. */
 public final class PlatformFaults {
 
-    /** How the stand-in is out of service. */
+    /** The active outage. */
     private volatile Outage outage = Outage.NONE;
 
     /** The delay of each answer. */
     private volatile Duration delay = Duration.ZERO;
 
-    /** The time by which reads lag behind. */
+    /** The time by which reads lag. */
     private volatile Duration replicaLag = Duration.ZERO;
 
-    /** The number of writes whose answers are still to be lost. */
+    /** The remaining number of writes whose answers are lost. */
     private final AtomicInteger answersToLose = new AtomicInteger();
 
-    /** The number of writes that are still to be lost before they take effect. */
+    /** The remaining number of writes that are lost before they take effect. */
     private final AtomicInteger requestsToLose = new AtomicInteger();
 
-    /** Creates faults of which none is in force. */
+    /** Creates an object without active faults. */
     PlatformFaults() {}
 
     /**
-     * Takes the stand-in out of service or back.
+     * Starts or ends an outage.
      *
-     * @param newOutage How it is out of service.
+     * @param newOutage The new outage, or {@link Outage#NONE} to end it.
      */
     public void outage(Outage newOutage) {
         outage = newOutage;
@@ -43,7 +43,7 @@
     }
 
     /**
-     * Lets reads, lists and watches lag behind.
+     * Sets the time by which reads, lists and watches lag.
      *
      * @param newReplicaLag The time by which they lag.
      */
@@ -70,9 +70,9 @@
     }
 
     /**
-     * Returns how the stand-in is out of service.
+     * Returns the active outage.
      *
-     * @return How it is out of service.
+     * @return The outage, or {@link Outage#NONE}.
      */
     Outage outage() {
         return outage;
@@ -88,7 +88,7 @@
     }
 
     /**
-     * Returns the time by which reads lag behind.
+     * Returns the time by which reads lag.
      *
      * @return The lag.
      */
@@ -97,24 +97,24 @@
     }
 
     /**
-     * Decides what is lost of a write that arrived.
+     * Determines which part of a received write is lost, and consumes one of the injected losses.
      *
-     * @return What is lost.
+     * @return The part that is lost.
      */
-    LossKind takeLoss() {
-        if (takeOne(requestsToLose)) {
+    LossKind nextLoss() {
+        if (decrementIfPositive(requestsToLose)) {
             return LossKind.REQUEST;
         }
-        return takeOne(answersToLose) ? LossKind.ANSWER : LossKind.NONE;
+        return decrementIfPositive(answersToLose) ? LossKind.ANSWER : LossKind.NONE;
     }
 
     /**
-     * Takes one from a count if it is not zero.
+     * Decrements a count if it is positive.
      *
      * @param count The count.
-     * @return {@code true} if one was taken.
+     * @return {@code true} if the count was positive.
      */
-    private static boolean takeOne(AtomicInteger count) {
+    private static boolean decrementIfPositive(AtomicInteger count) {
         return count.getAndUpdate(value -> Math.max(0, value - 1)) > 0;
     }
 }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/PlatformStandIn.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/PlatformStandIn.java
@@ -17,21 +17,21 @@
 import org.eclipse.jetty.http.UriCompliance;
 
 /**
- * A stand-in of the platform: its object API, and below {@code /control} an interface through which a test orders
- * faults and reads counts.
+ * A stand-in for the platform. It serves the object API and, at {@code /control}, an interface through which a test
+ * injects faults and reads counts.
  */
 public final class PlatformStandIn implements AutoCloseable {
 
-    /** The largest value that is taken. */
-    private static final int MAXIMUM_VALUE_SIZE = 1 << 20;
+    /** The maximum size of a value. */
+    private static final int MAXIMUM_VALUE_BYTES = 1 << 20;
 
-    /** The longest wait of a watch. */
+    /** The maximum wait of a watch. */
     private static final long MAXIMUM_WAIT_MILLIS = 60_000;
 
     /** The monotonic clock in nanoseconds. */
     private final LongSupplier clock = System::nanoTime;
 
-    /** The token that calls must bear, if any. */
+    /** The token that calls must carry, if any. */
     private final Optional<String> token;
 
     /** The objects. */
@@ -43,17 +43,17 @@
     /** The counts of calls. */
     private final CallCounts counts = new CallCounts(clock);
 
-    /** The faults that are in force. */
+    /** The active faults. */
     private final PlatformFaults faults = new PlatformFaults();
 
-    /** The limit of changing calls. */
+    /** The rate limit of changing calls. */
     private final RateLimit writeLimit = new RateLimit(clock, 0);
 
-    /** The limit of all other calls. */
+    /** The rate limit of all other calls. */
     private final RateLimit readLimit = new RateLimit(clock, 0);
 
-    /** The watches that wait. */
-    private final WaitingWatches watches = new WaitingWatches(objects, faults, clock);
+    /** The pending watches. */
+    private final PendingWatches watches = new PendingWatches(objects, faults, clock);
 
     /** The server. */
     private final Javalin server;
@@ -61,7 +61,7 @@
     /**
      * Creates a stand-in.
      *
-     * @param token The token that calls must bear, if any.
+     * @param token The token that calls must carry, if any.
      */
     private PlatformStandIn(Optional<String> token) {
         this.token = token;
@@ -72,8 +72,8 @@
      * Starts a stand-in without rate limits.
      *
      * @param port The port on the loopback address, or zero for any free one.
-     * @param token The token that calls must bear, if any.
-     * @return The stand-in, which serves.
+     * @param token The token that calls must carry, if any.
+     * @return The stand-in, which accepts calls.
      */
     public static PlatformStandIn start(int port, Optional<String> token) {
         PlatformStandIn standIn = new PlatformStandIn(token);
@@ -102,8 +102,8 @@
     /**
      * Changes the rate limits.
      *
-     * @param writesPerSecond The changing calls each second, or zero for no limit.
-     * @param readsPerSecond The other calls each second, or zero for no limit.
+     * @param writesPerSecond The changing calls per second, or zero for no limit.
+     * @param readsPerSecond The other calls per second, or zero for no limit.
      */
     public void limitRates(double writesPerSecond, double readsPerSecond) {
         writeLimit.change(writesPerSecond);
@@ -111,7 +111,7 @@
     }
 
     /**
-     * Returns the number of calls that arrived since counting started.
+     * Returns the number of calls received since counting started.
      *
      * @return The number of calls.
      */
@@ -120,7 +120,7 @@
     }
 
     /**
-     * Returns the number of calls of one kind that arrived since counting started.
+     * Returns the number of calls of one kind received since counting started.
      *
      * @param label The kind of call and the kind of object, such as {@code write lease}.
      * @return The number of calls.
@@ -130,7 +130,7 @@
     }
 
     /**
-     * Returns the number of calls that arrived in the busiest tenth of a second since counting started.
+     * Returns the maximum number of calls received in one tenth of a second since counting started.
      *
      * @return The number of calls.
      */
@@ -141,12 +141,12 @@
                 .orElse(0);
     }
 
-    /** Starts all counts anew. */
+    /** Resets all counts. */
     public void resetCounts() {
         counts.reset();
     }
 
-    /** Forgets past changes, such that each watch from an older version is reset. */
+    /** Discards past changes, so that each watch from an older version is reset. */
     public void forgetChanges() {
         objects.forgetChanges();
     }
@@ -166,7 +166,7 @@
     private void configure(JavalinConfig config) {
         config.startup.showJavalinBanner = false;
         config.startup.startupWatcherEnabled = false;
-        config.http.maxRequestSize = 2L * MAXIMUM_VALUE_SIZE;
+        config.http.maxRequestSize = 2L * MAXIMUM_VALUE_BYTES;
         config.jetty.modifyHttpConfiguration(http -> http.setUriCompliance(UriCompliance.UNSAFE));
         config.jetty.modifyServletContextHandler(
                 handler -> handler.getServletHandler().setDecodeAmbiguousURIs(true));
@@ -241,7 +241,7 @@
         OptionalLong expected = creates ? OptionalLong.empty() : ifMatch(context);
         if (!creates && expected.isEmpty()) {
             serve(context, CallKind.WRITE, _context -> completed(Answer.empty(Answer.BAD_REQUEST)));
-        } else if (value.size() > MAXIMUM_VALUE_SIZE) {
+        } else if (value.size() > MAXIMUM_VALUE_BYTES) {
             serve(context, CallKind.WRITE, _context -> completed(Answer.empty(Answer.TOO_LARGE)));
         } else {
             serve(
@@ -275,14 +275,14 @@
     }
 
     /**
-     * Carries out a change, or loses it or its answer.
+     * Executes a change, or simulates the loss of the change or its answer.
      *
      * @param context The context of the call.
      * @param change The change.
-     * @return The answer, which never comes if it was lost.
+     * @return The answer, which never completes if it is lost.
      */
     private CompletableFuture<Answer> change(Context context, Supplier<WriteResult> change) {
-        LossKind loss = faults.takeLoss();
+        LossKind loss = faults.nextLoss();
         if (loss != LossKind.REQUEST) {
             Answer answer = Answer.written(change.get());
             if (loss == LossKind.NONE) {
@@ -295,11 +295,11 @@
     }
 
     /**
-     * Serves a call under the faults and limits that are in force.
+     * Serves a call, subject to the active faults and limits.
      *
      * @param context The context of the call.
      * @param call The kind of call.
-     * @param handler The handler of the call, which gives the answer.
+     * @param handler The handler that answers the call.
      */
     private void serve(Context context, CallKind call, Function<Context, CompletableFuture<Answer>> handler) {
         counts.arrived(call, call == CallKind.VIRTUAL_MACHINES ? "" : context.pathParam("kind"));
@@ -319,7 +319,7 @@
     }
 
     /**
-     * Decides whether a call is refused.
+     * Checks whether a call is refused.
      *
      * @param context The context of the call.
      * @param call The kind of call.
@@ -337,7 +337,7 @@
     }
 
     /**
-     * Returns the executor that sends answers, after the delay that is in force.
+     * Returns the executor that sends answers, after the active delay.
      *
      * @return The executor.
      */
@@ -365,7 +365,7 @@
      * Returns the version that a call expects the object to have.
      *
      * @param context The context of the call.
-     * @return The version, or empty if the call names none.
+     * @return The version, or empty if the call specifies none.
      */
     private static OptionalLong ifMatch(Context context) {
         String header = context.header("If-Match");
@@ -377,7 +377,7 @@
      *
      * @param context The context of the call.
      * @param name The parameter's name.
-     * @return The number, or zero if the call does not give it.
+     * @return The number, or zero if the call does not contain it.
      */
     private static long longParameter(Context context, String name) {
         String text = context.queryParam(name);
@@ -385,7 +385,7 @@
     }
 
     /**
-     * Wraps an answer that is ready.
+     * Wraps an available answer.
      *
      * @param answer The answer.
      * @return The completed future.
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/RateLimit.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/RateLimit.java
@@ -3,26 +3,26 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 
-/** A rate limit that lets through bursts of up to one second's worth. */
+/** A token-bucket rate limit that permits bursts of as many calls as it permits in one second. */
 final class RateLimit {
 
     /** The monotonic clock in nanoseconds. */
     private final LongSupplier clock;
 
-    /** The calls that are let through each second, or zero for no limit. */
+    /** The permitted calls per second, or zero for no limit. */
     private double perSecond;
 
-    /** The calls that may be let through now. */
+    /** The number of calls that are currently permitted. */
     private double available;
 
-    /** The time at which {@link #available} was computed. */
+    /** The time at which {@link #available} was computed, in nanoseconds of the monotonic clock. */
     private long updatedAt;
 
     /**
      * Creates a rate limit.
      *
      * @param clock The monotonic clock in nanoseconds.
-     * @param perSecond The calls each second, or zero for no limit.
+     * @param perSecond The permitted calls per second, or zero for no limit.
      */
     RateLimit(LongSupplier clock, double perSecond) {
         this.clock = clock;
@@ -32,7 +32,7 @@
     /**
      * Changes the limit.
      *
-     * @param newPerSecond The calls each second, or zero for no limit.
+     * @param newPerSecond The permitted calls per second, or zero for no limit.
      */
     synchronized void change(double newPerSecond) {
         perSecond = newPerSecond;
@@ -41,17 +41,17 @@
     }
 
     /**
-     * Takes one call's worth.
+     * Acquires a permit for one call.
      *
-     * @return {@code true} if the call is let through.
+     * @return {@code true} if the call is permitted.
      */
     synchronized boolean tryAcquire() {
         if (perSecond <= 0) {
             return true;
         }
         long now = clock.getAsLong();
-        double earned = perSecond * (now - updatedAt) / TimeUnit.SECONDS.toNanos(1);
-        available = Math.min(perSecond, available + earned);
+        double refilled = perSecond * (now - updatedAt) / TimeUnit.SECONDS.toNanos(1);
+        available = Math.min(perSecond, available + refilled);
         updatedAt = now;
         if (available < 1) {
             return false;
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/Revision.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/Revision.java
@@ -7,7 +7,7 @@
  *
  * @param kind The object's kind.
  * @param name The object's name.
- * @param version The version that the write got.
+ * @param version The version that the write created.
  * @param value The value, empty if the object was deleted.
  * @param deleted Whether the object was deleted.
  * @param writtenAt The time of the write, in nanoseconds of the monotonic clock.
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/VersionedObjects.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/VersionedObjects.java
@@ -15,31 +15,31 @@
 import okio.ByteString;
 
 /**
- * Objects with versions. Each write of any object raises the version by one. Past states are kept for a while, such
- * that reads can be answered as a replica that lags behind would answer them.
+ * A store of versioned objects. Each write of any object increments the common version by one. Past revisions are
+ * retained for some time, so that reads can be answered as by a lagging replica.
  */
 final class VersionedObjects {
 
-    /** The time for which changes are kept for watches and lagging reads. */
+    /** The time for which changes are retained for watches and lagging reads. */
     private static final Duration RETENTION = Duration.ofMinutes(2);
 
-    /** The largest number of changes that are kept. */
+    /** The maximum number of retained changes. */
     private static final int MAXIMUM_CHANGES = 50_000;
 
     /** The monotonic clock in nanoseconds. */
     private final LongSupplier clock;
 
-    /** The revisions of each object, the newest first. */
+    /** The revisions of each object, newest first. */
     private final Map<String, Deque<Revision>> objects = new HashMap<>();
 
-    /** The recent changes of all objects, the oldest first. */
+    /** The recent changes of all objects, oldest first. */
     private final Deque<Revision> log = new ArrayDeque<>();
 
     /** The version of the newest write. */
     private long version;
 
-    /** The version up to which changes are no longer in the log. */
-    private long forgottenVersion;
+    /** The version up to which changes were removed from the log. */
+    private long compactedVersion;
 
     /**
      * Creates an empty store.
@@ -88,8 +88,8 @@
      *
      * @param kind The object's kind.
      * @param name The object's name.
-     * @param lag The time by which the answering replica lags behind.
-     * @return The object as the replica knows it, or empty if it knows none.
+     * @param lag The lag of the answering replica.
+     * @return The object as visible at the replica, or empty if it does not exist there.
      */
     synchronized Optional<Revision> read(String kind, String name, Duration lag) {
         return visible(objects.getOrDefault(key(kind, name), new ArrayDeque<>()), visibleVersion(lag));
@@ -99,8 +99,8 @@
      * Lists the objects of a kind.
      *
      * @param kind The kind.
-     * @param lag The time by which the answering replica lags behind.
-     * @return The objects as the replica knows them.
+     * @param lag The lag of the answering replica.
+     * @return The objects as visible at the replica.
      */
     synchronized Changes list(String kind, Duration lag) {
         long upTo = visibleVersion(lag);
@@ -115,16 +115,16 @@
     }
 
     /**
-     * Returns the changes of a kind after a version, of each object the newest one.
+     * Returns the changes of a kind after a version, with only the newest change of each object.
      *
      * @param kind The kind.
-     * @param after The version after which changes count.
-     * @param lag The time by which the answering replica lags behind.
+     * @param after The version after which changes are returned.
+     * @param lag The lag of the answering replica.
      * @return The changes.
      */
     synchronized Changes changes(String kind, long after, Duration lag) {
         long upTo = visibleVersion(lag);
-        if (after < forgottenVersion || after > version) {
+        if (after < compactedVersion || after > version) {
             return new Changes(upTo, true, List.of());
         }
         Map<String, Revision> newest = new HashMap<>();
@@ -138,10 +138,10 @@
         return new Changes(Math.max(after, upTo), false, changed);
     }
 
-    /** Forgets all changes for watches, such that each watch from an older version is reset. */
+    /** Discards all changes for watches, so that each watch from an older version is reset. */
     synchronized void forgetChanges() {
         log.clear();
-        forgottenVersion = version;
+        compactedVersion = version;
     }
 
     /**
@@ -160,60 +160,61 @@
         revisions.addFirst(revision);
         trim(revisions);
         log.addLast(revision);
-        while (log.size() > MAXIMUM_CHANGES || isOld(log.getFirst())) {
-            forgottenVersion = log.removeFirst().version();
+        while (log.size() > MAXIMUM_CHANGES || isExpired(log.getFirst())) {
+            compactedVersion = log.removeFirst().version();
         }
         return new WriteResult.Applied(version);
     }
 
     /**
-     * Drops the old revisions of an object, except for the one that an old replica still sees.
+     * Removes the expired revisions of an object, except for the newest of them, which a lagging replica may still
+     * return.
      *
-     * @param revisions The revisions, the newest first.
+     * @param revisions The revisions, newest first.
      */
     private void trim(Deque<Revision> revisions) {
-        boolean oldSeen = false;
+        boolean expiredSeen = false;
         for (Iterator<Revision> iterator = revisions.iterator(); iterator.hasNext(); ) {
             Revision revision = iterator.next();
-            if (oldSeen) {
+            if (expiredSeen) {
                 iterator.remove();
             }
-            oldSeen = oldSeen || isOld(revision);
+            expiredSeen = expiredSeen || isExpired(revision);
         }
     }
 
     /**
-     * Returns whether a revision is past the retention.
+     * Returns whether the retention of a revision has expired.
      *
      * @param revision The revision.
-     * @return {@code true} if it is.
+     * @return {@code true} if the retention has expired.
      */
-    private boolean isOld(Revision revision) {
+    private boolean isExpired(Revision revision) {
         return clock.getAsLong() - revision.writtenAt() > RETENTION.toNanos();
     }
 
     /**
-     * Returns the newest version that a replica knows.
+     * Returns the newest version that is visible at a replica.
      *
-     * @param lag The time by which the replica lags behind.
+     * @param lag The lag of the replica.
      * @return The version.
      */
     private long visibleVersion(Duration lag) {
         if (lag.isZero()) {
             return version;
         }
-        long seen = clock.getAsLong() - lag.toNanos();
+        long visibleUntil = clock.getAsLong() - lag.toNanos();
         for (Iterator<Revision> newestFirst = log.descendingIterator(); newestFirst.hasNext(); ) {
             Revision revision = newestFirst.next();
-            if (revision.writtenAt() - seen <= 0) {
+            if (revision.writtenAt() - visibleUntil <= 0) {
                 return revision.version();
             }
         }
-        return forgottenVersion;
+        return compactedVersion;
     }
 
     /**
-     * Returns an object as it is now.
+     * Returns the current state of an object.
      *
      * @param kind The object's kind.
      * @param name The object's name.
@@ -226,8 +227,8 @@
     /**
      * Returns the newest revision up to a version.
      *
-     * @param revisions The revisions of an object, the newest first.
-     * @param upTo The newest version that counts.
+     * @param revisions The revisions of an object, newest first.
+     * @param upTo The newest version that is visible.
      * @return The revision, or empty if the object did not exist at that version.
      */
     private static Optional<Revision> visible(Deque<Revision> revisions, long upTo) {
@@ -248,7 +249,7 @@
     }
 
     /**
-     * Joins a kind and a name.
+     * Combines a kind and a name into a key.
      *
      * @param kind The kind, which contains no slash.
      * @param name The name.
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/WriteResult.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/WriteResult.java
@@ -15,7 +15,7 @@
     /**
      * The condition did not hold.
      *
-     * @param current The object as it is, or empty if it does not exist.
+     * @param current The current object, or empty if it does not exist.
      */
     record Refused(Optional<Revision> current) implements WriteResult {}
 }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/package-info.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/platform/package-info.java
@@ -1,2 +1,2 @@
-/** A stand-in of the platform's object API, with faults that a test orders through its control interface. */
+/** A stand-in for the platform's object API, with faults that a test injects through its control interface. */
 package io.yuccaswitch.testkit.platform;
