--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/proxy/FaultSwitch.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/proxy/ActiveFaults.java
@@ -1,16 +1,16 @@
 package io.yuccaswitch.testkit.proxy;
 
-/** The faults of a link that are in force, for which connections can wait. */
-final class FaultSwitch {
+/** The active faults of a link. Connections can wait for their change. */
+final class ActiveFaults {
 
     /** The faults. */
     private LinkFaults faults = LinkFaults.NONE;
 
-    /** Creates a switch with no faults in force. */
-    FaultSwitch() {}
+    /** Creates an object without active faults. */
+    ActiveFaults() {}
 
     /**
-     * Puts other faults in force.
+     * Replaces the active faults.
      *
      * @param newFaults The faults.
      */
@@ -20,7 +20,7 @@
     }
 
     /**
-     * Returns the faults that are in force.
+     * Returns the active faults.
      *
      * @return The faults.
      */
@@ -29,11 +29,11 @@
     }
 
     /**
-     * Waits until bytes are forwarded in a direction.
+     * Waits until data is forwarded in a direction.
      *
      * @param direction The direction.
-     * @return The faults that are in force then.
-     * @throws InterruptedException If the connection ends meanwhile.
+     * @return The faults that are active at that time.
+     * @throws InterruptedException If the connection ends in the meantime.
      */
     synchronized LinkFaults awaitOpen(Direction direction) throws InterruptedException {
         while (faults.blocks(direction)) {
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/proxy/Connection.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/proxy/Connection.java
@@ -6,16 +6,16 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A connection through a link, with the threads that forward its bytes. */
+/** A connection through a link, with the threads that forward its data. */
 final class Connection {
 
-    /** The number of threads that must end before the connection is closed. */
-    private static final int THREADS = 4;
+    /** The number of pump threads, all of which must end before the connection is closed. */
+    private static final int PUMP_THREADS = 4;
 
-    /** The socket of the process that connected. */
+    /** The socket of the connecting process. */
     private final Socket client;
 
-    /** The socket to the target, connected once the link lets bytes through. */
+    /** The socket to the target, which is connected as soon as the link forwards data. */
     private final Socket server = new Socket();
 
     /** The link. */
@@ -24,13 +24,13 @@
     /** The threads that were started. */
     private final List<Thread> threads = new ArrayList<>();
 
-    /** The number of threads that still run. */
-    private final AtomicInteger running = new AtomicInteger(THREADS);
+    /** The number of pump threads that are still running. */
+    private final AtomicInteger running = new AtomicInteger(PUMP_THREADS);
 
     /**
      * Creates a connection.
      *
-     * @param client The socket of the process that connected.
+     * @param client The socket of the connecting process.
      * @param link The link.
      */
     Connection(Socket client, Link link) {
@@ -38,7 +38,7 @@
         this.link = link;
     }
 
-    /** Starts to connect to the target and to forward bytes, without waiting for it. */
+    /** Starts connecting to the target and forwarding data, without blocking. */
     void start() {
         startThread("connect", () -> {
             link.faults().awaitOpen(Direction.UP);
@@ -57,7 +57,7 @@
         synchronized (threads) {
             threads.forEach(Thread::interrupt);
         }
-        link.forget(this);
+        link.removeConnection(this);
     }
 
     /**
@@ -68,20 +68,20 @@
     private void startPump(Pump pump) {
         startThread("read", () -> {
             pump.read();
-            finished();
+            onPumpThreadEnded();
         });
         startThread("write", () -> {
             pump.write();
-            finished();
+            onPumpThreadEnded();
         });
     }
 
-    /** Notes that a thread of a pump ended, and closes the connection after the last one. */
-    private void finished() {
+    /** Records the end of a pump thread, and closes the connection after the last one. */
+    private void onPumpThreadEnded() {
         if (running.decrementAndGet() == 0) {
             closeSocket(client);
             closeSocket(server);
-            link.forget(this);
+            link.removeConnection(this);
         }
     }
 
@@ -99,7 +99,7 @@
                 reset();
             }
         };
-        Thread thread = new Thread(null, guarded, "proxy-" + name, Link.STACK_SIZE);
+        Thread thread = new Thread(null, guarded, "proxy-" + name, Link.STACK_BYTES);
         thread.setDaemon(true);
         synchronized (threads) {
             threads.add(thread);
@@ -108,7 +108,7 @@
     }
 
     /**
-     * Closes a socket such that the other side sees a reset.
+     * Closes a socket such that its peer receives a reset.
      *
      * @param socket The socket.
      */
@@ -116,7 +116,7 @@
         try {
             socket.setSoLinger(true, 0);
         } catch (IOException _exception) {
-            // The socket is closed already.
+            // The socket is already closed.
         }
         closeSocket(socket);
     }
@@ -130,19 +130,19 @@
         try {
             socket.close();
         } catch (IOException _exception) {
-            // Nothing is left to be done with it.
+            // A failure to close a socket needs no handling.
         }
     }
 
-    /** The work of a thread. */
+    /** The task of a thread. */
     @FunctionalInterface
     private interface Work {
 
         /**
-         * Does the work.
+         * Executes the task.
          *
          * @throws IOException If the connection breaks.
-         * @throws InterruptedException If the connection ends meanwhile.
+         * @throws InterruptedException If the connection ends in the meantime.
          */
         void run() throws IOException, InterruptedException;
     }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/proxy/Direction.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/proxy/Direction.java
@@ -1,9 +1,9 @@
 package io.yuccaswitch.testkit.proxy;
 
-/** The directions in which a link forwards bytes. */
+/** The directions in which a link forwards data. */
 public enum Direction {
-    /** From the process that connected to the target. */
+    /** From the connecting process to the target. */
     UP,
-    /** From the target to the process that connected. */
+    /** From the target to the connecting process. */
     DOWN
 }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/proxy/FaultProxy.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/proxy/FaultProxy.java
@@ -17,10 +17,10 @@
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Links between processes, controlled over HTTP. */
+/** A set of fault-injecting links between processes, controlled over HTTP. */
 public final class FaultProxy implements AutoCloseable {
 
-    /** The links by their names. */
+    /** The links by name. */
     private final Map<String, Link> links = new ConcurrentHashMap<>();
 
     /** The server of the control interface. */
@@ -89,7 +89,7 @@
     }
 
     /**
-     * Adds a link and answers with its address.
+     * Adds a link and returns its address to the caller.
      *
      * @param context The context of the call.
      */
@@ -103,7 +103,7 @@
     /**
      * Returns the states of all links.
      *
-     * @return The states by the links' names.
+     * @return The states by link name.
      */
     private Map<String, LinkState> states() {
         Map<String, LinkState> states = new TreeMap<>();
@@ -112,7 +112,7 @@
     }
 
     /**
-     * Returns the link that a call names.
+     * Returns the link that a call refers to.
      *
      * @param context The context of the call.
      * @return The link.
@@ -122,7 +122,7 @@
     }
 
     /**
-     * Reads faults from the query. What it does not name is no fault.
+     * Reads the faults from the query. Faults that the query does not contain are inactive.
      *
      * @param context The context of the call.
      * @return The faults.
@@ -145,18 +145,18 @@
      *
      * @param context The context of the call.
      * @param name The parameter's name.
-     * @return The text, or empty if the call does not give it.
+     * @return The text, or empty if the call does not contain it.
      */
     private static Optional<String> query(Context context, String name) {
         return Optional.ofNullable(context.queryParam(name));
     }
 
     /**
-     * Returns a whole number from the query.
+     * Returns an integer from the query.
      *
      * @param context The context of the call.
      * @param name The parameter's name.
-     * @return The number, or zero if the call does not give it.
+     * @return The number, or zero if the call does not contain it.
      */
     private static long number(Context context, String name) {
         return query(context, name).map(Long::parseLong).orElse(0L);
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/proxy/Link.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/proxy/Link.java
@@ -13,31 +13,31 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A port on the loopback address whose connections are forwarded to a target, under faults. */
+/** A port on the loopback address whose connections are forwarded to a target, subject to injected faults. */
 public final class Link implements AutoCloseable {
 
-    /** The size of the stacks of threads. */
-    static final long STACK_SIZE = 128 << 10;
+    /** The stack size of the threads. */
+    static final long STACK_BYTES = 128 << 10;
 
     /** The loopback address. */
     private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
-    /** The number of connections that wait to be accepted. */
+    /** The maximum number of connections that wait to be accepted. */
     private static final int BACKLOG = 1024;
 
     /** The address of the target. */
     private final InetSocketAddress target;
 
-    /** The faults that are in force. */
-    private final FaultSwitch faults = new FaultSwitch();
+    /** The active faults. */
+    private final ActiveFaults faults = new ActiveFaults();
 
-    /** The connections that are open. */
+    /** The open connections. */
     private final Set<Connection> connections = ConcurrentHashMap.newKeySet();
 
-    /** The bytes that were forwarded, by direction. */
+    /** The number of forwarded bytes by direction. */
     private final Map<Direction, AtomicLong> totals = new EnumMap<>(Direction.class);
 
-    /** The number of connections that were accepted. */
+    /** The number of accepted connections. */
     private final AtomicLong accepted = new AtomicLong();
 
     /** The port, which stays the same while the link refuses connections. */
@@ -49,7 +49,7 @@
     /** The listening socket, closed while the link refuses connections. */
     private ServerSocket listener;
 
-    /** A socket that keeps the port without listening while the link refuses connections. */
+    /** A socket that reserves the port without listening while the link refuses connections. */
     private Socket portHolder = new Socket();
 
     /**
@@ -81,7 +81,7 @@
     }
 
     /**
-     * Puts faults in force.
+     * Applies faults.
      *
      * @param newFaults The faults, which replace all earlier ones.
      */
@@ -139,11 +139,11 @@
     }
 
     /**
-     * Returns the faults that are in force.
+     * Returns the active faults.
      *
      * @return The faults.
      */
-    FaultSwitch faults() {
+    ActiveFaults faults() {
         return faults;
     }
 
@@ -158,18 +158,19 @@
     }
 
     /**
-     * Forgets a connection that ended.
+     * Removes a closed connection.
      *
      * @param connection The connection.
      */
-    void forget(Connection connection) {
+    void removeConnection(Connection connection) {
         connections.remove(connection);
     }
 
     /**
-     * Stops listening and keeps the port. The port is free only once the accepting thread has left the closed socket.
+     * Stops listening and reserves the port. The port becomes free only after the accepting thread has returned from
+     * the closed socket.
      *
-     * @throws IOException If the port is lost.
+     * @throws IOException If the port cannot be reserved.
      */
     private void refuse() throws IOException {
         if (listener.isClosed()) {
@@ -183,17 +184,17 @@
     }
 
     /**
-     * Listens and accepts connections on a thread.
+     * Starts listening, and starts a thread that accepts connections.
      *
      * @param wantedPort The port, or zero for any free one.
      * @return The listening socket.
-     * @throws IOException If the port is taken.
+     * @throws IOException If the port is in use.
      */
     private ServerSocket listen(int wantedPort) throws IOException {
         ServerSocket socket = new ServerSocket();
         socket.setReuseAddress(true);
         socket.bind(new InetSocketAddress(LOOPBACK, wantedPort), BACKLOG);
-        acceptor = new Thread(null, () -> accept(socket), "proxy-accept", STACK_SIZE);
+        acceptor = new Thread(null, () -> accept(socket), "proxy-accept", STACK_BYTES);
         acceptor.setDaemon(true);
         acceptor.start();
         return socket;
@@ -212,7 +213,7 @@
                 connections.add(connection);
                 connection.start();
             } catch (IOException _exception) {
-                // The socket was closed, or a client left before it was accepted.
+                // The socket was closed, or a client disconnected before its connection was accepted.
             }
         }
     }
@@ -220,10 +221,10 @@
     /**
      * Counts of a link.
      *
-     * @param accepted The connections that were accepted.
-     * @param open The connections that are open.
-     * @param bytesUp The bytes that were forwarded to the target.
-     * @param bytesDown The bytes that were forwarded from the target.
+     * @param accepted The number of accepted connections.
+     * @param open The number of open connections.
+     * @param bytesUp The number of bytes forwarded to the target.
+     * @param bytesDown The number of bytes forwarded from the target.
      */
     public record Counts(long accepted, long open, long bytesUp, long bytesDown) {}
 }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/proxy/LinkFaults.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/proxy/LinkFaults.java
@@ -8,12 +8,12 @@
 /**
  * The faults of a link.
  *
- * @param mode What the link does with connections.
- * @param delay The time by which bytes are delayed in each direction.
- * @param resetAfter The bytes in a direction after which a connection is reset, counted for each connection from the
- *     moment at which these faults come into force.
- * @param bytesPerSecond The largest number of bytes each second in each direction of a connection, or zero for any.
- * @param cut The directions in which nothing is forwarded.
+ * @param mode The handling of connections.
+ * @param delay The time by which data is delayed in each direction.
+ * @param resetAfter The number of bytes in a direction after which a connection is reset, counted for each connection
+ *     from the time at which these faults become active.
+ * @param bytesPerSecond The maximum number of bytes per second in each direction of a connection, or zero for no limit.
+ * @param cut The directions in which no data is forwarded.
  */
 public record LinkFaults(
         LinkMode mode, Duration delay, Map<Direction, Long> resetAfter, long bytesPerSecond, Set<Direction> cut) {
@@ -28,9 +28,9 @@
     }
 
     /**
-     * Creates faults that only change what the link does with connections.
+     * Creates faults that only change the handling of connections.
      *
-     * @param mode What the link does with connections.
+     * @param mode The handling of connections.
      * @return The faults.
      */
     public static LinkFaults of(LinkMode mode) {
@@ -40,8 +40,8 @@
     /**
      * Returns these faults with a delay.
      *
-     * @param newDelay The time by which bytes are delayed in each direction.
-     * @return The changed faults.
+     * @param newDelay The time by which data is delayed in each direction.
+     * @return The modified copy.
      */
     public LinkFaults withDelay(Duration newDelay) {
         return new LinkFaults(mode, newDelay, resetAfter, bytesPerSecond, cut);
@@ -51,8 +51,8 @@
      * Returns these faults with a reset.
      *
      * @param direction The direction in which bytes are counted.
-     * @param bytes The bytes that are still forwarded.
-     * @return The changed faults.
+     * @param bytes The number of bytes that are forwarded before the reset.
+     * @return The modified copy.
      */
     public LinkFaults withReset(Direction direction, long bytes) {
         return new LinkFaults(mode, delay, Map.of(direction, bytes), bytesPerSecond, cut);
@@ -61,35 +61,35 @@
     /**
      * Returns these faults with a throttle.
      *
-     * @param newBytesPerSecond The largest number of bytes each second.
-     * @return The changed faults.
+     * @param newBytesPerSecond The maximum number of bytes per second.
+     * @return The modified copy.
      */
     public LinkFaults withThrottle(long newBytesPerSecond) {
         return new LinkFaults(mode, delay, resetAfter, newBytesPerSecond, cut);
     }
 
     /**
-     * Returns these faults with other directions cut.
+     * Returns these faults with other blocked directions.
      *
-     * @param newCut The directions in which nothing is forwarded.
-     * @return The changed faults.
+     * @param newCut The directions in which no data is forwarded.
+     * @return The modified copy.
      */
     public LinkFaults withCut(Direction... newCut) {
         return new LinkFaults(mode, delay, resetAfter, bytesPerSecond, Set.of(newCut));
     }
 
     /**
-     * Returns whether nothing is forwarded in a direction.
+     * Returns whether a direction is blocked.
      *
      * @param direction The direction.
-     * @return {@code true} if nothing is.
+     * @return {@code true} if no data is forwarded in this direction.
      */
     boolean blocks(Direction direction) {
         return mode == LinkMode.BLACKHOLE || cut.contains(direction);
     }
 
     /**
-     * Returns the bytes in a direction after which a connection is reset.
+     * Returns the number of bytes in a direction after which a connection is reset.
      *
      * @param direction The direction.
      * @return The number of bytes, or empty if connections are not reset.
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/proxy/LinkMode.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/proxy/LinkMode.java
@@ -1,11 +1,14 @@
 package io.yuccaswitch.testkit.proxy;
 
-/** What a link does with connections. */
+/** The ways in which a link handles connections. */
 public enum LinkMode {
-    /** It accepts connections and forwards bytes. */
+    /** Accepts connections and forwards data. */
     PASS,
-    /** It refuses new connections. Existing ones go on. */
+    /** Refuses new connections. Existing connections are not affected. */
     REFUSE,
-    /** It accepts connections and forwards nothing. What was sent meanwhile arrives once the link passes again. */
+    /**
+     * Accepts connections and forwards no data. Data that is sent in the meantime is delivered when the link passes
+     * again.
+     */
     BLACKHOLE
 }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/proxy/ProxyCommand.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/proxy/ProxyCommand.java
@@ -13,14 +13,14 @@
 @Parameters(commandDescription = "Runs a TCP proxy that injects faults, controlled over HTTP.")
 public final class ProxyCommand implements TestkitCommand {
 
-    /** A link: its name, its port and its target. */
-    private static final Pattern LINK = Pattern.compile("([^=]+)=(\\d+):(.+:\\d+)");
+    /** The format of a link: its name, its port and its target. */
+    private static final Pattern LINK_FORMAT = Pattern.compile("([^=]+)=(\\d+):(.+:\\d+)");
 
-    /** The port of the control interface. */
+    /** The port of the control interface, or zero for any free port. */
     @Parameter(names = "--port", description = "The control port on the loopback address; 0 takes any free one.")
     private int port;
 
-    /** The links. */
+    /** The links to create at startup. */
     @Parameter(names = "--link", description = "A link as NAME=PORT:IP:PORT; may be given several times.")
     private List<String> links = new ArrayList<>();
 
@@ -38,9 +38,9 @@
     public void run() {
         FaultProxy proxy = FaultProxy.start(port);
         for (String text : links) {
-            Matcher matcher = LINK.matcher(text);
+            Matcher matcher = LINK_FORMAT.matcher(text);
             if (!matcher.matches()) {
-                throw new ParameterException("Not a link: " + text);
+                throw new ParameterException("Link is not of the form NAME=PORT:IP:PORT: " + text);
             }
             Link link = proxy.add(matcher.group(1), Integer.parseInt(matcher.group(2)), matcher.group(3));
             System.out.println("link name=" + matcher.group(1) + " address=127.0.0.1:" + link.port());
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/proxy/Pump.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/proxy/Pump.java
@@ -9,16 +9,18 @@
 import java.util.concurrent.atomic.AtomicLong;
 import okio.ByteString;
 
-/** Forwards the bytes of one direction of a connection: one thread reads, and another one writes once bytes are due. */
+/**
+ * Forwards the data of one direction of a connection: one thread reads, and another one writes when the data is due.
+ */
 final class Pump {
 
     /** The size of the chunks in which bytes are read. */
-    private static final int CHUNK_SIZE = 8192;
+    private static final int CHUNK_BYTES = 8192;
 
-    /** The largest number of chunks that wait, beyond which the sender is slowed down. */
+    /** The maximum number of waiting chunks, beyond which the sender is slowed down by backpressure. */
     private static final int MAXIMUM_CHUNKS = 128;
 
-    /** The number of writes each second into which a throttled stream is split. */
+    /** The number of writes per second into which a throttled stream is split. */
     private static final int THROTTLED_WRITES_PER_SECOND = 50;
 
     /** The direction. */
@@ -30,20 +32,20 @@
     /** The socket to write to. */
     private final Socket sink;
 
-    /** The faults that are in force. */
-    private final FaultSwitch faults;
+    /** The active faults. */
+    private final ActiveFaults faults;
 
-    /** The bytes that were forwarded by all connections of the link in this direction. */
+    /** The number of bytes forwarded by all connections of the link in this direction. */
     private final AtomicLong total;
 
-    /** The chunks that wait to be written. An empty chunk ends the stream. */
+    /** The chunks to write. An empty chunk marks the end of the stream. */
     private final BlockingQueue<Chunk> chunks = new LinkedBlockingQueue<>(MAXIMUM_CHUNKS);
 
-    /** The faults for which {@link #counted} counts, used by the writing thread only. */
-    private LinkFaults countedFor = LinkFaults.NONE;
+    /** The faults to which {@link #forwardedBytes} applies, used by the writing thread only. */
+    private LinkFaults countedFaults = LinkFaults.NONE;
 
-    /** The bytes that were forwarded since these faults came into force, used by the writing thread only. */
-    private long counted;
+    /** The number of bytes forwarded since these faults became active, used by the writing thread only. */
+    private long forwardedBytes;
 
     /**
      * Creates a pump.
@@ -51,10 +53,10 @@
      * @param direction The direction.
      * @param source The socket to read from.
      * @param sink The socket to write to.
-     * @param faults The faults that are in force.
+     * @param faults The active faults.
      * @param total The count of forwarded bytes.
      */
-    Pump(Direction direction, Socket source, Socket sink, FaultSwitch faults, AtomicLong total) {
+    Pump(Direction direction, Socket source, Socket sink, ActiveFaults faults, AtomicLong total) {
         this.direction = direction;
         this.source = source;
         this.sink = sink;
@@ -66,10 +68,10 @@
      * Reads until the stream ends.
      *
      * @throws IOException If the connection breaks.
-     * @throws InterruptedException If the connection ends meanwhile.
+     * @throws InterruptedException If the connection ends in the meantime.
      */
     void read() throws IOException, InterruptedException {
-        byte[] buffer = new byte[CHUNK_SIZE];
+        byte[] buffer = new byte[CHUNK_BYTES];
         int size;
         do {
             size = Math.max(0, source.getInputStream().read(buffer));
@@ -80,8 +82,8 @@
     /**
      * Writes until the stream ends.
      *
-     * @throws IOException If the connection breaks, or is to be reset.
-     * @throws InterruptedException If the connection ends meanwhile.
+     * @throws IOException If the connection breaks or must be reset.
+     * @throws InterruptedException If the connection ends in the meantime.
      */
     void write() throws IOException, InterruptedException {
         while (true) {
@@ -98,11 +100,11 @@
     }
 
     /**
-     * Writes a chunk, split as the throttle and the reset require.
+     * Writes a chunk, split as required by the throttle and the reset.
      *
      * @param bytes The bytes of the chunk.
-     * @throws IOException If the connection breaks, or is to be reset.
-     * @throws InterruptedException If the connection ends meanwhile.
+     * @throws IOException If the connection breaks or must be reset.
+     * @throws InterruptedException If the connection ends in the meantime.
      */
     private void writeAll(ByteString bytes) throws IOException, InterruptedException {
         int offset = 0;
@@ -111,7 +113,7 @@
             int size = allowed(current, bytes.size() - offset);
             sink.getOutputStream().write(bytes.substring(offset, offset + size).toByteArray());
             offset += size;
-            counted += size;
+            forwardedBytes += size;
             total.addAndGet(size);
             if (current.bytesPerSecond() > 0) {
                 TimeUnit.NANOSECONDS.sleep(size * TimeUnit.SECONDS.toNanos(1) / current.bytesPerSecond());
@@ -120,17 +122,17 @@
     }
 
     /**
-     * Returns how many bytes may be written at once.
+     * Returns the number of bytes that may be written at once.
      *
-     * @param current The faults that are in force.
-     * @param wanted The bytes that wait.
+     * @param current The active faults.
+     * @param wanted The number of bytes to write.
      * @return The number of bytes, at least one.
-     * @throws IOException If the connection is to be reset.
+     * @throws IOException If the connection must be reset.
      */
     private int allowed(LinkFaults current, int wanted) throws IOException {
-        if (!current.equals(countedFor)) {
-            countedFor = current;
-            counted = 0;
+        if (!current.equals(countedFaults)) {
+            countedFaults = current;
+            forwardedBytes = 0;
         }
         long size = wanted;
         if (current.bytesPerSecond() > 0) {
@@ -138,19 +140,19 @@
         }
         OptionalLong reset = current.resetAfter(direction);
         if (reset.isPresent()) {
-            size = Math.min(size, reset.getAsLong() - counted);
+            size = Math.min(size, reset.getAsLong() - forwardedBytes);
         }
         if (size <= 0) {
-            throw new IOException("reset by fault");
+            throw new IOException("connection reset by an injected fault");
         }
         return (int) size;
     }
 
     /**
-     * Bytes that were read at once.
+     * A chunk of bytes that were read at once.
      *
-     * @param bytes The bytes, none at the end of the stream.
-     * @param readAt The time in nanoseconds of the monotonic clock.
+     * @param bytes The bytes, which are empty at the end of the stream.
+     * @param readAt The time of the read, in nanoseconds of the monotonic clock.
      */
     private record Chunk(ByteString bytes, long readAt) {}
 }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/proxy/package-info.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/proxy/package-info.java
@@ -1,2 +1,2 @@
-/** A TCP proxy that stands between two processes and injects faults of the network. */
+/** A TCP proxy between processes that injects network faults. */
 package io.yuccaswitch.testkit.proxy;
--- a/yuccaswitch-testkit/src/test/java/io/yuccaswitch/testkit/proxy/LinkTest.java
+++ b/yuccaswitch-testkit/src/test/java/io/yuccaswitch/testkit/proxy/LinkTest.java
@@ -20,7 +20,7 @@
 
 class LinkTest {
 
-    private static final int SHORT_TIMEOUT_MILLIS = 200;
+    private static final int SILENCE_TIMEOUT_MILLIS = 200;
 
     private ServerSocket echo;
 
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void bytesPassInBothDirectionsAndAreCounted() throws IOException {
+    void bytesAreForwardedAndCountedInBothDirections() throws IOException {
         try (Socket socket = connect()) {
             send(socket, "hello");
             assertThat(receive(socket, 5)).isEqualTo("hello");
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aRefusingLinkKeepsItsPortAndAcceptsAgainAfterwards() throws IOException {
+    void aRefusingLinkReservesItsPortAndLaterAcceptsConnectionsAgain() throws IOException {
         link.apply(LinkFaults.of(LinkMode.REFUSE));
         assertThatThrownBy(this::connect).isInstanceOf(ConnectException.class);
         link.apply(LinkFaults.NONE);
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void aBlackholeKeepsSilentUntilTheLinkPassesAgain() throws IOException {
+    void aBlackholeForwardsNothingUntilTheLinkPassesAgain() throws IOException {
         link.apply(LinkFaults.of(LinkMode.BLACKHOLE));
         try (Socket socket = connect()) {
             send(socket, "late");
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void aOneWayCutLosesOnlyTheAnswers() throws IOException {
+    void aOneWayPartitionBlocksOnlyTheAnswers() throws IOException {
         link.apply(LinkFaults.NONE.withCut(Direction.DOWN));
         try (Socket socket = connect()) {
             send(socket, "hello");
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void aThrottledLinkTakesAtLeastTheTimeThatItsRateAllows() throws IOException {
+    void aThrottledLinkDoesNotExceedItsRate() throws IOException {
         link.apply(LinkFaults.NONE.withThrottle(1000));
         long startedAt = System.nanoTime();
         try (Socket socket = connect()) {
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void cuttingConnectionsResetsThoseThatAreOpen() throws IOException {
+    void cuttingConnectionsResetsOpenConnections() throws IOException {
         try (Socket socket = connect()) {
             send(socket, "hello");
             receive(socket, 5);
@@ -144,7 +144,7 @@
     }
 
     private static void assertSilent(Socket socket) throws IOException {
-        socket.setSoTimeout(SHORT_TIMEOUT_MILLIS);
+        socket.setSoTimeout(SILENCE_TIMEOUT_MILLIS);
         assertThatThrownBy(() -> receive(socket, 1)).isInstanceOf(SocketTimeoutException.class);
         socket.setSoTimeout(0);
     }
