--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/scorer/ScorerStandIn.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/scorer/ScorerStandIn.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A stand-in of a service that scores samples. Its protocol is described in docs/API.md. */
+/** A stand-in for a service that scores samples. Its protocol is described in docs/API.md. */
 public final class ScorerStandIn implements AutoCloseable {
 
     /** The status of an answer. */
@@ -26,15 +26,15 @@
     private static final int UNAVAILABLE = 503;
 
     /** The number of different scores. */
-    private static final int SCORES = 1_000;
+    private static final int DISTINCT_SCORES = 1_000;
 
     /** The options. */
     private final ScorerOptions options;
 
-    /** The numbers of runs by sample. */
+    /** The number of runs by sample. */
     private final Map<String, Integer> runs = new ConcurrentHashMap<>();
 
-    /** The number of calls that are being worked on. */
+    /** The number of calls in progress. */
     private final AtomicInteger active = new AtomicInteger();
 
     /** The server. */
@@ -60,18 +60,18 @@
     }
 
     /**
-     * Returns the faults that are ordered.
+     * Returns the injected faults.
      *
-     * @return The faults.
+     * @return The injected faults.
      */
     public Faults faults() {
         return server.faults();
     }
 
     /**
-     * Returns how often each sample was scored.
+     * Returns the number of times that each sample was scored.
      *
-     * @return The numbers of runs by {@code trainer/step/group/index}.
+     * @return The number of runs by {@code trainer/step/group/index}.
      */
     public Map<String, Integer> runs() {
         return Map.copyOf(runs);
@@ -93,7 +93,7 @@
         long hash = Hashing.farmHashFingerprint64()
                 .hashString(text, StandardCharsets.UTF_8)
                 .asLong();
-        return Math.floorMod(hash, SCORES) / (double) SCORES;
+        return Math.floorMod(hash, DISTINCT_SCORES) / (double) DISTINCT_SCORES;
     }
 
     /**
@@ -113,7 +113,7 @@
      * @param context The request.
      * @param answer The answer to write.
      * @throws IOException If the connection is broken.
-     * @throws InterruptedException If the server is stopped meanwhile.
+     * @throws InterruptedException If the server is stopped in the meantime.
      */
     private void score(Context context, Answer answer) throws IOException, InterruptedException {
         if (faults().take(Fault.RESETS_BEFORE_RUN)) {
@@ -125,7 +125,7 @@
             return;
         }
         JsonNode body = Json.parse(context.bodyAsBytes());
-        runs.merge(sample(body), 1, Integer::sum);
+        runs.merge(sampleId(body), 1, Integer::sum);
         active.incrementAndGet();
         try {
             TimeUnit.MILLISECONDS.sleep(options.scoreMillis);
@@ -141,12 +141,12 @@
     }
 
     /**
-     * Returns the identity of a sample.
+     * Returns the identifier of a sample.
      *
      * @param body The body of the request.
-     * @return The identity as {@code trainer/step/group/index}.
+     * @return The identifier as {@code trainer/step/group/index}.
      */
-    private static String sample(JsonNode body) {
+    private static String sampleId(JsonNode body) {
         return String.join(
                 "/",
                 body.path("trainer").asText(),
@@ -156,7 +156,7 @@
     }
 
     /**
-     * Makes a load report.
+     * Creates a load report.
      *
      * @return The report.
      */
@@ -173,9 +173,10 @@
     }
 
     /**
-     * Makes the record of what was scored.
+     * Creates the record of the scored samples.
      *
-     * @return The numbers of runs by sample, and the number of samples that were scored twice against the rule.
+     * @return The number of runs by sample, and the number of samples that were scored more than once although that is
+     *     forbidden.
      */
     private ObjectNode records() {
         ObjectNode body = Json.object();
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/scorer/package-info.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/scorer/package-info.java
@@ -1,2 +1,2 @@
-/** A stand-in of a service that scores samples. */
+/** A stand-in for a service that scores samples. */
 package io.yuccaswitch.testkit.scorer;
