--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/service/RequestLedger.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/service/RequestLedger.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** What became of each request of a plain service, and how often it ran. */
+/** Records the outcome and the number of runs of each request of a plain service. */
 final class RequestLedger {
 
     /** The entries by request id. */
     private final Map<String, Entry> entries = new HashMap<>();
 
     /**
-     * Begins a run, unless the service has promised that the request does not run.
+     * Records the start of a run, unless the service has promised that the request does not run.
      *
      * @param requestId The identifier of the request.
-     * @return {@code false} if the request must not run any more.
+     * @return {@code false} if the request must not run.
      */
     synchronized boolean begin(String requestId) {
         Entry entry = entries.getOrDefault(requestId, Entry.NONE);
@@ -26,7 +26,7 @@
     }
 
     /**
-     * Ends a run.
+     * Records the end of a run.
      *
      * @param requestId The identifier of the request.
      * @param body The body of its answer.
@@ -37,10 +37,10 @@
     }
 
     /**
-     * Says what became of a request. One that did not run is never run from here on.
+     * Returns the state of a request. If it has not run yet, it is prevented from running later.
      *
      * @param requestId The identifier of the request.
-     * @return The entry.
+     * @return The entry before this call.
      */
     synchronized Entry settle(String requestId) {
         Entry entry = entries.getOrDefault(requestId, Entry.NONE);
@@ -51,9 +51,9 @@
     }
 
     /**
-     * Returns how often each request ran.
+     * Returns the number of runs of each request.
      *
-     * @return The numbers of runs by request id.
+     * @return The number of runs by request id.
      */
     synchronized Map<String, Integer> runs() {
         Map<String, Integer> runs = new HashMap<>();
@@ -62,16 +62,16 @@
     }
 
     /**
-     * What became of a request.
+     * The recorded state of a request.
      *
-     * @param runs The number of runs that began.
-     * @param finished The number of runs that ended.
+     * @param runs The number of started runs.
+     * @param finished The number of finished runs.
      * @param body The body of the latest answer, or empty if there is none.
      * @param barred Whether the service has promised that the request does not run.
      */
     record Entry(int runs, int finished, Optional<String> body, boolean barred) {
 
-        /** The entry of a request that never came. */
+        /** The entry of a request that was never received. */
         static final Entry NONE = new Entry(0, 0, Optional.empty(), false);
 
         /**
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/service/ServiceOptions.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/service/ServiceOptions.java
@@ -2,22 +2,22 @@
 
 import com.beust.jcommander.Parameter;
 
-/** The options of the stand-in of a plain service. */
+/** The options of the stand-in for a plain service. */
 public final class ServiceOptions {
 
-    /** The port to listen on. */
-    @Parameter(names = "--port", description = "The port to listen on, zero for any.")
+    /** The port to listen on, or zero for any free port. */
+    @Parameter(names = "--port", description = "The port to listen on, zero for any free port.")
     public int port;
 
-    /** The time that a request takes. */
-    @Parameter(names = "--service-millis", description = "The time that a request takes.")
+    /** The duration of running a request. */
+    @Parameter(names = "--service-millis", description = "The duration of running a request.")
     public long serviceMillis = 5;
 
-    /** The number of requests that run at the same time. */
-    @Parameter(names = "--capacity", description = "The number of requests that run at the same time.")
+    /** The maximum number of requests that run concurrently. */
+    @Parameter(names = "--capacity", description = "The maximum number of requests that run concurrently.")
     public int capacity = 32;
 
-    /** Whether the service can say what became of a request. */
+    /** Whether the service can report the outcome of a request. */
     @Parameter(names = "--settles-requests", description = "Answer GET /requests/{id}.")
     public boolean settlesRequests;
 
@@ -25,7 +25,7 @@
     @Parameter(names = "--name", description = "The name of the endpoint in its observations.")
     public String name = "";
 
-    /** The file that takes the observations of runs. */
-    @Parameter(names = "--observations", description = "The file that takes the observations of runs.")
+    /** The file to which the observations of runs are written. */
+    @Parameter(names = "--observations", description = "The file to which the observations of runs are written.")
     public String observations = "";
 }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/service/ServiceStandIn.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/service/ServiceStandIn.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
 
-/** A stand-in of a plain service. Its protocol is described in docs/API.md. */
+/** A stand-in for a plain service. Its protocol is described in docs/API.md. */
 public final class ServiceStandIn implements AutoCloseable {
 
     /** The status of an answer. */
@@ -37,13 +37,13 @@
     /** The options. */
     private final ServiceOptions options;
 
-    /** What became of the requests. */
+    /** The outcomes of the requests. */
     private final RequestLedger ledger = new RequestLedger();
 
-    /** Where the runs are recorded. */
+    /** The log in which runs are recorded. */
     private final RunLog runLog;
 
-    /** The permits to run. */
+    /** The permits for concurrent runs. */
     private final Semaphore permits;
 
     /** The server. */
@@ -71,18 +71,18 @@
     }
 
     /**
-     * Returns the faults that are ordered.
+     * Returns the injected faults.
      *
-     * @return The faults.
+     * @return The injected faults.
      */
     public Faults faults() {
         return server.faults();
     }
 
     /**
-     * Returns how often each request ran.
+     * Returns the number of runs of each request.
      *
-     * @return The numbers of runs by request id.
+     * @return The number of runs by request id.
      */
     public Map<String, Integer> runs() {
         return ledger.runs();
@@ -111,7 +111,7 @@
      * @param context The request.
      * @param answer The answer to write.
      * @throws IOException If the connection is broken.
-     * @throws InterruptedException If the server is stopped meanwhile.
+     * @throws InterruptedException If the server is stopped in the meantime.
      */
     private void serve(Context context, Answer answer) throws IOException, InterruptedException {
         if (context.path().startsWith("/requests/")) {
@@ -132,10 +132,10 @@
             answer.refuse(CONFLICT, "settled-not-run");
             return;
         }
-        EndpointRun begun = runLog.recordStart(requestId, List.of());
+        EndpointRun startedRun = runLog.recordStart(requestId, List.of());
         String body = run(context, requestId);
         ledger.finish(requestId, body);
-        runLog.recordEnd(begun, true, List.of());
+        runLog.recordEnd(startedRun, true, List.of());
         if (faults().take(Fault.RESETS_AFTER_RUN)) {
             answer.closeConnection();
             return;
@@ -150,7 +150,7 @@
      * @param context The request.
      * @param requestId The identifier of the request.
      * @return The body of the answer.
-     * @throws InterruptedException If the server is stopped meanwhile.
+     * @throws InterruptedException If the server is stopped in the meantime.
      */
     private String run(Context context, String requestId) throws InterruptedException {
         permits.acquire();
@@ -169,12 +169,12 @@
     }
 
     /**
-     * Says what became of a request.
+     * Reports the outcome of a request.
      *
      * @param context The request.
      * @param answer The answer to write.
      * @throws IOException If the connection is broken.
-     * @throws InterruptedException If the server is stopped meanwhile.
+     * @throws InterruptedException If the server is stopped in the meantime.
      */
     private void settle(Context context, Answer answer) throws IOException, InterruptedException {
         faults().pause();
@@ -193,7 +193,7 @@
     }
 
     /**
-     * Makes a load report.
+     * Creates a load report.
      *
      * @return The report.
      */
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/service/package-info.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/service/package-info.java
@@ -1,2 +1,2 @@
-/** A stand-in of a plain service that counts how often each request ran. */
+/** A stand-in for a plain service that counts the runs of each request. */
 package io.yuccaswitch.testkit.service;
