--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/trainer/SampleTally.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/trainer/SampleStatistics.java
@@ -9,47 +9,47 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Checks the samples that a trainer receives, and counts them. */
-final class SampleTally {
+/** Checks and counts the samples that a trainer receives. */
+final class SampleStatistics {
 
     /** The staleness bound. */
     private final int bound;
 
-    /** The places of all samples that were received. */
-    private final Set<Slot> seen = new HashSet<>();
+    /** The slots of all received samples. */
+    private final Set<Slot> receivedSlots = new HashSet<>();
 
-    /** The number of received samples by the place of the first sample of their group. */
+    /** The number of received samples by the slot of the first sample of their group. */
     private final Map<Slot, Integer> groups = new HashMap<>();
 
-    /** The number of samples by the number of versions that they were behind. */
+    /** The number of samples by staleness in versions. */
     private final Map<Long, Long> staleness = new TreeMap<>();
 
-    /** The number of samples that were received again. */
+    /** The number of duplicate samples. */
     private long duplicates;
 
-    /** The number of samples that were past the bound. */
+    /** The number of samples that exceeded the staleness bound. */
     private long pastBound;
 
-    /** The number of samples that were not labelled. */
+    /** The number of samples without version labels for all of their tokens. */
     private long unlabelled;
 
     /**
-     * Creates a new tally.
+     * Creates empty statistics.
      *
      * @param bound The staleness bound.
      */
-    SampleTally(int bound) {
+    SampleStatistics(int bound) {
         this.bound = bound;
     }
 
     /**
-     * Counts a sample.
+     * Checks and counts a sample.
      *
      * @param sample The sample.
-     * @param tokens The number of tokens that the system says it has.
+     * @param tokens The number of tokens that the system reports for the sample.
      */
     void add(SampleReceived sample, int tokens) {
-        if (!seen.add(sample.slot())) {
+        if (!receivedSlots.add(sample.slot())) {
             duplicates++;
             return;
         }
@@ -62,15 +62,15 @@
         }
         long oldest =
                 sample.segments().stream().mapToLong(Segment::version).min().orElseThrow();
-        long behind = Math.max(0, sample.useVersion() - oldest);
-        staleness.merge(behind, 1L, Long::sum);
-        if (behind > bound) {
+        long lag = Math.max(0, sample.useVersion() - oldest);
+        staleness.merge(lag, 1L, Long::sum);
+        if (lag > bound) {
             pastBound++;
         }
     }
 
     /**
-     * Counts the groups of a step that were received.
+     * Returns the number of received groups of a step.
      *
      * @param step The step.
      * @return The number of groups.
@@ -80,12 +80,12 @@
     }
 
     /**
-     * Makes the report.
+     * Creates the report.
      *
      * @param options The options of the trainer.
-     * @param steps The number of steps that were trained.
-     * @param idleMillis The time that the trainer waited for samples.
-     * @param trainMillis The time that the trainer trained.
+     * @param steps The number of trained steps.
+     * @param idleMillis The time in milliseconds that the trainer waited for samples.
+     * @param trainMillis The time in milliseconds that the trainer trained.
      * @param client The client, for its counts.
      * @return The report.
      */
@@ -98,7 +98,7 @@
                 options.trainer,
                 steps,
                 groups.size(),
-                seen.size(),
+                receivedSlots.size(),
                 duplicates,
                 pastBound,
                 unlabelled,
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/trainer/TrainerClient.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/trainer/TrainerClient.java
@@ -18,18 +18,18 @@
 import okhttp3.Response;
 
 /**
- * Sends a trainer's requests, and sends each again through another address until it is answered. All requests of
- * trainers may be repeated.
+ * Sends the requests of a trainer, and retries each through another address until it succeeds. All requests of trainers
+ * may be repeated.
  */
 final class TrainerClient {
 
-    /** The pause before a request is sent again. */
-    private static final long PAUSE_MILLIS = 100;
+    /** The delay before a request is retried. */
+    private static final long RETRY_DELAY_MILLIS = 100;
 
     /** The content type of JSON. */
     private static final MediaType JSON = MediaType.get("application/json");
 
-    /** The status from which on an answer may differ the next time. */
+    /** The lowest status after which a request is retried. */
     private static final int SERVER_ERROR = 500;
 
     /** The client. */
@@ -41,13 +41,13 @@
     /** The options of the trainer. */
     private final TrainerOptions options;
 
-    /** The time at which the trainer gives up, on the monotonic clock. */
-    private final long limit;
+    /** The time at which the trainer times out, in nanoseconds of the monotonic clock. */
+    private final long deadlineNanos;
 
-    /** The number of requests that were sent. */
+    /** The number of sent requests. */
     private long attempts;
 
-    /** The number of requests that were not answered with success. */
+    /** The number of failed requests. */
     private long failures;
 
     /**
@@ -57,7 +57,7 @@
      */
     TrainerClient(TrainerOptions options) {
         this.options = options;
-        limit = System.nanoTime() + TimeUnit.SECONDS.toNanos(options.limitSeconds);
+        deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(options.limitSeconds);
         client = CallerClients.httpClient()
                 .newBuilder()
                 .callTimeout(options.timeoutMillis, TimeUnit.MILLISECONDS)
@@ -67,7 +67,7 @@
     }
 
     /**
-     * Sends a request until it is answered.
+     * Sends a request until it succeeds.
      *
      * @param action The action, such as {@code pull}.
      * @param body The body.
@@ -75,9 +75,9 @@
      * @throws InterruptedException If the thread is interrupted.
      */
     JsonNode post(String action, Object body) throws InterruptedException {
-        Set<String> avoided = new HashSet<>();
-        while (System.nanoTime() < limit) {
-            Optional<EntryAddress> address = directory.pick(avoided);
+        Set<String> avoidedNodes = new HashSet<>();
+        while (System.nanoTime() < deadlineNanos) {
+            Optional<EntryAddress> address = directory.pick(avoidedNodes);
             if (address.isPresent()) {
                 attempts++;
                 Optional<JsonNode> answer = exchange(address.get(), action, Json.write(body));
@@ -85,10 +85,10 @@
                     return answer.get();
                 }
                 failures++;
-                avoided.clear();
-                avoided.add(address.get().node());
+                avoidedNodes.clear();
+                avoidedNodes.add(address.get().node());
             }
-            Thread.sleep(PAUSE_MILLIS);
+            Thread.sleep(RETRY_DELAY_MILLIS);
         }
         throw new IllegalStateException("No answer to " + action + " within " + options.limitSeconds + " s");
     }
@@ -99,7 +99,7 @@
      * @param address The address to use.
      * @param action The action.
      * @param body The body.
-     * @return The body of the answer, or empty if there was none or it asked to try again.
+     * @return The body of the answer, or empty if the request failed and may be retried.
      */
     private Optional<JsonNode> exchange(EntryAddress address, String action, String body) {
         Request.Builder request = new Request.Builder()
@@ -114,7 +114,7 @@
             System.err.println("refused action=" + action + " node=" + address.node() + " status=" + response.code()
                     + " body=" + text);
             if (response.code() < SERVER_ERROR) {
-                throw new IllegalStateException("Refused for good: " + text);
+                throw new IllegalStateException("Request refused permanently: " + text);
             }
             return Optional.empty();
         } catch (IOException | UncheckedIOException exception) {
@@ -124,7 +124,7 @@
     }
 
     /**
-     * Returns the number of requests that were sent.
+     * Returns the number of sent requests.
      *
      * @return The number of requests.
      */
@@ -133,7 +133,7 @@
     }
 
     /**
-     * Returns the number of requests that were not answered with success.
+     * Returns the number of failed requests.
      *
      * @return The number of requests.
      */
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/trainer/TrainerCommand.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/trainer/TrainerCommand.java
@@ -13,8 +13,11 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** The subcommand that runs the trainer stand-in. It fails if a sample came twice, too old or without its label. */
-@Parameters(commandDescription = "Trains on samples, and checks that each comes once, fresh and labelled.")
+/**
+ * The subcommand that runs the trainer stand-in. It fails if a sample is a duplicate, too stale or not labelled, or if
+ * a group is incomplete.
+ */
+@Parameters(commandDescription = "Trains on samples, and checks that each arrives once, fresh and labelled.")
 public final class TrainerCommand implements TestkitCommand {
 
     /** The options of the stand-in. */
@@ -30,15 +33,15 @@
     /** {@inheritDoc} */
     @Override
     public void run() throws IOException, InterruptedException {
-        Optional<TrainerState> kept = Optional.ofNullable(options.state).flatMap(TrainerState::read);
-        TrainerState state = kept.map(read -> options.forgetCursor ? read.withoutCursor() : read)
+        Optional<TrainerState> saved = Optional.ofNullable(options.state).flatMap(TrainerState::read);
+        TrainerState state = saved.map(read -> options.forgetCursor ? read.withoutCursor() : read)
                 .orElseGet(() -> new TrainerState(0, options.firstVersion, Optional.empty(), 0, 0));
         if (options.records == null) {
             train(state, List.of(), _observation -> {});
             return;
         }
         List<Observation> earlier =
-                kept.isPresent() && Files.exists(options.records) ? ObservationLog.read(options.records) : List.of();
+                saved.isPresent() && Files.exists(options.records) ? ObservationLog.read(options.records) : List.of();
         List<Observation> before = earlier.subList(0, Math.min(state.records(), earlier.size()));
         Files.deleteIfExists(options.records);
         try (ObservationLog log = new ObservationLog(options.records)) {
@@ -50,9 +53,9 @@
     /**
      * Trains and writes the report.
      *
-     * @param state The state to go on from.
-     * @param before The records up to the state.
-     * @param recorder Takes what is recorded from now on.
+     * @param state The state from which to resume.
+     * @param before The records that belong to the state.
+     * @param recorder The receiver of further records.
      * @throws IOException If a file can't be read or written.
      * @throws InterruptedException If the thread is interrupted.
      */
@@ -69,8 +72,8 @@
         } else {
             Files.writeString(options.report, text);
         }
-        if (!report.sound()) {
-            throw new IllegalStateException("A promise was broken: " + text);
+        if (!report.passed()) {
+            throw new IllegalStateException("samples violate the promises of the system: " + text);
         }
     }
 }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/trainer/TrainerOptions.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/trainer/TrainerOptions.java
@@ -8,7 +8,7 @@
 /** The options of the trainer stand-in. */
 public final class TrainerOptions {
 
-    /** The entry addresses to ask first. */
+    /** The entry addresses to query initially. */
     @Parameter(names = "--entry", required = true, description = "Entry addresses as host:port, several with commas")
     public List<String> entryAddresses = new ArrayList<>();
 
@@ -40,16 +40,16 @@
     @Parameter(names = "--group-size", description = "Number of samples in a group")
     public int groupSize = 4;
 
-    /** The largest number of tokens of a sample. */
-    @Parameter(names = "--maximum-tokens", description = "Largest number of tokens of a sample")
+    /** The maximum number of tokens of a sample. */
+    @Parameter(names = "--maximum-tokens", description = "Maximum number of tokens of a sample")
     public int maximumTokens = 512;
 
-    /** The number of steps that are submitted ahead. */
+    /** The number of steps whose groups are submitted ahead. */
     @Parameter(names = "--ahead", description = "Number of steps whose groups are submitted ahead")
     public int ahead = 1;
 
-    /** The time that the training of a step takes. */
-    @Parameter(names = "--train-millis", description = "Time that the training of a step takes")
+    /** The duration of training a step in milliseconds. */
+    @Parameter(names = "--train-millis", description = "Duration of training a step")
     public long trainMillis = 500;
 
     /** The staleness bound to check. */
@@ -60,39 +60,41 @@
     @Parameter(names = "--first-version", description = "Version that is published before the first step")
     public long firstVersion = 1;
 
-    /** The largest number of groups of a pull. */
-    @Parameter(names = "--pull-groups", description = "Largest number of groups of a pull")
+    /** The maximum number of groups of a pull. */
+    @Parameter(names = "--pull-groups", description = "Maximum number of groups of a pull")
     public int pullGroups = 16;
 
-    /** The time that a pull waits for groups. */
+    /** The time in milliseconds that a pull waits for groups. */
     @Parameter(names = "--wait-millis", description = "Time that a pull waits for groups")
     public long waitMillis = 1_000;
 
-    /** The time after which a request is sent again through another address. */
-    @Parameter(names = "--timeout-millis", description = "Time after which a request is sent again")
+    /** The time in milliseconds after which a request is retried through another address. */
+    @Parameter(names = "--timeout-millis", description = "Time after which a request is retried")
     public long timeoutMillis = 6_000;
 
-    /** The time after which the trainer gives up. */
-    @Parameter(names = "--limit-seconds", description = "Time after which the trainer gives up")
+    /** The time in seconds after which the trainer times out. */
+    @Parameter(names = "--limit-seconds", description = "Time after which the trainer times out")
     public long limitSeconds = 600;
 
     /** The file of the records. */
-    @Parameter(names = "--records", description = "File of what was accepted and received, one JSON document a line")
+    @Parameter(
+            names = "--records",
+            description = "File of accepted groups and received samples, one JSON document per line")
     public Path records;
 
     /** The file of the state. */
-    @Parameter(names = "--state", description = "File of the cursor, from which a restarted trainer goes on")
+    @Parameter(names = "--state", description = "File of the state, from which a restarted trainer resumes")
     public Path state;
 
-    /** Whether a restarted trainer goes on without its cursor. */
-    @Parameter(names = "--forget-cursor", description = "Go on without the cursor of the state file")
+    /** Whether a restarted trainer resumes without its cursor. */
+    @Parameter(names = "--forget-cursor", description = "Resume without the cursor of the state file")
     public boolean forgetCursor;
 
     /** The file of the report. */
     @Parameter(names = "--report", description = "File of the report; standard output if not given")
     public Path report;
 
-    /** The file whose presence ends the training after the steps that were submitted. */
+    /** The file whose presence ends the training after the submitted steps. */
     @Parameter(names = "--finish-file", description = "File whose presence ends the training early")
     public Path finishFile;
 }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/trainer/TrainerRun.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/trainer/TrainerRun.java
@@ -18,11 +18,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** Trains: submits groups, takes samples step by step, and publishes a version after each step. */
+/** A training run, which submits groups, receives samples step by step, and publishes a version after each step. */
 final class TrainerRun {
 
-    /** The pause before refused groups are submitted again. */
-    private static final long RESUBMIT_MILLIS = 250;
+    /** The delay before refused groups are submitted again. */
+    private static final long RESUBMIT_DELAY_MILLIS = 250;
 
     /** The options. */
     private final TrainerOptions options;
@@ -30,28 +30,28 @@
     /** The prompts. */
     private final List<String> prompts;
 
-    /** Sends requests. */
+    /** The client that sends requests. */
     private final TrainerClient client;
 
-    /** Takes what is recorded. */
+    /** The receiver of records. */
     private final Consumer<Observation> recorder;
 
-    /** Checks samples. */
-    private final SampleTally tally;
+    /** The checks and counts of samples. */
+    private final SampleStatistics statistics;
 
     /** The steps whose groups were submitted. */
     private final Set<Long> submitted = new HashSet<>();
 
-    /** What is kept over a restart. */
+    /** The state that survives a restart. */
     private TrainerState state;
 
-    /** The number of records. */
+    /** The number of records written so far. */
     private int records;
 
-    /** The time that was spent waiting for samples. */
+    /** The time in milliseconds spent waiting for samples. */
     private long idleMillis;
 
-    /** The time that was spent training. */
+    /** The time in milliseconds spent training. */
     private long trainMillis;
 
     /**
@@ -59,9 +59,9 @@
      *
      * @param options The options.
      * @param prompts The prompts.
-     * @param state The state to go on from.
-     * @param earlier The records up to the state.
-     * @param recorder Takes what is recorded from now on.
+     * @param state The state from which to resume.
+     * @param earlier The records that belong to the state.
+     * @param recorder The receiver of further records.
      */
     TrainerRun(
             TrainerOptions options,
@@ -74,11 +74,11 @@
         this.state = state;
         this.recorder = recorder;
         client = new TrainerClient(options);
-        tally = new SampleTally(options.stalenessBound);
+        statistics = new SampleStatistics(options.stalenessBound);
         records = earlier.size();
         for (Observation observation : earlier) {
             if (observation instanceof SampleReceived sample) {
-                tally.add(
+                statistics.add(
                         sample,
                         sample.segments().stream().mapToInt(Segment::tokens).sum());
             }
@@ -96,25 +96,25 @@
         long first = state.step();
         while (state.step() < steps()) {
             long step = state.step();
-            long begun = System.nanoTime();
+            long startedAt = System.nanoTime();
             for (long ahead = step; ahead <= step + options.ahead && ahead < steps(); ahead++) {
                 submit(ahead);
             }
-            while (tally.groups(step) < options.groups) {
+            while (statistics.groups(step) < options.groups) {
                 pull(step);
             }
-            idleMillis += millisSince(begun);
+            idleMillis += millisSince(startedAt);
             train(step);
             publish(state.version() + 1);
             state = state.withNextStep(state.version() + 1);
             save();
         }
         acknowledge();
-        return tally.report(options, state.step() - first, idleMillis, trainMillis, client);
+        return statistics.report(options, state.step() - first, idleMillis, trainMillis, client);
     }
 
     /**
-     * Returns the number of steps, which ends with those that are submitted once the training shall end early.
+     * Returns the number of steps to train. If the training must end early, these are the steps already submitted.
      *
      * @return The number of steps.
      */
@@ -148,20 +148,20 @@
         if (!submitted.add(step)) {
             return;
         }
-        Set<Integer> open = new HashSet<>();
+        Set<Integer> pending = new HashSet<>();
         for (int group = 0; group < options.groups; group++) {
-            open.add(group);
+            pending.add(group);
         }
-        while (!open.isEmpty()) {
-            JsonNode answer = client.post("groups", submission(step, open));
+        while (!pending.isEmpty()) {
+            JsonNode answer = client.post("groups", submission(step, pending));
             for (JsonNode accepted : answer.path("accepted")) {
                 int group = accepted.path("group").asInt();
-                if (open.remove(group)) {
+                if (pending.remove(group)) {
                     record(new GroupAccepted(new Slot(options.trainer, step, group, 0), options.groupSize));
                 }
             }
-            if (!open.isEmpty()) {
-                Thread.sleep(RESUBMIT_MILLIS);
+            if (!pending.isEmpty()) {
+                Thread.sleep(RESUBMIT_DELAY_MILLIS);
             }
         }
         state = state.withRecords(records);
@@ -169,7 +169,7 @@
     }
 
     /**
-     * Makes the body of a submission.
+     * Creates the body of a submission.
      *
      * @param step The step.
      * @param groups The numbers of the groups.
@@ -191,7 +191,7 @@
     }
 
     /**
-     * Acknowledges the last batch, such that the system need not keep it any longer.
+     * Acknowledges the last batch, so that the system does not need to retain it any longer.
      *
      * @throws InterruptedException If the thread is interrupted.
      */
@@ -204,7 +204,7 @@
     }
 
     /**
-     * Pulls once, and takes what is handed over.
+     * Pulls once, and processes the delivered groups.
      *
      * @param step The step to pull for.
      * @throws InterruptedException If the thread is interrupted.
@@ -218,18 +218,18 @@
                 .put("waitMillis", options.waitMillis);
         JsonNode answer = client.post("pull", body);
         for (JsonNode group : answer.path("groups")) {
-            take(group);
+            receive(group);
         }
         state = state.withBatch(answer.path("cursor").asText(), records);
         save();
     }
 
     /**
-     * Takes the samples of a group.
+     * Processes the samples of a group.
      *
      * @param group The group.
      */
-    private void take(JsonNode group) {
+    private void receive(JsonNode group) {
         for (JsonNode sample : group.path("samples")) {
             List<Segment> segments = new ArrayList<>();
             for (JsonNode segment : sample.path("segments")) {
@@ -244,22 +244,22 @@
                     sample.path("index").asInt());
             SampleReceived received = new SampleReceived(
                     slot, state.version(), segments, sample.path("text").asText());
-            tally.add(received, sample.path("tokens").asInt());
+            statistics.add(received, sample.path("tokens").asInt());
             record(received);
         }
     }
 
     /**
-     * Trains a step.
+     * Simulates the training of a step.
      *
      * @param step The step.
      * @throws InterruptedException If the thread is interrupted.
      */
     private void train(long step) throws InterruptedException {
         System.err.println("trained step=" + step + " version=" + state.version() + " idleMillis=" + idleMillis);
-        long begun = System.nanoTime();
+        long startedAt = System.nanoTime();
         Thread.sleep(options.trainMillis);
-        trainMillis += millisSince(begun);
+        trainMillis += millisSince(startedAt);
     }
 
     /**
@@ -272,18 +272,18 @@
         records++;
     }
 
-    /** Writes the state, if it is kept. */
+    /** Writes the state, if a state file is configured. */
     private void save() {
         Optional.ofNullable(options.state).ifPresent(file -> state.write(file));
     }
 
     /**
-     * Returns the time since a point of the monotonic clock.
+     * Returns the time elapsed since a start time.
      *
-     * @param begun The point.
+     * @param startedAt The start time, in nanoseconds of the monotonic clock.
      * @return The time in milliseconds.
      */
-    private static long millisSince(long begun) {
-        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
+    private static long millisSince(long startedAt) {
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt);
     }
 }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/trainer/TrainerState.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/trainer/TrainerState.java
@@ -11,14 +11,14 @@
 import java.util.Optional;
 
 /**
- * What a trainer keeps over a restart. A batch counts as taken once the state with its cursor is on disk; records
- * behind it are cut off at a restart.
+ * The state of a trainer that survives a restart. A batch counts as received when the state with its cursor is on disk.
+ * Later records are discarded at a restart.
  *
- * @param step The step that the trainer takes samples for.
+ * @param step The step for which the trainer receives samples.
  * @param version The version that the trainer published last.
  * @param cursor The cursor, or empty before the first batch.
- * @param records The number of records up to this state.
- * @param acknowledgedRecords The number of records up to the latest batch that the system knows to be taken.
+ * @param records The number of records that belong to this state.
+ * @param acknowledgedRecords The number of records up to the latest batch that was acknowledged to the system.
  */
 @JsonInclude(JsonInclude.Include.NON_ABSENT)
 record TrainerState(long step, long version, Optional<String> cursor, int records, int acknowledgedRecords) {
@@ -27,11 +27,11 @@
     private static final ObjectMapper MAPPER = new ObjectMapper().registerModule(new Jdk8Module());
 
     /**
-     * Returns this state after a batch was taken. The batch before is then known to the system.
+     * Returns this state after a batch was received. This acknowledges the previous batch to the system.
      *
-     * @param taken The cursor after the batch.
-     * @param written The number of records, those of the batch included.
-     * @return The changed state.
+     * @param taken The cursor that follows the batch.
+     * @param written The number of records, including those of the batch.
+     * @return The modified copy.
      */
     TrainerState withBatch(String taken, int written) {
         return new TrainerState(step, version, Optional.of(taken), written, records);
@@ -41,7 +41,7 @@
      * Returns this state after records were written that belong to no batch.
      *
      * @param written The number of records.
-     * @return The changed state.
+     * @return The modified copy.
      */
     TrainerState withRecords(int written) {
         return new TrainerState(step, version, cursor, written, acknowledgedRecords);
@@ -51,16 +51,16 @@
      * Returns this state at the next step.
      *
      * @param published The version that was published after the step.
-     * @return The changed state.
+     * @return The modified copy.
      */
     TrainerState withNextStep(long published) {
         return new TrainerState(step + 1, published, cursor, records, acknowledgedRecords);
     }
 
     /**
-     * Returns this state without its cursor and without the batch that the system may not know to be taken.
+     * Returns this state without its cursor and without the batch that may not have been acknowledged to the system.
      *
-     * @return The changed state.
+     * @return The modified copy.
      */
     TrainerState withoutCursor() {
         return new TrainerState(step, version, Optional.empty(), acknowledgedRecords, acknowledgedRecords);
@@ -84,7 +84,7 @@
     }
 
     /**
-     * Writes this state in place of the one before.
+     * Atomically replaces the stored state by this state.
      *
      * @param file The file.
      */
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/trainer/package-info.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/trainer/package-info.java
@@ -1,2 +1,4 @@
-/** A stand-in of a trainer, which takes samples and checks that each one comes once, fresh and labelled. */
+/**
+ * A stand-in for a trainer, which checks that it receives each sample once, within its staleness bound and labelled.
+ */
 package io.yuccaswitch.testkit.trainer;
--- a/yuccaswitch-testkit/src/test/java/io/yuccaswitch/testkit/trainer/TrainerCommandTest.java
+++ b/yuccaswitch-testkit/src/test/java/io/yuccaswitch/testkit/trainer/TrainerCommandTest.java
@@ -23,18 +23,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Runs the trainer against a small system of its own, whose samples can be made wrong. */
+/** Runs the trainer against a simulated system that can deliver invalid samples. */
 final class TrainerCommandTest {
 
     @TempDir
     private Path folder;
 
-    private final Set<JsonNode> open = new HashSet<>();
+    private final Set<JsonNode> pendingGroups = new HashSet<>();
     private final List<JsonNode> delivered = new ArrayList<>();
-    private long age;
-    private boolean doubles;
+    private long staleness;
+    private boolean deliversDuplicates;
     private boolean unlabelled;
-    private boolean refusesOnce = true;
+    private boolean refusesNextPull = true;
     private StandInServer server;
 
     @BeforeEach
@@ -48,11 +48,11 @@
                     "/v1/trainers/matcher/groups",
                     (context, answer) -> answer.json(200, accept(Json.parse(context.bodyAsBytes()))));
             routes.post("/v1/trainers/matcher/pull", (context, answer) -> {
-                if (refusesOnce) {
-                    refusesOnce = false;
+                if (refusesNextPull) {
+                    refusesNextPull = false;
                     answer.refuse(503, "keepers-unreachable");
                 } else {
-                    answer.json(200, handOver(Json.parse(context.bodyAsBytes())));
+                    answer.json(200, deliver(Json.parse(context.bodyAsBytes())));
                 }
             });
         });
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aSoundRunEndsWithItsReportAndRecords() throws IOException, InterruptedException {
+    void aValidRunWritesItsReportAndRecords() throws IOException, InterruptedException {
         run();
 
         JsonNode report = Json.parse(Files.readAllBytes(folder.resolve("report")));
@@ -82,19 +82,19 @@
     }
 
     @Test
-    void aDoubledSampleIsSeen() {
-        doubles = true;
+    void aDuplicateSampleIsDetected() {
+        deliversDuplicates = true;
         assertThatThrownBy(this::run).hasMessageContaining("\"duplicates\" : 2");
     }
 
     @Test
-    void aSamplePastTheBoundIsSeen() {
-        age = 2;
+    void aSampleThatExceedsTheStalenessBoundIsDetected() {
+        staleness = 2;
         assertThatThrownBy(this::run).hasMessageContaining("\"pastBound\" : 12");
     }
 
     @Test
-    void aSampleWithoutLabelIsSeen() {
+    void aSampleWithoutVersionLabelIsDetected() {
         unlabelled = true;
         assertThatThrownBy(this::run).hasMessageContaining("\"unlabelled\" : 12");
     }
@@ -148,7 +148,7 @@
         ArrayNode accepted = answer.putArray("accepted");
         answer.putArray("refused");
         for (JsonNode group : body.path("groups")) {
-            open.add(group);
+            pendingGroups.add(group);
             accepted.addObject()
                     .put("step", group.path("step").asLong())
                     .put("group", group.path("group").asInt());
@@ -156,14 +156,14 @@
         return answer;
     }
 
-    private Object handOver(JsonNode pull) {
+    private Object deliver(JsonNode pull) {
         ObjectNode answer = Json.object().put("cursor", "cursor").put("remaining", 0);
         ArrayNode groups = answer.putArray("groups");
-        List<JsonNode> batch = open.stream()
+        List<JsonNode> batch = pendingGroups.stream()
                 .filter(group -> group.path("step").equals(pull.path("step")))
                 .toList();
-        open.removeAll(batch);
-        if (doubles && delivered.size() == 2) {
+        pendingGroups.removeAll(batch);
+        if (deliversDuplicates && delivered.size() == 2) {
             groups.add(group(delivered.get(0), pull.path("useVersion").asLong()));
         }
         delivered.addAll(batch);
@@ -181,7 +181,7 @@
                     samples.addObject().put("index", index).put("text", "text").put("tokens", 3);
             ObjectNode segment = sample.putArray("segments").addObject().put("tokens", 3);
             if (!unlabelled) {
-                segment.put("version", useVersion - age);
+                segment.put("version", useVersion - staleness);
             }
         }
         return group;
