--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/weightstore/WeightStoreCommand.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/weightstore/WeightStoreCommand.java
@@ -8,8 +8,8 @@
 @Parameters(commandDescription = "Runs the weight-store stand-in.")
 public final class WeightStoreCommand implements TestkitCommand {
 
-    /** The status of a process that died by an ordered fault. */
-    private static final int KILLED = 137;
+    /** The exit code after an injected crash, as of a process that was killed by SIGKILL. */
+    private static final int EXIT_KILLED = 137;
 
     /** The options of the stand-in. */
     @ParametersDelegate
@@ -25,7 +25,7 @@
     @Override
     public void run() {
         WeightStoreStandIn standIn = new WeightStoreStandIn(options);
-        standIn.server().onCrash(() -> Runtime.getRuntime().halt(KILLED));
+        standIn.server().onCrash(() -> Runtime.getRuntime().halt(EXIT_KILLED));
         TestkitCommand.announceListening(standIn.server().port());
     }
 }
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/weightstore/WeightStoreStandIn.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/weightstore/WeightStoreStandIn.java
@@ -14,7 +14,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.locks.LockSupport;
 
-/** A stand-in of the weight store, whose rate all readers share. Its protocol is described in docs/API.md. */
+/**
+ * A stand-in for the weight store, which limits the total rate of all readers. Its protocol is described in
+ * docs/API.md.
+ */
 public final class WeightStoreStandIn implements AutoCloseable {
 
     /** The status of an answer. */
@@ -23,8 +26,8 @@
     /** The status of a refusal. */
     private static final int UNAVAILABLE = 503;
 
-    /** The size of a piece of an answer. */
-    private static final int PIECE_SIZE = 16_384;
+    /** The size of the chunks in which an answer is written. */
+    private static final int CHUNK_BYTES = 16_384;
 
     /** The options. */
     private final WeightStoreOptions options;
@@ -32,14 +35,14 @@
     /** The number of loads by location. */
     private final Map<String, Integer> loads = new ConcurrentHashMap<>();
 
-    /** The number of loads that are going on. */
+    /** The number of loads in progress. */
     private final AtomicInteger concurrent = new AtomicInteger();
 
-    /** The largest number of loads that went on at the same time. */
+    /** The maximum number of concurrent loads observed so far. */
     private final AtomicInteger highestConcurrent = new AtomicInteger();
 
-    /** The time in nanoseconds at which the rate allows for the next piece. */
-    private long nextPieceAt = System.nanoTime();
+    /** The time in nanoseconds at which the rate limit permits the next chunk. */
+    private long nextChunkAt = System.nanoTime();
 
     /** The server. */
     private final StandInServer server;
@@ -64,9 +67,9 @@
     }
 
     /**
-     * Returns the faults that are ordered.
+     * Returns the injected faults.
      *
-     * @return The faults.
+     * @return The injected faults.
      */
     public Faults faults() {
         return server.faults();
@@ -89,12 +92,12 @@
     }
 
     /**
-     * Gives weights to a reader.
+     * Sends weights to a reader.
      *
      * @param context The request.
      * @param answer The answer to write.
      * @throws IOException If the connection is broken.
-     * @throws InterruptedException If the server is stopped meanwhile.
+     * @throws InterruptedException If the server is stopped in the meantime.
      */
     private void read(Context context, Answer answer) throws IOException, InterruptedException {
         faults().pause();
@@ -107,9 +110,9 @@
         try {
             answer.begin(OK, "application/octet-stream");
             context.res().setContentLengthLong(options.weightBytes);
-            for (long left = options.weightBytes; left > 0; left -= PIECE_SIZE) {
-                int length = (int) Math.min(left, PIECE_SIZE);
-                awaitRate(length);
+            for (long left = options.weightBytes; left > 0; left -= CHUNK_BYTES) {
+                int length = (int) Math.min(left, CHUNK_BYTES);
+                awaitRateLimit(length);
                 answer.write(new byte[length]);
             }
             answer.end();
@@ -119,15 +122,15 @@
     }
 
     /**
-     * Waits until the rate allows for a piece.
+     * Waits until the rate limit permits a chunk.
      *
-     * @param length The length of the piece.
+     * @param length The length of the chunk in bytes.
      */
-    private void awaitRate(int length) {
+    private void awaitRateLimit(int length) {
         long due;
         synchronized (this) {
-            due = Math.max(nextPieceAt, System.nanoTime());
-            nextPieceAt = due + TimeUnit.SECONDS.toNanos(length) / options.bytesPerSecond;
+            due = Math.max(nextChunkAt, System.nanoTime());
+            nextChunkAt = due + TimeUnit.SECONDS.toNanos(length) / options.bytesPerSecond;
         }
         while (due - System.nanoTime() > 0) {
             LockSupport.parkNanos(due - System.nanoTime());
@@ -135,9 +138,9 @@
     }
 
     /**
-     * Makes the record of what was read.
+     * Creates the record of the loads.
      *
-     * @return The numbers of loads by location, and of loads at the same time.
+     * @return The number of loads by location, and the current and highest number of concurrent loads.
      */
     private ObjectNode records() {
         ObjectNode body =
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/weightstore/package-info.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/weightstore/package-info.java
@@ -1,2 +1,2 @@
-/** A stand-in of the rate-limited weight store. */
+/** A stand-in for the rate-limited weight store. */
 package io.yuccaswitch.testkit.weightstore;
