--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/TestkitCommand.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/TestkitCommand.java
@@ -1,13 +1,13 @@
 package io.yuccaswitch.testkit;
 
 /**
- * A subcommand of the testkit, whose fields are its parameters. A stand-in returns from {@link #run} once it serves,
- * and its threads keep the process alive.
+ * A subcommand of the testkit, whose fields are its parameters. A stand-in returns from {@link #run} once it accepts
+ * requests, and its threads keep the process alive.
  */
 public interface TestkitCommand {
 
     /**
-     * Returns the name by which the subcommand is called.
+     * Returns the name of the subcommand on the command line.
      *
      * @return The name of the subcommand.
      */
@@ -21,7 +21,7 @@
     void run() throws Exception;
 
     /**
-     * Prints the line that tells a starting script that a stand-in serves, and where.
+     * Prints the line by which a script recognizes that a stand-in accepts requests, and at which address.
      *
      * @param port The port on the loopback address.
      */
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/TestkitCommands.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/TestkitCommands.java
@@ -18,7 +18,7 @@
     private TestkitCommands() {}
 
     /**
-     * Creates all subcommands, with their parameters at their defaults.
+     * Creates all subcommands, with default parameters.
      *
      * @return The subcommands.
      */
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/TestkitMain.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/TestkitMain.java
@@ -8,10 +8,10 @@
 import java.util.Optional;
 import org.slf4j.LoggerFactory;
 
-/** The entry point of the testkit: it runs the subcommand that its first argument names. */
+/** The entry point of the testkit, which runs the subcommand that its first argument names. */
 public final class TestkitMain {
 
-    /** The exit code for arguments that can't be understood. */
+    /** The exit code for invalid arguments. */
     private static final int EXIT_USAGE = 2;
 
     /** The exit code for a subcommand that failed. */
@@ -40,12 +40,12 @@
     }
 
     /**
-     * Finds the subcommand that the arguments name and fills its parameters.
+     * Finds the subcommand that the arguments name and sets its parameters.
      *
-     * @param commander The parser that knows all subcommands.
+     * @param commander The parser of all subcommands.
      * @param commands The subcommands.
      * @param arguments The arguments of the process.
-     * @return The subcommand, or empty if the arguments can't be understood.
+     * @return The subcommand, or empty if the arguments are invalid.
      */
     private static Optional<TestkitCommand> parse(
             JCommander commander, List<TestkitCommand> commands, String... arguments) {
--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/package-info.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/package-info.java
@@ -1,2 +1,5 @@
-/** Small stand-ins for the systems around the service, and a fault-injecting TCP proxy. */
+/**
+ * Stand-ins for the external systems of the service, a fault-injecting TCP proxy, a load generator and a checker of
+ * promises.
+ */
 package io.yuccaswitch.testkit;
