--- a/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/RunLog.java
+++ b/yuccaswitch-testkit/src/main/java/io/yuccaswitch/testkit/check/RunLog.java
@@ -7,39 +7,39 @@
 import java.util.List;
 import java.util.UUID;
 
-/** Where an endpoint records its runs, such that they outlive its process. */
+/** Records the runs of an endpoint, such that the records survive the end of its process. */
 public interface RunLog {
 
     /**
-     * Records that a run began.
+     * Records that a run started.
      *
      * @param requestId The identifier of the request.
-     * @param generated The versions in use, without tokens, or empty.
-     * @return The run, to be given to {@link #ended}.
+     * @param generated The weight versions in use, without tokens, or empty.
+     * @return The run, to be passed to {@link #recordEnd}.
      */
-    EndpointRun begun(String requestId, List<Segment> generated);
+    EndpointRun recordStart(String requestId, List<Segment> generated);
 
     /**
      * Records that a run ended.
      *
-     * @param run The run, as it began.
-     * @param completed Whether it came to its end.
+     * @param run The run, as returned by {@link #recordStart}.
+     * @param completed Whether it completed.
      * @param generated The tokens that it generated, or empty.
      */
-    void ended(EndpointRun run, boolean completed, List<Segment> generated);
+    void recordEnd(EndpointRun run, boolean completed, List<Segment> generated);
 
     /**
      * Records that a request was refused because the endpoint is leaving.
      *
      * @param requestId The identifier of the request.
      */
-    void refused(String requestId);
+    void recordRefusal(String requestId);
 
     /**
      * Creates a log.
      *
      * @param endpoint The name of the endpoint.
-     * @param file The file, or an empty text to record nothing.
+     * @param file The path of the file, or an empty string to record nothing.
      * @return The log.
      */
     static RunLog to(String endpoint, String file) {
@@ -50,13 +50,13 @@
      * Records runs in a file.
      *
      * @param endpoint The name of the endpoint.
-     * @param log The file.
+     * @param log The log that the runs are written to.
      */
     record ToFile(String endpoint, ObservationLog log) implements RunLog {
 
         /** {@inheritDoc} */
         @Override
-        public EndpointRun begun(String requestId, List<Segment> generated) {
+        public EndpointRun recordStart(String requestId, List<Segment> generated) {
             EndpointRun run = new EndpointRun(
                     endpoint, UUID.randomUUID().toString(), requestId, System.currentTimeMillis(), false, generated);
             log.write(run);
@@ -65,14 +65,14 @@
 
         /** {@inheritDoc} */
         @Override
-        public void ended(EndpointRun run, boolean completed, List<Segment> generated) {
+        public void recordEnd(EndpointRun run, boolean completed, List<Segment> generated) {
             log.write(
                     new EndpointRun(run.endpoint(), run.run(), run.requestId(), run.startedAt(), completed, generated));
         }
 
         /** {@inheritDoc} */
         @Override
-        public void refused(String requestId) {
+        public void recordRefusal(String requestId) {
             log.write(new EndpointRefused(endpoint, requestId, System.currentTimeMillis()));
         }
     }
@@ -82,16 +82,16 @@
 
         /** {@inheritDoc} */
         @Override
-        public EndpointRun begun(String requestId, List<Segment> generated) {
+        public EndpointRun recordStart(String requestId, List<Segment> generated) {
             return new EndpointRun("", "", requestId, 0, false, generated);
         }
 
         /** {@inheritDoc} */
         @Override
-        public void ended(EndpointRun _run, boolean _completed, List<Segment> _generated) {}
+        public void recordEnd(EndpointRun _run, boolean _completed, List<Segment> _generated) {}
 
         /** {@inheritDoc} */
         @Override
-        public void refused(String _requestId) {}
+        public void recordRefusal(String _requestId) {}
     }
 }
--- a/yuccaswitch-testkit/src/test/java/io/yuccaswitch/testkit/check/ObservationLogTest.java
+++ b/yuccaswitch-testkit/src/test/java/io/yuccaswitch/testkit/check/ObservationLogTest.java
@@ -16,20 +16,20 @@
     private Path folder;
 
     @Test
-    void aTornLineOfAKilledProcessIsSkippedAndItsFollowerGoesOn() throws Exception {
+    void anIncompleteLineOfAKilledProcessIsSkippedAndItsSuccessorAppends() throws Exception {
         Path file = folder.resolve("ledger-1.observations");
-        EndpointRun first = RunLog.to("ledger-1", file.toString()).begun("vm-1@1/a", List.of());
+        EndpointRun first = RunLog.to("ledger-1", file.toString()).recordStart("vm-1@1/a", List.of());
         Files.writeString(file, "{\"observation\":\"endpoint-run\",\"endp", StandardOpenOption.APPEND);
-        EndpointRun second = RunLog.to("ledger-1", file.toString()).begun("vm-1@1/b", List.of());
+        EndpointRun second = RunLog.to("ledger-1", file.toString()).recordStart("vm-1@1/b", List.of());
 
         assertThat(ObservationLog.read(file)).containsExactly(first, second);
     }
 
     @Test
-    void theEndOfARunReplacesItsBeginning() throws Exception {
+    void theEndOfARunReplacesItsStart() throws Exception {
         Path file = folder.resolve("ledger-1.observations");
         RunLog log = RunLog.to("ledger-1", file.toString());
-        log.ended(log.begun("vm-1@1/a", List.of()), true, List.of());
+        log.recordEnd(log.recordStart("vm-1@1/a", List.of()), true, List.of());
 
         assertThat(new Observations(ObservationLog.read(file)).of(EndpointRun.class))
                 .singleElement()
