--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchEffect.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchEffect.java
@@ -17,7 +17,7 @@
      * @param endpoint The engine.
      * @param lastEventId The identifier of the event after which the engine resumes, or 0 to start from the beginning.
      * @param timeLeft The time that remains for the item.
-     * @param inDoubt Whether the item may have caused an engine to end, and therefore needs a separate connection.
+     * @param uncertain Whether the item may have caused an engine to end, and therefore needs a separate connection.
      */
     record Run(
             BatchJobId id,
@@ -27,7 +27,7 @@
             RegisteredEndpoint endpoint,
             long lastEventId,
             Duration timeLeft,
-            boolean inDoubt)
+            boolean uncertain)
             implements BatchEffect {}
 
     /**
@@ -48,7 +48,8 @@
      * @param request The scoring request.
      * @param endpoint The endpoint.
      * @param timeLeft The time allowed for the attempt.
-     * @param inDoubt Whether the request may have caused an endpoint to end, and therefore needs a separate connection.
+     * @param uncertain Whether the request may have caused an endpoint to end, and therefore needs a separate
+     *     connection.
      */
     record Score(
             BatchJobId id,
@@ -57,7 +58,7 @@
             ScoringRequest request,
             RegisteredEndpoint endpoint,
             Duration timeLeft,
-            boolean inDoubt)
+            boolean uncertain)
             implements BatchEffect {}
 
     /**
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchEvent.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchEvent.java
@@ -57,7 +57,7 @@
      * @param attempt The number of the attempt.
      * @param version The version of the weights at the start of the answer.
      */
-    record AttemptBegun(BatchJobId id, String item, int attempt, long version) implements BatchEvent {}
+    record AttemptStarted(BatchJobId id, String item, int attempt, long version) implements BatchEvent {}
 
     /**
      * Attempts have made progress.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchIndex.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchIndex.java
@@ -46,7 +46,7 @@
      * @return The entries that changed.
      */
     List<Row> run(Tick tick) {
-        Optional<KindFeed.News> update = feed.run(tick);
+        Optional<KindFeed.Changes> update = feed.run(tick);
         if (update.isEmpty()) {
             return List.of();
         }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchJob.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchJob.java
@@ -31,7 +31,7 @@
         Set<String> seen = new HashSet<>();
         for (BatchItem item : items) {
             if (!seen.add(item.id())) {
-                throw new IllegalArgumentException("Item " + item.id() + " stands twice");
+                throw new IllegalArgumentException("duplicate item id '" + item.id() + "'");
             }
         }
     }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchRunSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchRunSystem.java
@@ -48,9 +48,9 @@
 
     @Override
     public void run(Tick tick) {
-        tick.events(BatchEvent.AttemptBegun.class).forEach(begun -> handleStart(tick, begun));
+        tick.events(BatchEvent.AttemptStarted.class).forEach(started -> handleStart(tick, started));
         tick.events(BatchEvent.AttemptEnded.class).forEach(ended -> handle(tick, ended));
-        if (state.routes().inForce().isEmpty()) {
+        if (state.routes().active().isEmpty()) {
             return;
         }
         boolean mayStart = state.registry().allowsDispatch(tick.now());
@@ -153,7 +153,7 @@
                 engine,
                 item.text().lastEventId(),
                 job.deadline().since(tick.now()),
-                state.quarantine().isInDoubt(() -> fingerprint(job, item.item()))));
+                state.quarantine().isSuspect(() -> fingerprint(job, item.item()))));
         tick.decide(Decision.of(
                 "batch-item",
                 item.item().id(),
@@ -174,7 +174,7 @@
      */
     private static boolean violatesSingleVersion(
             Route route, RunningItem item, RegisteredEndpoint engine, String model) {
-        return route.demandsSingleVersion()
+        return route.requiresSingleVersion()
                 && !item.text().isEmpty()
                 && !item.text().versions().equals(List.of(engine.version(model).orElse(0)));
     }
@@ -199,17 +199,17 @@
      * Handles the start of an answer.
      *
      * @param tick The tick.
-     * @param begun The start of the answer.
+     * @param started The start of the answer.
      */
-    private void handleStart(Tick tick, BatchEvent.AttemptBegun begun) {
-        Optional<RunningJob> job = state.running().find(begun.id());
-        Optional<EndpointName> engine = job.flatMap(found -> found.find(begun.item()))
-                .filter(item -> item.isCurrent(begun.attempt()))
+    private void handleStart(Tick tick, BatchEvent.AttemptStarted started) {
+        Optional<RunningJob> job = state.running().find(started.id());
+        Optional<EndpointName> engine = job.flatMap(found -> found.find(started.item()))
+                .filter(item -> item.isCurrent(started.attempt()))
                 .flatMap(RunningItem::endpoint);
         if (engine.isPresent()) {
             String model = job.get().job().model();
             state.loads().succeed(engine.get(), model);
-            state.registry().noteVersion(tick, engine.get(), model, begun.version());
+            state.registry().recordVersion(tick, engine.get(), model, started.version());
         }
     }
 
@@ -231,13 +231,13 @@
         String model = job.get().job().model();
         state.loads().endTrial(engine, model);
         ended.text().versions().stream().max(Comparator.naturalOrder()).ifPresent(version -> state.registry()
-                .noteVersion(tick, engine, model, version));
+                .recordVersion(tick, engine, model, version));
         item.get().replaceText(item.get().text().append(ended.text()));
         AttemptOutcome outcome = ended.outcome();
         if (outcome instanceof AttemptOutcome.Completed) {
             state.loads().succeed(engine, model);
             state.quarantine()
-                    .serve(
+                    .recordSuccess(
                             tick,
                             () -> fingerprint(job.get(), item.get().item()),
                             item.get().attempt() == 1);
@@ -260,7 +260,7 @@
             state.loads().exclude(engine, model, tick.now(), exclusion);
             BatchItem lost = item.get().item();
             state.quarantine()
-                    .lose(
+                    .recordLoss(
                             tick,
                             () -> fingerprint(job.get(), lost),
                             lost.describe(job.get().job().host()),
@@ -281,7 +281,7 @@
     private void complete(Tick tick, RunningJob job, RunningItem item, EndpointName engine) {
         List<Long> versions = item.text().versions();
         boolean single =
-                state.route(job.job()).filter(Route::demandsSingleVersion).isPresent();
+                state.route(job.job()).filter(Route::requiresSingleVersion).isPresent();
         boolean allowed = !versions.isEmpty()
                 && versions.get(0) >= job.job().minimumVersion()
                 && (!single || versions.size() == 1);
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/BatchSystem.java
@@ -76,7 +76,7 @@
 
     @Override
     public void run(Tick tick) {
-        state.calls().answer(tick);
+        state.calls().processAnswers(tick);
         subsystems.forEach(subsystem -> subsystem.run(tick));
     }
 
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/EngineChoice.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/EngineChoice.java
@@ -71,7 +71,7 @@
         Set<EndpointName> share = new HashSet<>();
         for (Route.PoolShare pool : route.pools()) {
             Set<String> models = state.routes()
-                    .inForce()
+                    .active()
                     .map(found -> found.models().get(pool.pool()))
                     .orElseGet(Set::of);
             share.addAll(
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/RestartedEngineSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/RestartedEngineSystem.java
@@ -27,7 +27,7 @@
 
     @Override
     public void run(Tick tick) {
-        long changes = state.registry().changes();
+        long changes = state.registry().changeCount();
         if (changes == processedChanges) {
             return;
         }
@@ -35,7 +35,7 @@
         for (RunningJob job : state.running().rows()) {
             for (RunningItem item : job.items()) {
                 item.endpoint()
-                        .filter(engine -> !item.isMoving() && state.registry().hasStartedAgain(engine))
+                        .filter(engine -> !item.isMoving() && state.registry().hasRestarted(engine))
                         .ifPresent(engine -> state.move(tick, job, item, engine + " has restarted"));
             }
         }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/RunnerChoice.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/RunnerChoice.java
@@ -73,7 +73,7 @@
      */
     private NodeName assigned(String model, List<Member> strong) {
         Set<String> models = new TreeSet<>();
-        routes.inForce().ifPresent(found -> found.models().values().forEach(models::addAll));
+        routes.active().ifPresent(found -> found.models().values().forEach(models::addAll));
         models.add(model);
         Set<NodeName> taken = new HashSet<>();
         for (String next : models) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/ScoringLoads.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/ScoringLoads.java
@@ -82,9 +82,9 @@
     void measure(ItemScoring.Attempt attempt, ScoringOutcome outcome, MonotonicTime now) {
         Duration took = now.since(attempt.startedAt());
         if (outcome instanceof ScoringOutcome.Scored || outcome instanceof ScoringOutcome.Failed) {
-            selection.succeed(attempt.endpoint(), took, now);
+            selection.recordSuccess(attempt.endpoint(), took, now);
         } else {
-            selection.fail(attempt.endpoint(), now);
+            selection.recordFailure(attempt.endpoint(), now);
         }
     }
 
@@ -96,7 +96,7 @@
      * @param now The current time.
      */
     void recordLoad(RegisteredEndpoint endpoint, int running, MonotonicTime now) {
-        selection.tell(endpoint, running, now);
+        selection.recordLoad(endpoint, running, now);
     }
 
     /**
@@ -106,7 +106,7 @@
      * @param now The current time.
      */
     void recordLate(ItemScoring.Attempt attempt, MonotonicTime now) {
-        selection.slow(attempt.endpoint(), now.since(attempt.startedAt()), now);
+        selection.recordTimeout(attempt.endpoint(), now.since(attempt.startedAt()), now);
     }
 
     /**
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/ScoringRequest.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/ScoringRequest.java
@@ -30,7 +30,7 @@
             throw new IllegalArgumentException("A scoring request needs a host of visible characters");
         }
         if (!path.startsWith("/")) {
-            throw new IllegalArgumentException("The path of a scoring request begins with a slash: " + path);
+            throw new IllegalArgumentException("The path of a scoring request must begin with a slash: " + path);
         }
     }
 
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/ScoringSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/batch/ScoringSystem.java
@@ -78,7 +78,7 @@
             collect(job, outstanding);
         }
         if (outstanding.isEmpty()
-                || state.routes().inForce().isEmpty()
+                || state.routes().active().isEmpty()
                 || !state.registry().allowsDispatch(tick.now())) {
             return;
         }
@@ -216,7 +216,7 @@
                 scoring.request(),
                 endpoint,
                 allowed,
-                state.quarantine().isInDoubt(scoring.request()::fingerprint)));
+                state.quarantine().isSuspect(scoring.request()::fingerprint)));
         tick.decide(Decision.of(
                 "batch-score",
                 item.id(),
@@ -254,7 +254,7 @@
             scoring.get().countPossibleRun();
             ScoringRequest request = scoring.get().request();
             state.quarantine()
-                    .lose(tick, request::fingerprint, request.describe(), endpoint.name(), interrupted.loss());
+                    .recordLoss(tick, request::fingerprint, request.describe(), endpoint.name(), interrupted.loss());
             retry(tick, entry, attempt.get(), interrupted.reason());
         }
     }
@@ -269,7 +269,7 @@
      */
     private void complete(Tick tick, Outstanding entry, ItemScoring.Attempt attempt, String score) {
         ItemScoring scoring = entry.scoring();
-        state.quarantine().serve(tick, scoring.request()::fingerprint, attempt.number() == 1);
+        state.quarantine().recordSuccess(tick, scoring.request()::fingerprint, attempt.number() == 1);
         state.cancelScoring(tick, entry.job().job().id(), entry.item());
         entry.item().finish(scoring.unscored().withScore(score));
         tick.decide(Decision.of(
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/ConfigurationEffect.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/ConfigurationEffect.java
@@ -20,5 +20,5 @@
      * @param generation The generation.
      * @param envelope The envelope.
      */
-    record Keep(long generation, Bytes envelope) implements ConfigurationEffect {}
+    record Persist(long generation, Bytes envelope) implements ConfigurationEffect {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/ConfigurationEvent.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/ConfigurationEvent.java
@@ -13,11 +13,11 @@
      * @param generation The generation.
      * @param configuration The configuration.
      */
-    record InForce(long generation, FleetConfiguration configuration) implements ConfigurationEvent {}
+    record Activated(long generation, FleetConfiguration configuration) implements ConfigurationEvent {}
 
     /**
      * The shell decoded the envelope of a {@link ConfigurationEffect.Decode}. The configuration is not active yet: the
-     * distribution raises {@link InForce} if the generation is higher than the previous one.
+     * distribution raises {@link Activated} if the generation is higher than the previous one.
      *
      * @param generation The generation.
      * @param envelope The decoded envelope.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/ConfigurationView.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/ConfigurationView.java
@@ -25,14 +25,14 @@
      *
      * @return The configuration, or empty if there is none.
      */
-    Optional<FleetConfiguration> inForce();
+    Optional<FleetConfiguration> active();
 
     /**
      * Returns the time since which the generation has been active on this node.
      *
      * @return The time, or empty if no generation is active.
      */
-    Optional<MonotonicTime> inForceSince();
+    Optional<MonotonicTime> activeSince();
 
     /**
      * Returns whether this node has confirmed that its generation is the newest one that it can obtain.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/distribution/ConfigurationState.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/distribution/ConfigurationState.java
@@ -21,10 +21,10 @@
     private long generation;
 
     /** The active configuration. */
-    private Optional<FleetConfiguration> inForce = Optional.empty();
+    private Optional<FleetConfiguration> active = Optional.empty();
 
     /** The time since which the generation has been active. */
-    private Optional<MonotonicTime> inForceSince = Optional.empty();
+    private Optional<MonotonicTime> activeSince = Optional.empty();
 
     /** The number of envelopes that are being decoded. */
     private int decoding;
@@ -46,14 +46,14 @@
 
     /** {@inheritDoc} */
     @Override
-    public Optional<FleetConfiguration> inForce() {
-        return inForce;
+    public Optional<FleetConfiguration> active() {
+        return active;
     }
 
     /** {@inheritDoc} */
     @Override
-    public Optional<MonotonicTime> inForceSince() {
-        return inForceSince;
+    public Optional<MonotonicTime> activeSince() {
+        return activeSince;
     }
 
     /** {@inheritDoc} */
@@ -125,8 +125,8 @@
             return false;
         }
         generation = candidate;
-        inForce = Optional.of(configuration);
-        inForceSince = Optional.of(now);
+        active = Optional.of(configuration);
+        activeSince = Optional.of(now);
         return true;
     }
 
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/distribution/ConfigurationSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/distribution/ConfigurationSystem.java
@@ -21,7 +21,7 @@
 /**
  * Activates generations of the configuration on this node, and forwards them to others. A generation is activated only
  * if it is higher than the active one, whether it comes from the platform, another node or the disk. This system runs
- * after the membership and before all systems that handle {@link ConfigurationEvent.InForce}.
+ * after the membership and before all systems that handle {@link ConfigurationEvent.Activated}.
  */
 public final class ConfigurationSystem implements DecisionSystem {
 
@@ -143,8 +143,8 @@
         if (!state.activate(tick.now(), event.generation(), event.configuration())) {
             return;
         }
-        tick.raise(new ConfigurationEvent.InForce(event.generation(), event.configuration()));
-        tick.emit(new ConfigurationEffect.Keep(event.generation(), event.envelope()));
+        tick.raise(new ConfigurationEvent.Activated(event.generation(), event.configuration()));
+        tick.emit(new ConfigurationEffect.Persist(event.generation(), event.envelope()));
         tick.decide(Decision.of(
                 DECISION_KIND, Long.toString(event.generation()), "in-force", "higher than the previous generation"));
     }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/distribution/ConfigurationWatchSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/configuration/distribution/ConfigurationWatchSystem.java
@@ -5,7 +5,7 @@
 import io.yuccaswitch.core.membership.Member;
 import io.yuccaswitch.core.membership.MembershipView;
 import io.yuccaswitch.core.membership.RendezvousRanking;
-import io.yuccaswitch.core.platform.CallBackOff;
+import io.yuccaswitch.core.platform.CallBackoff;
 import io.yuccaswitch.core.platform.ObjectKey;
 import io.yuccaswitch.core.platform.PlatformEffect;
 import io.yuccaswitch.core.platform.PlatformEvent;
@@ -52,7 +52,7 @@
     private final PlatformTokens tokens;
 
     /** The backoff of calls to the platform. */
-    private final CallBackOff backoff = new CallBackOff(INITIAL_BACKOFF, MAXIMUM_BACKOFF);
+    private final CallBackoff backoff = new CallBackoff(INITIAL_BACKOFF, MAXIMUM_BACKOFF);
 
     /** The token of the call in flight, or empty if there is none. */
     private OptionalLong call = OptionalLong.empty();
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/decision/PacedSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/decision/ThrottledSystem.java
@@ -11,7 +11,7 @@
  * require. Most ticks of an idle node contain only a membership message, and running all systems would make up most of
  * the processor time of such a tick.
  */
-public final class PacedSystem implements DecisionSystem {
+public final class ThrottledSystem implements DecisionSystem {
 
     /** The systems, in the order in which they run. */
     private final List<DecisionSystem> systems;
@@ -32,7 +32,8 @@
      * @param irrelevant Matches the events that none of the systems handles.
      * @param maximumInterval Supplies the maximum interval between two runs.
      */
-    public PacedSystem(List<DecisionSystem> systems, Predicate<Event> irrelevant, Supplier<Duration> maximumInterval) {
+    public ThrottledSystem(
+            List<DecisionSystem> systems, Predicate<Event> irrelevant, Supplier<Duration> maximumInterval) {
         this.systems = List.copyOf(systems);
         this.irrelevant = irrelevant;
         this.maximumInterval = maximumInterval;
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/duty/DutyLease.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/duty/DutyLease.java
@@ -10,7 +10,7 @@
 import io.yuccaswitch.core.membership.MembershipView;
 import io.yuccaswitch.core.peer.PeerEffect;
 import io.yuccaswitch.core.peer.PeerEvent;
-import io.yuccaswitch.core.platform.CallBackOff;
+import io.yuccaswitch.core.platform.CallBackoff;
 import io.yuccaswitch.core.platform.ObjectKey;
 import io.yuccaswitch.core.platform.PlatformCalls;
 import io.yuccaswitch.core.platform.PlatformEffect;
@@ -78,7 +78,7 @@
     private final Duration safetyTime;
 
     /** When the next call may be made. */
-    private final CallBackOff backoff = new CallBackOff(INITIAL_BACKOFF, MAXIMUM_BACKOFF);
+    private final CallBackoff backoff = new CallBackoff(INITIAL_BACKOFF, MAXIMUM_BACKOFF);
 
     /** The lease as this node last observed it. */
     private Optional<LeaseObservation> observed = Optional.empty();
@@ -120,7 +120,7 @@
     public void run(Tick tick) {
         now = tick.now();
         handleSuspensions(tick);
-        calls.answer(tick);
+        calls.processAnswers(tick);
         handleReleases(tick);
         relay.receive(tick).ifPresent(outcome -> handleRelayOutcome(tick, outcome));
         leaving |= !tick.events(MembershipEvent.LeaveRequested.class).isEmpty();
@@ -356,7 +356,7 @@
             backoff.failed(tick);
             return;
         }
-        DutyMessage.LeaseAnswered answer = outcome.answer().get();
+        DutyMessage.RenewalAnswered answer = outcome.answer().get();
         if (answer.granted()) {
             handleGrant(tick, new LeaseObservation(outcome.value(), answer.version(), tick.now()), relaySentAt);
         } else {
@@ -430,7 +430,7 @@
                 token -> new PlatformEffect.Write(token, PlatformPurpose.LEASE, KEY, expected, value.encode()),
                 (later, event) -> {
                     if (event instanceof PlatformEvent.Accepted accepted) {
-                        notifyFollowers(later, new DutyMessage.LeaseGivenBack(accepted.version(), value.encode()));
+                        notifyFollowers(later, new DutyMessage.LeaseReleased(accepted.version(), value.encode()));
                     }
                     later.decide(Decision.of(
                             "duty-lease",
@@ -446,7 +446,7 @@
      * @param tick The tick.
      * @param message The notification.
      */
-    private void notifyFollowers(Tick tick, DutyMessage.LeaseGivenBack message) {
+    private void notifyFollowers(Tick tick, DutyMessage.LeaseReleased message) {
         Member self = membership.self();
         ranking.members().stream()
                 .filter(member -> !member.equals(self))
@@ -462,7 +462,7 @@
      */
     private void handleReleases(Tick tick) {
         for (PeerEvent.Received received : tick.events(PeerEvent.Received.class)) {
-            if (received.message() instanceof DutyMessage.LeaseGivenBack released) {
+            if (received.message() instanceof DutyMessage.LeaseReleased released) {
                 observe(tick, new StoredObject(KEY, released.version(), released.value(), false));
                 backoff.succeeded(tick.now(), Duration.ZERO);
             }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/duty/DutyMessage.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/duty/DutyMessage.java
@@ -23,7 +23,7 @@
      * @param version The current version of the lease object.
      * @param value The current value of the lease.
      */
-    record LeaseAnswered(long ticket, boolean granted, long version, Bytes value) implements DutyMessage {}
+    record RenewalAnswered(long ticket, boolean granted, long version, Bytes value) implements DutyMessage {}
 
     /**
      * Announces that the sender has released the lease.
@@ -31,5 +31,5 @@
      * @param version The current version of the lease object.
      * @param value The current value of the lease.
      */
-    record LeaseGivenBack(long version, Bytes value) implements DutyMessage {}
+    record LeaseReleased(long version, Bytes value) implements DutyMessage {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/duty/LeaseRelay.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/duty/LeaseRelay.java
@@ -71,7 +71,7 @@
         }
         Request pending = request.get();
         for (PeerEvent.Received received : tick.events(PeerEvent.Received.class)) {
-            if (received.message() instanceof DutyMessage.LeaseAnswered answered
+            if (received.message() instanceof DutyMessage.RenewalAnswered answered
                     && answered.ticket() == pending.ticket()) {
                 request = Optional.empty();
                 return Optional.of(new Outcome(pending.value(), pending.sentAt(), Optional.of(answered)));
@@ -100,5 +100,5 @@
      * @param sentAt When the request was sent. It can't have reached the platform earlier.
      * @param answer The platform's answer, or empty if the outcome is unknown.
      */
-    record Outcome(LeaseValue value, MonotonicTime sentAt, Optional<DutyMessage.LeaseAnswered> answer) {}
+    record Outcome(LeaseValue value, MonotonicTime sentAt, Optional<DutyMessage.RenewalAnswered> answer) {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/duty/LeaseRelaySystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/duty/LeaseRelaySystem.java
@@ -34,7 +34,7 @@
 
     @Override
     public void run(Tick tick) {
-        calls.answer(tick);
+        calls.processAnswers(tick);
         for (PeerEvent.Received received : tick.events(PeerEvent.Received.class)) {
             if (received.message() instanceof DutyMessage.RenewLease renew) {
                 renew(tick, received.sender().name(), renew);
@@ -75,14 +75,15 @@
      * @param event The platform's answer.
      * @return The answer, or empty if the platform's answer doesn't contain the lease.
      */
-    private static Optional<DutyMessage.LeaseAnswered> answer(DutyMessage.RenewLease renew, PlatformEvent event) {
+    private static Optional<DutyMessage.RenewalAnswered> answer(DutyMessage.RenewLease renew, PlatformEvent event) {
         if (event instanceof PlatformEvent.Accepted accepted) {
-            return Optional.of(new DutyMessage.LeaseAnswered(renew.ticket(), true, accepted.version(), renew.value()));
+            return Optional.of(
+                    new DutyMessage.RenewalAnswered(renew.ticket(), true, accepted.version(), renew.value()));
         }
         if (event instanceof PlatformEvent.Conflict conflict) {
             return conflict.current()
                     .map(object ->
-                            new DutyMessage.LeaseAnswered(renew.ticket(), false, object.version(), object.value()));
+                            new DutyMessage.RenewalAnswered(renew.ticket(), false, object.version(), object.value()));
         }
         return Optional.empty();
     }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/EndpointSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/EndpointSystem.java
@@ -36,7 +36,7 @@
     private final EndpointTable table;
 
     /** Announces newly recorded leaving endpoints to other nodes. */
-    private final LeavingNews announcer;
+    private final LeavingAnnouncer announcer;
 
     /** The active configuration, or empty before the first one. */
     private Optional<FleetConfiguration> configuration = Optional.empty();
@@ -50,7 +50,7 @@
      * @param table The table that this system maintains.
      * @param announcer Announces newly recorded leaving endpoints to other nodes.
      */
-    public EndpointSystem(EndpointTable table, LeavingNews announcer) {
+    public EndpointSystem(EndpointTable table, LeavingAnnouncer announcer) {
         this.table = table;
         this.announcer = announcer;
     }
@@ -58,7 +58,7 @@
     /** {@inheritDoc} */
     @Override
     public void run(Tick tick) {
-        for (ConfigurationEvent.InForce event : tick.events(ConfigurationEvent.InForce.class)) {
+        for (ConfigurationEvent.Activated event : tick.events(ConfigurationEvent.Activated.class)) {
             configure(event.configuration());
         }
         for (EndpointEvent event : tick.events(EndpointEvent.class)) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/LeavingNews.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/LeavingAnnouncer.java
@@ -10,10 +10,10 @@
 
 /** Announces leaving endpoints to other nodes. */
 @FunctionalInterface
-public interface LeavingNews {
+public interface LeavingAnnouncer {
 
     /** Sends no announcements. */
-    LeavingNews NO_OP = (_tick, _message) -> {};
+    LeavingAnnouncer NO_OP = (_tick, _message) -> {};
 
     /**
      * Announces a leaving endpoint that this node has newly recorded.
@@ -30,7 +30,7 @@
      *
      * @param membership The membership of the site.
      */
-    record ToFewNodes(MembershipView membership) implements LeavingNews {
+    record RandomSubset(MembershipView membership) implements LeavingAnnouncer {
 
         /** The maximum number of nodes to which one node sends an announcement. */
         static final int FAN_OUT = 8;
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/ProbeSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/ProbeSystem.java
@@ -67,7 +67,7 @@
     /** {@inheritDoc} */
     @Override
     public void run(Tick tick) {
-        for (ConfigurationEvent.InForce event : tick.events(ConfigurationEvent.InForce.class)) {
+        for (ConfigurationEvent.Activated event : tick.events(ConfigurationEvent.Activated.class)) {
             configuration = Optional.of(event.configuration());
             selectedVersion = -1;
         }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/VirtualMachineListSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/endpoint/VirtualMachineListSystem.java
@@ -101,7 +101,7 @@
                 answer(tick, event, query);
             }
         }
-        for (ConfigurationEvent.InForce event : tick.events(ConfigurationEvent.InForce.class)) {
+        for (ConfigurationEvent.Activated event : tick.events(ConfigurationEvent.Activated.class)) {
             readInterval = Optional.of(event.configuration().membership().platformListInterval());
         }
         if (readInterval.isPresent() && !tick.now().isBefore(readDueAt)) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/identity/EndpointName.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/identity/EndpointName.java
@@ -14,7 +14,7 @@
 public record EndpointName(PoolName pool, String value, long incarnation) implements Comparable<EndpointName> {
 
     /** The incarnation of an endpoint that does not report one. */
-    public static final long UNTOLD = 0;
+    public static final long UNKNOWN = 0;
 
     /** The order of names. */
     private static final Comparator<EndpointName> ORDER = Comparator.comparing(EndpointName::pool)
@@ -33,7 +33,7 @@
      * @param value The endpoint's name within its pool.
      */
     public EndpointName(PoolName pool, String value) {
-        this(pool, value, UNTOLD);
+        this(pool, value, UNKNOWN);
     }
 
     /**
@@ -53,7 +53,7 @@
      * @return {@code true} if both incarnations are reported and this one is earlier.
      */
     public boolean isBefore(EndpointName other) {
-        return incarnation != UNTOLD && incarnation < other.incarnation;
+        return incarnation != UNKNOWN && incarnation < other.incarnation;
     }
 
     /** {@inheritDoc} */
@@ -65,6 +65,6 @@
     /** {@inheritDoc} */
     @Override
     public String toString() {
-        return incarnation == UNTOLD ? pool + "/" + value : pool + "/" + value + "@" + incarnation;
+        return incarnation == UNKNOWN ? pool + "/" + value : pool + "/" + value + "@" + incarnation;
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/LeaseCalls.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/LeaseCalls.java
@@ -84,7 +84,7 @@
      * @return At most two nodes.
      */
     List<NodeIdentity> candidates(LeaseName name) {
-        return RendezvousRanking.pair(LeaseSystem.KIND + '/' + name, members.working()).stream()
+        return RendezvousRanking.pair(LeaseSystem.OBJECT_KIND + '/' + name, members.working()).stream()
                 .map(Member::identity)
                 .toList();
     }
@@ -99,7 +99,7 @@
         List<Member> others = members.working().stream()
                 .filter(member -> !member.identity().equals(members.self().identity()))
                 .toList();
-        return RendezvousRanking.pair(LeaseSystem.KIND + '/' + name, others).stream()
+        return RendezvousRanking.pair(LeaseSystem.OBJECT_KIND + '/' + name, others).stream()
                 .map(Member::identity)
                 .toList();
     }
@@ -111,6 +111,6 @@
      * @return The key.
      */
     private static ObjectKey key(LeaseRow row) {
-        return new ObjectKey(LeaseSystem.KIND, row.name().value());
+        return new ObjectKey(LeaseSystem.OBJECT_KIND, row.name().value());
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/LeaseSuccession.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/LeaseSuccession.java
@@ -6,7 +6,7 @@
 import io.yuccaswitch.core.membership.Member;
 import io.yuccaswitch.core.membership.MembershipView;
 import io.yuccaswitch.core.peer.PeerEffect;
-import io.yuccaswitch.core.platform.PlatformNews;
+import io.yuccaswitch.core.platform.PlatformReachability;
 import io.yuccaswitch.core.time.MonotonicTime;
 import java.time.Duration;
 import java.util.HashMap;
@@ -34,7 +34,7 @@
     private final MembershipView members;
 
     /** The reachability of the platform. */
-    private final PlatformNews reachability;
+    private final PlatformReachability reachability;
 
     /** The state of each lease. */
     private final Map<LeaseName, State> states = new HashMap<>();
@@ -51,7 +51,7 @@
      * @param members The members of the site.
      * @param reachability The reachability of the platform.
      */
-    LeaseSuccession(MembershipView members, PlatformNews reachability) {
+    LeaseSuccession(MembershipView members, PlatformReachability reachability) {
         this.members = members;
         this.reachability = reachability;
     }
@@ -161,7 +161,7 @@
     private boolean isPlatformUnreachable(MonotonicTime now, LeaseSettings settings) {
         Duration threshold = settings.duration().multipliedBy(UNREACHABLE_LEASE_DURATIONS);
         return reachability
-                .silentFor(now)
+                .unreachableFor(now)
                 .filter(elapsed -> elapsed.compareTo(threshold) >= 0)
                 .isPresent();
     }
@@ -245,7 +245,7 @@
      */
     private boolean isWorking(NodeIdentity node) {
         return members.find(node.name())
-                .filter(member -> member.identity().equals(node) && member.takesWork())
+                .filter(member -> member.identity().equals(node) && member.acceptsWork())
                 .isPresent();
     }
 
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/LeaseSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/lease/LeaseSystem.java
@@ -14,7 +14,7 @@
 import io.yuccaswitch.core.peer.PeerEvent;
 import io.yuccaswitch.core.platform.ObjectKey;
 import io.yuccaswitch.core.platform.PlatformEvent;
-import io.yuccaswitch.core.platform.PlatformNews;
+import io.yuccaswitch.core.platform.PlatformReachability;
 import io.yuccaswitch.core.platform.PlatformTokens;
 import io.yuccaswitch.core.platform.StoredObject;
 import io.yuccaswitch.core.suspension.Suspended;
@@ -34,7 +34,7 @@
 public final class LeaseSystem implements DecisionSystem, LeaseView {
 
     /** The kind of the platform's objects that store leases. */
-    public static final String KIND = "lease";
+    public static final String OBJECT_KIND = "lease";
 
     /** The kind of this system's decisions. */
     private static final String DECISION_KIND = "lease";
@@ -72,7 +72,7 @@
             Function<FleetConfiguration, Set<LeaseName>> required,
             MembershipView members,
             PlatformTokens tokens,
-            PlatformNews reachability) {
+            PlatformReachability reachability) {
         this.required = required;
         this.members = members;
         calls = new LeaseCalls(members, tokens);
@@ -105,7 +105,7 @@
     /** {@inheritDoc} */
     @Override
     public void run(Tick tick) {
-        for (ConfigurationEvent.InForce event : tick.events(ConfigurationEvent.InForce.class)) {
+        for (ConfigurationEvent.Activated event : tick.events(ConfigurationEvent.Activated.class)) {
             configure(tick, event.configuration());
         }
         if (settings.isEmpty()) {
@@ -160,7 +160,7 @@
             }
         }
         if (event.message() instanceof LeaseMessage.Recorded recorded) {
-            ObjectKey key = new ObjectKey(KIND, recorded.name());
+            ObjectKey key = new ObjectKey(OBJECT_KIND, recorded.name());
             StoredObject object = new StoredObject(key, recorded.version(), recorded.record(), false);
             rows.update(
                     new LeaseName(recorded.name()),
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/limit/ServiceTimes.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/limit/ServiceTimes.java
@@ -48,7 +48,7 @@
      * @param request The request.
      * @return The estimate, or zero while there are too few samples.
      */
-    public Duration service(Request request) {
+    public Duration estimateServiceTime(Request request) {
         if (samples < MINIMUM_SAMPLES) {
             return Duration.ZERO;
         }
@@ -65,7 +65,7 @@
      * @param concurrency The number of requests that are served concurrently.
      * @return The estimate, or zero while there are too few samples.
      */
-    public Duration queueing(int ahead, int concurrency) {
+    public Duration estimateQueueingTime(int ahead, int concurrency) {
         if (samples < MINIMUM_SAMPLES) {
             return Duration.ZERO;
         }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/ExchangeSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/ExchangeSystem.java
@@ -108,8 +108,8 @@
         } else if (message instanceof MembershipMessage.Rows rows) {
             rows.rows().forEach(row -> state.merge().apply(tick, row, "reported by " + sender));
             content.requestedRows(rows.wanted()).forEach(found -> send(tick, sender.name(), found));
-        } else if (message instanceof MembershipMessage.LeavingAdvice) {
-            tick.raise(new MembershipEvent.LeavingAdvised());
+        } else if (message instanceof MembershipMessage.LeavingNotification) {
+            tick.raise(new MembershipEvent.LeavingNotified());
         } else {
             probes.receive(tick, sender, message);
         }
@@ -126,8 +126,8 @@
     private void apply(Tick tick, NodeIdentity sender, ExchangeDigest digest, List<MemberRow> rows) {
         rows.forEach(row -> state.merge().apply(tick, row, "reported by " + sender));
         digest.observation().ifPresent(observation -> state.platform().apply(tick.now(), observation));
-        Optional<Duration> platformAge = digest.platformLastHeardAgo().isPresent()
-                ? Optional.of(Duration.ofMillis(digest.platformLastHeardAgo().getAsLong()))
+        Optional<Duration> platformAge = digest.timeSincePlatformAnswer().isPresent()
+                ? Optional.of(Duration.ofMillis(digest.timeSincePlatformAnswer().getAsLong()))
                 : Optional.empty();
         state.reports()
                 .put(sender.name(), new PeerReport(tick.now(), digest.generation(), digest.ready(), platformAge));
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/Member.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/Member.java
@@ -74,7 +74,7 @@
      *
      * @return {@code true} if the member is alive or merely suspected.
      */
-    public boolean takesWork() {
+    public boolean acceptsWork() {
         return condition == MemberCondition.ALIVE || condition == MemberCondition.SUSPECTED;
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MemberMerge.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MemberMerge.java
@@ -87,7 +87,7 @@
         table.row(name).ifPresent(row -> {
             table.remove(name);
             timers.clear(name);
-            tick.emit(new MembershipEffect.ForgetAddress(name));
+            tick.emit(new MembershipEffect.RemoveAddress(name));
             tick.raise(new MembershipEvent.Forgotten(row.member().identity()));
         });
     }
@@ -109,7 +109,7 @@
                 .map(Member::peerAddress)
                 .filter(member.peerAddress()::equals)
                 .isEmpty()) {
-            tick.emit(new MembershipEffect.LearnAddress(row.name(), member.peerAddress()));
+            tick.emit(new MembershipEffect.RegisterAddress(row.name(), member.peerAddress()));
         }
         recordDecision(tick, member, existing.isEmpty(), reason);
         raiseEvents(tick, row, existing);
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MemberObjectSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MemberObjectSystem.java
@@ -2,7 +2,7 @@
 
 import io.yuccaswitch.core.decision.DecisionSystem;
 import io.yuccaswitch.core.decision.Tick;
-import io.yuccaswitch.core.platform.CallBackOff;
+import io.yuccaswitch.core.platform.CallBackoff;
 import io.yuccaswitch.core.platform.PlatformEffect;
 import io.yuccaswitch.core.platform.PlatformEvent;
 import io.yuccaswitch.core.platform.PlatformPurpose;
@@ -32,7 +32,7 @@
     private final PlatformTokens tokens;
 
     /** The backoff of calls. */
-    private final CallBackOff backoff = new CallBackOff(INITIAL_RETRY_DELAY, MAXIMUM_RETRY_DELAY);
+    private final CallBackoff backoff = new CallBackoff(INITIAL_RETRY_DELAY, MAXIMUM_RETRY_DELAY);
 
     /** The token of the pending call, or empty if there is none. */
     private OptionalLong pendingCall = OptionalLong.empty();
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MemberTable.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MemberTable.java
@@ -60,7 +60,7 @@
         if (working.isEmpty()) {
             working = Optional.of(rows.view().stream()
                     .map(MemberRow::member)
-                    .filter(Member::takesWork)
+                    .filter(Member::acceptsWork)
                     .sorted(Comparator.comparing(Member::identity))
                     .toList());
         }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MembershipEffect.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MembershipEffect.java
@@ -13,14 +13,14 @@
      * @param node The node.
      * @param peerAddress The address as {@code host:port}.
      */
-    record LearnAddress(NodeName node, String peerAddress) implements MembershipEffect {}
+    record RegisterAddress(NodeName node, String peerAddress) implements MembershipEffect {}
 
     /**
      * Removes the peer address of a node.
      *
      * @param node The node.
      */
-    record ForgetAddress(NodeName node) implements MembershipEffect {}
+    record RemoveAddress(NodeName node) implements MembershipEffect {}
 
     /**
      * Changes the identity that this node presents to others.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MembershipEvent.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MembershipEvent.java
@@ -37,9 +37,9 @@
      * @param sender The node.
      * @param generation The highest generation of the configuration that it holds.
      * @param ready {@code true} if the node has confirmed that no newer generation is available to it.
-     * @param platformLastHeardAgo The time since the platform last answered it, or empty if it never did.
+     * @param timeSincePlatformAnswer The time since the platform last answered it, or empty if it never did.
      */
-    record PeerReported(NodeIdentity sender, long generation, boolean ready, Optional<Duration> platformLastHeardAgo)
+    record PeerReported(NodeIdentity sender, long generation, boolean ready, Optional<Duration> timeSincePlatformAnswer)
             implements MembershipEvent {}
 
     /**
@@ -71,7 +71,7 @@
     record IdentityRaised(NodeIdentity previous, NodeIdentity current) implements MembershipEvent {}
 
     /** The platform lists this node's VM as leaving. */
-    record LeavingAdvised() implements MembershipEvent {}
+    record LeavingNotified() implements MembershipEvent {}
 
     /** Raised by the shell: this node begins to leave and completes its current work. */
     record LeaveRequested() implements MembershipEvent {}
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MembershipMessage.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MembershipMessage.java
@@ -60,5 +60,5 @@
     record ProbeSuccess(long sequence, NodeName target) implements MembershipMessage {}
 
     /** Notifies a node that the platform lists its VM as leaving. */
-    record LeavingAdvice() implements MembershipMessage {}
+    record LeavingNotification() implements MembershipMessage {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MembershipState.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MembershipState.java
@@ -72,6 +72,6 @@
      * @return The active settings.
      */
     MembershipSettings settings() {
-        return configuration.inForce().map(fleet -> fleet.membership()).orElse(initialSettings);
+        return configuration.active().map(fleet -> fleet.membership()).orElse(initialSettings);
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MembershipSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/MembershipSystem.java
@@ -5,7 +5,7 @@
 import io.yuccaswitch.core.decision.DecisionSystem;
 import io.yuccaswitch.core.decision.Tick;
 import io.yuccaswitch.core.identity.NodeName;
-import io.yuccaswitch.core.platform.PlatformNews;
+import io.yuccaswitch.core.platform.PlatformReachability;
 import io.yuccaswitch.core.platform.PlatformTokens;
 import java.time.Duration;
 import java.util.Collection;
@@ -135,7 +135,7 @@
      *
      * @return The state of the platform's reachability.
      */
-    public PlatformNews platformNews() {
+    public PlatformReachability platformReachability() {
         return state.platform();
     }
 
@@ -144,8 +144,8 @@
      *
      * @return {@code true} if this node's view may be stale.
      */
-    public boolean isDoubtful() {
-        return state.health().isDoubtful();
+    public boolean isUncertain() {
+        return state.health().isUncertain();
     }
 
     /**
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/PlatformContactTracker.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/PlatformContactTracker.java
@@ -5,7 +5,7 @@
 import io.yuccaswitch.core.identity.NodeIdentity;
 import io.yuccaswitch.core.identity.NodeName;
 import io.yuccaswitch.core.platform.PlatformEvent;
-import io.yuccaswitch.core.platform.PlatformNews;
+import io.yuccaswitch.core.platform.PlatformReachability;
 import io.yuccaswitch.core.time.MonotonicTime;
 import java.time.Duration;
 import java.util.Comparator;
@@ -17,7 +17,7 @@
  * number of the same observer replaces a lower one. Of the same number, the earliest estimate is kept, since each hop
  * makes an answer appear more recent than it is.
  */
-final class PlatformContactTracker implements PlatformNews {
+final class PlatformContactTracker implements PlatformReachability {
 
     /** The maximum number of observers that are retained. */
     private static final int MAXIMUM_OBSERVERS = 64;
@@ -129,13 +129,13 @@
 
     /** {@inheritDoc} */
     @Override
-    public Optional<Duration> silentFor(MonotonicTime now) {
+    public Optional<Duration> unreachableFor(MonotonicTime now) {
         maximumWorkingSinceAnswer =
                 Math.max(maximumWorkingSinceAnswer, table.working().size());
         long alive = table.working().stream()
                 .filter(member -> member.condition() == MemberCondition.ALIVE)
                 .count();
-        if (health.isDoubtful() || alive * 2 <= maximumWorkingSinceAnswer) {
+        if (health.isUncertain() || alive * 2 <= maximumWorkingSinceAnswer) {
             return Optional.empty();
         }
         return latestAnswerAt.map(now::since);
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/PlatformListSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/PlatformListSystem.java
@@ -4,7 +4,7 @@
 import io.yuccaswitch.core.decision.Tick;
 import io.yuccaswitch.core.identity.NodeIdentity;
 import io.yuccaswitch.core.peer.PeerEffect;
-import io.yuccaswitch.core.platform.CallBackOff;
+import io.yuccaswitch.core.platform.CallBackoff;
 import io.yuccaswitch.core.platform.PlatformEffect;
 import io.yuccaswitch.core.platform.PlatformEvent;
 import io.yuccaswitch.core.platform.PlatformEvent.VirtualMachine;
@@ -43,7 +43,7 @@
     private final PlatformTokens tokens;
 
     /** The backoff of calls. */
-    private final CallBackOff backoff = new CallBackOff(INITIAL_RETRY_DELAY, MAXIMUM_RETRY_DELAY);
+    private final CallBackoff backoff = new CallBackoff(INITIAL_RETRY_DELAY, MAXIMUM_RETRY_DELAY);
 
     /** The token of the pending call, or empty if there is none. */
     private OptionalLong pendingCall = OptionalLong.empty();
@@ -132,7 +132,7 @@
         notified.removeIf(identity -> !state.table().contains(identity.name()));
         for (Member member : state.table().working()) {
             if (isListed(member, leaving) && notified.add(member.identity())) {
-                tick.emit(new PeerEffect.Send(member.identity().name(), new MembershipMessage.LeavingAdvice()));
+                tick.emit(new PeerEffect.Send(member.identity().name(), new MembershipMessage.LeavingNotification()));
             }
         }
     }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/ProbeSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/ProbeSystem.java
@@ -91,7 +91,7 @@
         state.counters().answer();
         Optional<Probe> awaited =
                 probes.find(sequence).filter(probe -> probe.target().equals(sender.name()));
-        if (awaited.isPresent() && state.health().isDoubtful()) {
+        if (awaited.isPresent() && state.health().isUncertain()) {
             SelfSystem.restore(tick, state.health());
         }
         awaited.ifPresent(probe -> complete(tick, probe));
@@ -207,7 +207,7 @@
      */
     private void fail(Tick tick, NodeName target) {
         state.health().recordFailure();
-        if (state.health().isDoubtful()) {
+        if (state.health().isUncertain()) {
             return;
         }
         Optional<MemberRow> row = state.table().row(target);
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/SelfHealth.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/SelfHealth.java
@@ -61,7 +61,7 @@
      *
      * @return {@code true} if this node's view may be stale.
      */
-    boolean isDoubtful() {
+    boolean isUncertain() {
         return pauseDetectedAt.isPresent();
     }
 
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/SelfSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/SelfSystem.java
@@ -38,7 +38,7 @@
         if (!tick.events(MembershipEvent.Departing.class).isEmpty()) {
             strengthenCondition(tick, MemberCondition.DEAD);
         }
-        if (state.health().isDoubtful() && state.health().hasRecoveryTimedOut(tick.now())) {
+        if (state.health().isUncertain() && state.health().hasRecoveryTimedOut(tick.now())) {
             restore(tick, state.health());
         }
     }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/SuspicionSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/membership/SuspicionSystem.java
@@ -37,7 +37,7 @@
             return;
         }
         nextCheck = tick.now().plus(CHECK_INTERVAL);
-        if (!state.health().isDoubtful()) {
+        if (!state.health().isUncertain()) {
             declareDead(tick);
         }
         MembershipOptions options = state.options();
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/EngineReport.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/EngineReport.java
@@ -6,7 +6,7 @@
 /**
  * The report of an engine about the orders that it executes.
  *
- * @param incarnation The incarnation of the engine, or {@link EndpointName#UNTOLD}.
+ * @param incarnation The incarnation of the engine, or {@link EndpointName#UNKNOWN}.
  * @param busy Whether the engine is executing an order.
  * @param sequence The number of orders that the engine has accepted since it started.
  * @param versions The versions of its models.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/VersionOrderSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/VersionOrderSystem.java
@@ -107,7 +107,7 @@
         tick.events(OrderEvent.ReportRead.class).forEach(read -> handleReport(tick, read));
         tick.events(OrderEvent.Ordered.class).forEach(ordered -> handleAnswer(tick, ordered));
         rows.rows().forEach(row -> advance(tick, row));
-        routes.inForce().ifPresent(configuration -> begin(tick, configuration));
+        routes.active().ifPresent(configuration -> begin(tick, configuration));
     }
 
     /**
@@ -254,7 +254,7 @@
             return;
         }
         received.ifPresent(report -> report.versions()
-                .forEach((model, version) -> registry.noteVersion(tick, read.engine(), model, version)));
+                .forEach((model, version) -> registry.recordVersion(tick, read.engine(), model, version)));
         Optional<EngineOrderRow> row = rows.find(read.engine()).filter(EngineOrderRow::awaitsReport);
         if (row.isEmpty()) {
             return;
@@ -291,7 +291,7 @@
     private boolean isFromOtherIncarnation(Tick tick, EndpointName engine, EngineReport report) {
         EndpointName reporting = engine.withIncarnation(report.incarnation());
         if (engine.isBefore(reporting)) {
-            registry.noteIncarnation(tick, engine, report.incarnation());
+            registry.recordIncarnation(tick, engine, report.incarnation());
             rows.remove(engine);
             return true;
         }
@@ -311,9 +311,9 @@
             rows.remove(row.engine().name());
             return;
         }
-        boolean retainsRuns = routes.inForce()
+        boolean retainsRuns = routes.active()
                 .filter(configuration ->
-                        !configuration.demandsSingleVersion(row.engine().pool()))
+                        !configuration.requiresSingleVersion(row.engine().pool()))
                 .isPresent();
         rows.put(row.engine().name(), row.withStage(EngineOrderRow.Stage.ORDERING, tick.now(), ORDER_TIMEOUT));
         lease.recordAction();
@@ -355,7 +355,7 @@
             case STARTED ->
                 rows.put(name, row.get().withStage(EngineOrderRow.Stage.LOADING, tick.now(), MINIMUM_LOADING_TIME));
             case HOLDS -> {
-                registry.noteVersion(tick, name, row.get().model(), row.get().version());
+                registry.recordVersion(tick, name, row.get().model(), row.get().version());
                 rows.remove(name);
             }
             case CONFLICT ->
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/VersionRelaySystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/modelversion/VersionRelaySystem.java
@@ -37,7 +37,7 @@
 
     @Override
     public void run(Tick tick) {
-        calls.answer(tick);
+        calls.processAnswers(tick);
         for (PeerEvent.Received received : tick.events(PeerEvent.Received.class)) {
             NodeName sender = received.sender().name();
             if (received.message() instanceof OrderMessage.ReadVersions) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/CallBackOff.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/CallBackoff.java
@@ -8,7 +8,7 @@
  * Delays the calls of a system to the platform after a failed call: by a random time within a bound that doubles with
  * each failure, such that the nodes do not all call at once when the platform is reachable again.
  */
-public final class CallBackOff {
+public final class CallBackoff {
 
     /** The bound after the first failure. */
     private final Duration initial;
@@ -28,7 +28,7 @@
      * @param initial The bound after the first failure.
      * @param maximum The maximum bound.
      */
-    public CallBackOff(Duration initial, Duration maximum) {
+    public CallBackoff(Duration initial, Duration maximum) {
         this.initial = initial;
         this.maximum = maximum;
         bound = initial;
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/KindFeed.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/KindFeed.java
@@ -15,7 +15,7 @@
      * @param tick The tick.
      * @return The changes, if any arrived.
      */
-    Optional<News> run(Tick tick);
+    Optional<Changes> run(Tick tick);
 
     /**
      * Returns the latest time as of which this node's copy is guaranteed to include every change at the platform. The
@@ -40,7 +40,7 @@
      * @param objects The objects, in the order of their changes. Deleted ones are marked as such.
      * @param complete {@code true} if these are all existing objects, {@code false} if they are changes.
      */
-    record News(List<StoredObject> objects, boolean complete) {
+    record Changes(List<StoredObject> objects, boolean complete) {
 
         /**
          * Returns these changes without those up to a version.
@@ -48,8 +48,8 @@
          * @param version The version.
          * @return The later changes.
          */
-        public News changesAfter(long version) {
-            return new News(
+        public Changes changesAfter(long version) {
+            return new Changes(
                     objects.stream()
                             .filter(object -> object.version() > version)
                             .toList(),
@@ -62,11 +62,11 @@
          * @param later The later changes.
          * @return The combined changes.
          */
-        public News followedBy(News later) {
+        public Changes mergedWith(Changes later) {
             if (later.complete()) {
                 return later;
             }
-            return new News(
+            return new Changes(
                     Stream.concat(objects.stream(), later.objects().stream()).toList(), complete);
         }
     }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/KindWatch.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/KindWatch.java
@@ -40,7 +40,7 @@
     private final Duration watchTimeout;
 
     /** When the next call may be made. */
-    private final CallBackOff backoff = new CallBackOff(INITIAL_BACKOFF, MAXIMUM_BACKOFF);
+    private final CallBackoff backoff = new CallBackoff(INITIAL_BACKOFF, MAXIMUM_BACKOFF);
 
     /** The version up to which this watch has received all changes, or empty before the first list. */
     private OptionalLong version = OptionalLong.empty();
@@ -64,7 +64,7 @@
     private Optional<MonotonicTime> confirmedAt = Optional.empty();
 
     /** The changes that were received in this tick. */
-    private Optional<KindFeed.News> changes = Optional.empty();
+    private Optional<KindFeed.Changes> changes = Optional.empty();
 
     /**
      * Creates a watch that has received no objects.
@@ -95,8 +95,8 @@
      * @param tick The tick.
      * @return The changes, if an answer arrived.
      */
-    public Optional<KindFeed.News> run(Tick tick) {
-        Optional<KindFeed.News> answer = receive(tick);
+    public Optional<KindFeed.Changes> run(Tick tick) {
+        Optional<KindFeed.Changes> answer = receive(tick);
         callIfDue(tick, watchTimeout);
         return answer;
     }
@@ -107,9 +107,9 @@
      * @param tick The tick.
      * @return The changes, if an answer arrived.
      */
-    public Optional<KindFeed.News> receive(Tick tick) {
+    public Optional<KindFeed.Changes> receive(Tick tick) {
         changes = Optional.empty();
-        calls.answer(tick);
+        calls.processAnswers(tick);
         return changes;
     }
 
@@ -238,7 +238,7 @@
             return;
         }
         confirmedAt = Optional.of(confirmedBy(listed, tick.now()));
-        changes = Optional.of(new KindFeed.News(listed.objects(), holdTime.isEmpty()));
+        changes = Optional.of(new KindFeed.Changes(listed.objects(), holdTime.isEmpty()));
         version = OptionalLong.of(listed.version());
         backoff.succeeded(tick.now(), listed.objects().isEmpty() ? Duration.ZERO : batchingDelay);
     }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/PlatformCalls.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/PlatformCalls.java
@@ -78,7 +78,7 @@
      *
      * @param tick The tick.
      */
-    public void answer(Tick tick) {
+    public void processAnswers(Tick tick) {
         for (PlatformEvent event : tick.events(PlatformEvent.class)) {
             PendingCall answered = pending.remove(event.token());
             if (answered != null) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/PlatformEffect.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/PlatformEffect.java
@@ -98,9 +98,9 @@
      * @param purpose The purpose of the call.
      * @param kind The kind to watch.
      * @param afterVersion The version after which changes are returned.
-     * @param waitTime How long the platform waits for changes, or empty for the client's setting.
+     * @param watchTimeout How long the platform waits for changes, or empty for the client's setting.
      */
-    record Watch(long token, PlatformPurpose purpose, String kind, long afterVersion, Optional<Duration> waitTime)
+    record Watch(long token, PlatformPurpose purpose, String kind, long afterVersion, Optional<Duration> watchTimeout)
             implements PlatformEffect {
 
         /**
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/PlatformNews.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/platform/PlatformReachability.java
@@ -6,10 +6,10 @@
 
 /** The nodes' combined state of whether the platform answers any of them. */
 @FunctionalInterface
-public interface PlatformNews {
+public interface PlatformReachability {
 
     /** No information, such that the platform is never considered unreachable from all nodes. */
-    PlatformNews UNKNOWN = _now -> Optional.empty();
+    PlatformReachability UNKNOWN = _now -> Optional.empty();
 
     /**
      * Returns the time for which no node has received an answer from the platform. An implementation must return empty
@@ -18,5 +18,5 @@
      * @param now The current time.
      * @return The time since the latest answer of the platform to any node, or empty without enough recent reports.
      */
-    Optional<Duration> silentFor(MonotonicTime now);
+    Optional<Duration> unreachableFor(MonotonicTime now);
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/proxy/EndpointSelection.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/proxy/EndpointSelection.java
@@ -159,7 +159,7 @@
      * @param elapsed The time.
      * @param now The current time.
      */
-    public void succeed(RegisteredEndpoint endpoint, Duration elapsed, MonotonicTime now) {
+    public void recordSuccess(RegisteredEndpoint endpoint, Duration elapsed, MonotonicTime now) {
         Row row = row(endpoint);
         row.measure(elapsed, now);
         row.timedOut = false;
@@ -174,7 +174,7 @@
      * @param elapsed The time until the attempt was aborted.
      * @param now The current time.
      */
-    public void slow(RegisteredEndpoint endpoint, Duration elapsed, MonotonicTime now) {
+    public void recordTimeout(RegisteredEndpoint endpoint, Duration elapsed, MonotonicTime now) {
         Row row = row(endpoint);
         row.measure(elapsed.multipliedBy(2), now);
         row.timedOut = true;
@@ -186,7 +186,7 @@
      * @param endpoint The endpoint.
      * @param now The current time.
      */
-    public void fail(RegisteredEndpoint endpoint, MonotonicTime now) {
+    public void recordFailure(RegisteredEndpoint endpoint, MonotonicTime now) {
         Row row = row(endpoint);
         row.failures++;
         Duration pause = INITIAL_PAUSE.multipliedBy(1L << Math.min(row.failures - 1, 5));
@@ -200,7 +200,7 @@
      * @param running The number of requests that are running or waiting there.
      * @param now The current time.
      */
-    public void tell(RegisteredEndpoint endpoint, int running, MonotonicTime now) {
+    public void recordLoad(RegisteredEndpoint endpoint, int running, MonotonicTime now) {
         Row row = row(endpoint);
         row.reportedLoad = running;
         row.reportedAt = now;
@@ -213,9 +213,9 @@
      * @param now The current time.
      * @return The time, which is that of one answer if there is no endpoint.
      */
-    public Duration untilFree(List<RegisteredEndpoint> working, MonotonicTime now) {
+    public Duration timeUntilSlotIsFree(List<RegisteredEndpoint> working, MonotonicTime now) {
         double millis = working.stream()
-                .mapToDouble(endpoint -> untilFree(endpoint, now))
+                .mapToDouble(endpoint -> timeUntilSlotIsFree(endpoint, now))
                 .min()
                 .orElse(DEFAULT_ANSWER_MILLIS);
         return Duration.ofNanos((long) (millis * 1e6));
@@ -241,7 +241,7 @@
      * @param now The current time.
      * @return The time in milliseconds.
      */
-    private double untilFree(RegisteredEndpoint endpoint, MonotonicTime now) {
+    private double timeUntilSlotIsFree(RegisteredEndpoint endpoint, MonotonicTime now) {
         Row row = row(endpoint);
         int slots = Math.max(1, endpoint.slots());
         int ahead = Math.max(1, Math.max(row.running, row.load(now)) - slots + 1);
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/proxy/RequestPlan.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/proxy/RequestPlan.java
@@ -53,7 +53,7 @@
     }
 
     /** Records that the current attempt may have run. */
-    public void mayHaveRun() {
+    public void recordPossibleRun() {
         runs++;
     }
 
@@ -71,7 +71,7 @@
      *
      * @return {@code false} if it is certain that none has run.
      */
-    public boolean hasMaybeRun() {
+    public boolean mayHaveRun() {
         return runs > 0;
     }
 
@@ -80,7 +80,7 @@
      *
      * @return {@code true} if another attempt is allowed.
      */
-    public boolean mayTryAgain() {
+    public boolean mayRetry() {
         int allowed = Math.max(1, route.maximumAttempts());
         boolean refusedOnly = runs == 0;
         return (refusedOnly || route.mayRepeat()) && runs < allowed && sends < allowed + MAXIMUM_REFUSED_SENDS;
@@ -93,7 +93,7 @@
      * @param remaining The remaining time of the request.
      * @return The maximum waiting time.
      */
-    public Duration attemptTime(Duration remaining) {
+    public Duration attemptTimeout(Duration remaining) {
         boolean mayFollow = route.mayRepeat() && runs + 1 < Math.max(1, route.maximumAttempts());
         if (!mayFollow) {
             return remaining;
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/proxy/ReturnTime.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/proxy/RetryDelay.java
@@ -7,7 +7,7 @@
  * service is at capacity or unavailable for all callers: callers that were rejected together with the same delay would
  * retry together, and be rejected again.
  */
-public final class ReturnTime {
+public final class RetryDelay {
 
     /** The minimum delay: a few round trips to a caller. Retrying sooner only adds load. */
     private static final Duration MINIMUM_DELAY = Duration.ofMillis(20);
@@ -16,7 +16,7 @@
     private static final Duration MAXIMUM_DELAY = Duration.ofSeconds(1);
 
     /** This class has no instances. */
-    private ReturnTime() {}
+    private RetryDelay() {}
 
     /**
      * Returns the delay after which a caller retries.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/Strike.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/CrashEvidence.java
@@ -10,7 +10,7 @@
  * @param certain Whether the endpoint is known to have been running when it received the request. Otherwise it may have
  *     terminated before.
  */
-public record Strike(EndpointName endpoint, long at, boolean certain) {
+public record CrashEvidence(EndpointName endpoint, long at, boolean certain) {
 
     /**
      * The minimum time between two distinct terminations of an endpoint without incarnation numbers, in milliseconds.
@@ -24,9 +24,10 @@
      * @param other The other evidence.
      * @return {@code true} if it refers to the same termination.
      */
-    boolean isSameTermination(Strike other) {
+    boolean isSameTermination(CrashEvidence other) {
         return endpoint.equals(other.endpoint)
-                && (endpoint.incarnation() != EndpointName.UNTOLD || Math.abs(at - other.at) < SAME_TERMINATION_MILLIS);
+                && (endpoint.incarnation() != EndpointName.UNKNOWN
+                        || Math.abs(at - other.at) < SAME_TERMINATION_MILLIS);
     }
 
     /**
@@ -35,7 +36,7 @@
      * @param other The other evidence.
      * @return The evidence with the earlier time, which is certain if either one is.
      */
-    Strike merge(Strike other) {
-        return new Strike(endpoint, Math.min(at, other.at), certain || other.certain);
+    CrashEvidence merge(CrashEvidence other) {
+        return new CrashEvidence(endpoint, Math.min(at, other.at), certain || other.certain);
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/EvidenceSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/EvidenceSystem.java
@@ -39,7 +39,7 @@
     private final QuarantineState state;
 
     /** The status of endpoints according to the registry. */
-    private final EndpointStandings endpointStatuses;
+    private final EndpointStates endpointStates;
 
     /** The unanswered attempts whose endpoints may have terminated, the oldest first. */
     private final Deque<UnansweredAttempt> unanswered = new ArrayDeque<>();
@@ -51,11 +51,11 @@
      * Creates a system.
      *
      * @param state The state that the systems of the quarantine share.
-     * @param endpointStatuses The status of endpoints according to the registry.
+     * @param endpointStates The status of endpoints according to the registry.
      */
-    EvidenceSystem(QuarantineState state, EndpointStandings endpointStatuses) {
+    EvidenceSystem(QuarantineState state, EndpointStates endpointStates) {
         this.state = state;
-        this.endpointStatuses = endpointStatuses;
+        this.endpointStates = endpointStates;
     }
 
     @Override
@@ -125,7 +125,7 @@
         List<UnansweredAttempt> resolved = new ArrayList<>();
         for (UnansweredAttempt attempt : unanswered) {
             EndpointName endpoint = attempt.event().endpoint();
-            if (state.isEnded(endpoint) || endpointStatuses.of(endpoint) == EndpointStandings.Standing.GONE) {
+            if (state.isEnded(endpoint) || endpointStates.of(endpoint) == EndpointStates.State.GONE) {
                 resolved.add(attempt);
                 recordEvidence(tick, attempt.event(), attempt.lostAt());
             } else if (tick.now().since(attempt.since()).compareTo(UNANSWERED_RETENTION) > 0) {
@@ -144,10 +144,11 @@
      *     time also covers this termination, however late it is detected.
      */
     private void recordEvidence(Tick tick, QuarantineEvent.AnswerLost lost, long lostAt) {
-        if (endpointStatuses.of(lost.endpoint()) == EndpointStandings.Standing.LEAVING) {
+        if (endpointStates.of(lost.endpoint()) == EndpointStates.State.LEAVING) {
             return;
         }
-        Strike evidence = new Strike(lost.endpoint(), lostAt, lost.loss().lived());
+        CrashEvidence evidence =
+                new CrashEvidence(lost.endpoint(), lostAt, lost.loss().wasRunning());
         Suspect recorded = state.suspects()
                 .find(lost.fingerprint())
                 .orElseGet(() -> new Suspect(lost.fingerprint(), lost.description()));
@@ -177,7 +178,7 @@
     private void cleanUp() {
         long now = state.epochMillis();
         for (Suspect suspect : state.suspects().rows()) {
-            List<Strike> refuted = suspect.strikes().stream()
+            List<CrashEvidence> refuted = suspect.crashEvidence().stream()
                     .filter(evidence -> isRefuted(evidence, now))
                     .toList();
             if (!refuted.isEmpty()) {
@@ -195,9 +196,9 @@
      * @param now The current time in milliseconds since the epoch.
      * @return {@code true} if the registry still lists it.
      */
-    private boolean isRefuted(Strike evidence, long now) {
+    private boolean isRefuted(CrashEvidence evidence, long now) {
         return now - evidence.at() >= REFUTATION_DELAY.toMillis()
-                && endpointStatuses.of(evidence.endpoint()) == EndpointStandings.Standing.WORKING;
+                && endpointStates.of(evidence.endpoint()) == EndpointStates.State.WORKING;
     }
 
     /**
@@ -206,8 +207,8 @@
      * @param suspect The request.
      * @param refuted The refuted evidence.
      */
-    private void refute(Suspect suspect, List<Strike> refuted) {
-        List<Strike> left = new ArrayList<>(suspect.strikes());
+    private void refute(Suspect suspect, List<CrashEvidence> refuted) {
+        List<CrashEvidence> left = new ArrayList<>(suspect.crashEvidence());
         left.removeAll(refuted);
         if (left.isEmpty()) {
             state.remove(suspect.fingerprint());
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/ExchangeSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/ExchangeSystem.java
@@ -95,13 +95,14 @@
      * @param message The message.
      */
     private void receive(Tick tick, NodeName sender, QuarantineMessage message) {
-        if (message instanceof QuarantineMessage.Told told) {
-            told.suspects().forEach(state::mergeRemote);
-            told.ended().forEach(endpoint -> state.recordEnded(endpoint, tick.now()));
-        } else if (message instanceof QuarantineMessage.Compare compare && compare.digest() != digest()) {
+        if (message instanceof QuarantineMessage.Update update) {
+            update.suspects().forEach(state::mergeRemote);
+            update.ended().forEach(endpoint -> state.recordEnded(endpoint, tick.now()));
+        } else if (message instanceof QuarantineMessage.DigestComparison comparison
+                && comparison.digest() != digest()) {
             sendAll(tick, sender);
-            if (compare.requestsReply()) {
-                tick.emit(new PeerEffect.Send(sender, new QuarantineMessage.Compare(digest(), false)));
+            if (comparison.requestsReply()) {
+                tick.emit(new PeerEffect.Send(sender, new QuarantineMessage.DigestComparison(digest(), false)));
             }
         }
     }
@@ -147,7 +148,8 @@
         List<Member> others = others();
         if (!others.isEmpty()) {
             Member partner = others.get(tick.random().nextInt(others.size()));
-            tick.emit(new PeerEffect.Send(partner.identity().name(), new QuarantineMessage.Compare(digest(), true)));
+            tick.emit(new PeerEffect.Send(
+                    partner.identity().name(), new QuarantineMessage.DigestComparison(digest(), true)));
         }
     }
 
@@ -174,7 +176,7 @@
      * @param ended The endpoints that have terminated.
      */
     private static void send(Tick tick, NodeName node, List<Suspect> suspects, List<EndpointName> ended) {
-        tick.emit(new PeerEffect.Send(node, new QuarantineMessage.Told(suspects, ended)));
+        tick.emit(new PeerEffect.Send(node, new QuarantineMessage.Update(suspects, ended)));
     }
 
     /**
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/LastEndpoint.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/LastEndpoint.java
@@ -15,7 +15,7 @@
     static final Duration RESTART_DURATION = Duration.ofSeconds(5);
 
     /** The delay after which a caller may retry in the meantime. */
-    public static final Duration COME_BACK = Duration.ofSeconds(1);
+    public static final Duration RETRY_DELAY = Duration.ofSeconds(1);
 
     /** This class has no instances. */
     private LastEndpoint() {}
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/Loss.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/Loss.java
@@ -4,10 +4,10 @@
  * Why an attempt that may have run returned no usable answer, and what this indicates about its endpoint.
  *
  * @param cause The cause.
- * @param lived Whether the endpoint is known to have been running when it received the request. A reused connection
- *     that closed at once is inconclusive.
+ * @param wasRunning Whether the endpoint is known to have been running when it received the request. A reused
+ *     connection that closed at once is inconclusive.
  */
-public record Loss(Cause cause, boolean lived) {
+public record Loss(Cause cause, boolean wasRunning) {
 
     /** The endpoint is running, but its answer was unusable. */
     public static final Loss UNUSABLE = new Loss(Cause.UNUSABLE, true);
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantineCheck.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantineCheck.java
@@ -50,7 +50,7 @@
         }
         RequestFingerprint computed = fingerprint.get();
         Verdict verdict = view.verdict(computed, quarantine.epochMillis());
-        if (verdict instanceof Verdict.Try) {
+        if (verdict instanceof Verdict.Trial) {
             quarantine.report(tick, new QuarantineEvent.TrialBegun(computed));
             return Optional.empty();
         }
@@ -81,7 +81,7 @@
      * @param fingerprint Computes the fingerprint of the request.
      * @return {@code true} if the request is recorded as suspect.
      */
-    public boolean isInDoubt(Supplier<RequestFingerprint> fingerprint) {
+    public boolean isSuspect(Supplier<RequestFingerprint> fingerprint) {
         QuarantineView view = quarantine.view();
         return !view.isEmpty() && view.find(fingerprint.get()).isPresent();
     }
@@ -95,7 +95,7 @@
      * @param endpoint The endpoint.
      * @param loss Why no answer was returned.
      */
-    public void lose(
+    public void recordLoss(
             Tick tick, Supplier<RequestFingerprint> fingerprint, String description, EndpointName endpoint, Loss loss) {
         if (loss.cause() != Loss.Cause.UNUSABLE) {
             quarantine.report(tick, new QuarantineEvent.AnswerLost(fingerprint.get(), description, endpoint, loss));
@@ -110,7 +110,7 @@
      * @param first Whether this was its first attempt. Success at the first attempt is reported only while any request
      *     is suspect.
      */
-    public void serve(Tick tick, Supplier<RequestFingerprint> fingerprint, boolean first) {
+    public void recordSuccess(Tick tick, Supplier<RequestFingerprint> fingerprint, boolean first) {
         if (!first || !quarantine.view().isEmpty()) {
             quarantine.report(tick, new QuarantineEvent.Served(fingerprint.get()));
         }
@@ -128,10 +128,10 @@
     private Optional<Duration> retryDelay(
             QuarantineView view, RequestFingerprint computed, Verdict verdict, Collection<EndpointName> working) {
         if (verdict instanceof Verdict.Refuse refuse) {
-            return Optional.of(refuse.comeBack());
+            return Optional.of(refuse.retryDelay());
         }
-        boolean protectsLast =
-                verdict instanceof Verdict.Restrain && view.sparesLast(computed, working, quarantine.epochMillis());
-        return protectsLast ? Optional.of(LastEndpoint.COME_BACK) : Optional.empty();
+        boolean protectsLast = verdict instanceof Verdict.Restrain
+                && view.protectsLastEndpoint(computed, working, quarantine.epochMillis());
+        return protectsLast ? Optional.of(LastEndpoint.RETRY_DELAY) : Optional.empty();
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantineMessage.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantineMessage.java
@@ -13,7 +13,7 @@
      * @param suspects The requests.
      * @param ended The endpoints that have terminated recently.
      */
-    record Told(List<Suspect> suspects, List<EndpointName> ended) implements QuarantineMessage {
+    record Update(List<Suspect> suspects, List<EndpointName> ended) implements QuarantineMessage {
 
         /**
          * Copies the lists.
@@ -21,7 +21,7 @@
          * @param suspects The requests.
          * @param ended The endpoints that have terminated recently.
          */
-        public Told {
+        public Update {
             suspects = List.copyOf(suspects);
             ended = List.copyOf(ended);
         }
@@ -34,5 +34,5 @@
      * @param digest A digest of all requests recorded at the sender.
      * @param requestsReply Whether the receiver sends its own digest in return.
      */
-    record Compare(long digest, boolean requestsReply) implements QuarantineMessage {}
+    record DigestComparison(long digest, boolean requestsReply) implements QuarantineMessage {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantinePolicy.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantinePolicy.java
@@ -23,10 +23,11 @@
     private static final int UNCONDITIONAL_HOLD_THRESHOLD = 4;
 
     /**
-     * How long a request is held: the first entry applies at the number of terminations from which it is held, each
-     * further entry at one more. The first hold is short, so that a request that coincided with a series of unrelated
-     * failures is served again while its caller still needs it. Each trial may take an endpoint out of service for some
-     * seconds, which at an interval of six hours is negligible beside ordinary failures.
+     * How long a request is held: the first entry applies at {@link #HOLD_THRESHOLD} terminations and each further
+     * entry at one more, so a request that is held only from {@link #UNCONDITIONAL_HOLD_THRESHOLD} on starts with the
+     * second entry. The first hold is short, so that a request that coincided with a series of unrelated failures is
+     * served again while its caller still needs it. Each trial may take an endpoint out of service for some seconds,
+     * which at an interval of six hours is negligible beside ordinary failures.
      */
     private static final List<Duration> HOLD_DURATIONS =
             List.of(Duration.ofSeconds(30), Duration.ofMinutes(10), Duration.ofHours(1), Duration.ofHours(6));
@@ -54,14 +55,14 @@
      * @return The verdict.
      */
     static Verdict judge(Suspect suspect, boolean soleRequest, long now) {
-        if (suspect.strikes().isEmpty()) {
+        if (suspect.crashEvidence().isEmpty()) {
             return new Verdict.Serve();
         }
         if (!isHeld(suspect, soleRequest)) {
             return suspect.count() < RESTRAIN_THRESHOLD ? new Verdict.Observe() : new Verdict.Restrain();
         }
         long left = heldUntil(suspect) - now;
-        return left > 0 ? new Verdict.Refuse(Duration.ofMillis(left)) : new Verdict.Try();
+        return left > 0 ? new Verdict.Refuse(Duration.ofMillis(left)) : new Verdict.Trial();
     }
 
     /**
@@ -96,7 +97,7 @@
      * @return {@code true} if it may be removed.
      */
     static boolean isExpired(Suspect suspect, long now) {
-        Duration retention = suspect.strikes().isEmpty()
+        Duration retention = suspect.crashEvidence().isEmpty()
                 ? CLEARANCE_RETENTION
                 : suspect.count() < HOLD_THRESHOLD ? SUSPECT_RETENTION : HELD_RETENTION;
         return now - suspect.changedAt() > retention.toMillis();
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantineState.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantineState.java
@@ -177,7 +177,7 @@
      */
     void clear(Tick tick, RequestFingerprint fingerprint, String reason) {
         Optional<Suspect> recorded = suspects.find(fingerprint);
-        if (recorded.isEmpty() || recorded.get().strikes().isEmpty()) {
+        if (recorded.isEmpty() || recorded.get().crashEvidence().isEmpty()) {
             return;
         }
         tick.decide(Decision.of("quarantine", fingerprint.toString(), "cleared", reason));
@@ -294,14 +294,14 @@
     private Map<RequestFingerprint, QuarantineView.Entry> entries() {
         Map<EndpointName, Integer> requests = new HashMap<>();
         for (Suspect suspect : suspects.view()) {
-            suspect.strikes().stream()
-                    .filter(Strike::certain)
+            suspect.crashEvidence().stream()
+                    .filter(CrashEvidence::certain)
                     .forEach(evidence -> requests.merge(evidence.endpoint(), 1, Integer::sum));
         }
         Map<RequestFingerprint, QuarantineView.Entry> entries = new HashMap<>();
         for (Suspect suspect : suspects.view()) {
-            if (!suspect.strikes().isEmpty()) {
-                boolean soleRequest = suspect.strikes().stream()
+            if (!suspect.crashEvidence().isEmpty()) {
+                boolean soleRequest = suspect.crashEvidence().stream()
                         .anyMatch(evidence -> evidence.certain() && requests.get(evidence.endpoint()) == 1);
                 entries.put(suspect.fingerprint(), new QuarantineView.Entry(suspect, soleRequest));
             }
@@ -322,7 +322,7 @@
                 suspect.fingerprint().toString(),
                 "held",
                 suspect.description() + ", endpoints ended " + suspect.count() + ", since "
-                        + suspect.strikes().get(0).at() + ", until " + entry.heldUntil()
+                        + suspect.crashEvidence().get(0).at() + ", until " + entry.heldUntil()
                         + (entry.soleRequest() ? "" : ", other suspect requests were in flight at all of them")));
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantineSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantineSystem.java
@@ -28,16 +28,13 @@
      *
      * @param membership The nodes of the site.
      * @param tokens Allocates the tokens of platform calls.
-     * @param endpointStatuses Supplies the status of endpoints from another source.
+     * @param endpointStates Supplies the status of endpoints from another source.
      * @param timeOfDay Supplies the time of day in milliseconds since the epoch.
      */
     public QuarantineSystem(
-            MembershipView membership,
-            PlatformTokens tokens,
-            EndpointStandings endpointStatuses,
-            LongSupplier timeOfDay) {
+            MembershipView membership, PlatformTokens tokens, EndpointStates endpointStates, LongSupplier timeOfDay) {
         state = new QuarantineState(timeOfDay);
-        evidence = new EvidenceSystem(state, endpointStatuses);
+        evidence = new EvidenceSystem(state, endpointStates);
         parts = List.of(evidence, new ExchangeSystem(state, membership), new StoreSystem(state, tokens));
     }
 
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantineView.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/QuarantineView.java
@@ -52,13 +52,13 @@
      * @param fingerprint The request.
      * @return The endpoints.
      */
-    public Set<EndpointName> endedUnder(RequestFingerprint fingerprint) {
+    public Set<EndpointName> endpointsEndedBy(RequestFingerprint fingerprint) {
         Entry entry = entries.get(fingerprint);
         return entry == null
                 ? Set.of()
-                : entry.suspect().strikes().stream()
-                        .filter(Strike::certain)
-                        .map(Strike::endpoint)
+                : entry.suspect().crashEvidence().stream()
+                        .filter(CrashEvidence::certain)
+                        .map(CrashEvidence::endpoint)
                         .collect(Collectors.toSet());
     }
 
@@ -71,7 +71,7 @@
      * @param now The current time in milliseconds since the epoch.
      * @return {@code true} if at most one endpoint is left.
      */
-    public boolean sparesLast(RequestFingerprint fingerprint, Collection<EndpointName> working, long now) {
+    public boolean protectsLastEndpoint(RequestFingerprint fingerprint, Collection<EndpointName> working, long now) {
         Entry entry = entries.get(fingerprint);
         if (entry == null || now - entry.suspect().lastCrashAt() > LastEndpoint.RESTART_DURATION.toMillis()) {
             return false;
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/StoreSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/StoreSystem.java
@@ -3,7 +3,7 @@
 import io.yuccaswitch.core.decision.Decision;
 import io.yuccaswitch.core.decision.DecisionSystem;
 import io.yuccaswitch.core.decision.Tick;
-import io.yuccaswitch.core.platform.CallBackOff;
+import io.yuccaswitch.core.platform.CallBackoff;
 import io.yuccaswitch.core.platform.ObjectKey;
 import io.yuccaswitch.core.platform.PlatformCalls;
 import io.yuccaswitch.core.platform.PlatformEffect;
@@ -53,7 +53,7 @@
     private final PlatformCalls calls;
 
     /** The backoff that determines when the next call may be made. */
-    private final CallBackOff backoff = new CallBackOff(INITIAL_BACKOFF, MAXIMUM_BACKOFF);
+    private final CallBackoff backoff = new CallBackoff(INITIAL_BACKOFF, MAXIMUM_BACKOFF);
 
     /** Whether the object has been read. */
     private boolean read;
@@ -80,7 +80,7 @@
 
     @Override
     public void run(Tick tick) {
-        calls.answer(tick);
+        calls.processAnswers(tick);
         if (callPending || !backoff.allows(tick.now())) {
             return;
         }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/Suspect.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/Suspect.java
@@ -10,13 +10,17 @@
  *
  * @param fingerprint The fingerprint of the request.
  * @param description The method, host and path, for operators.
- * @param strikes The evidence of terminated endpoints since the request was last cleared, the oldest first.
+ * @param crashEvidence The evidence of terminated endpoints since the request was last cleared, the oldest first.
  * @param trialAt When it was last let through after a hold, in milliseconds since the epoch, or zero.
  * @param clearedAt When an endpoint last answered it, or an operator released it, in milliseconds since the epoch, or
  *     zero.
  */
 public record Suspect(
-        RequestFingerprint fingerprint, String description, List<Strike> strikes, long trialAt, long clearedAt) {
+        RequestFingerprint fingerprint,
+        String description,
+        List<CrashEvidence> crashEvidence,
+        long trialAt,
+        long clearedAt) {
 
     /**
      * The maximum amount of evidence that is kept. Evidence beyond the number that changes the verdict carries no
@@ -29,7 +33,7 @@
 
     /** Copies the evidence, drops what was cleared, and truncates the rest to the maximum. */
     public Suspect {
-        strikes = bounded(strikes, clearedAt);
+        crashEvidence = bounded(crashEvidence, clearedAt);
         description = description.length() <= MAXIMUM_DESCRIPTION
                 ? description
                 : description.substring(0, MAXIMUM_DESCRIPTION);
@@ -51,8 +55,8 @@
      * @param evidence The evidence.
      * @return The suspect.
      */
-    Suspect withEvidence(Strike evidence) {
-        return new Suspect(fingerprint, description, union(strikes, List.of(evidence)), trialAt, clearedAt);
+    Suspect withEvidence(CrashEvidence evidence) {
+        return new Suspect(fingerprint, description, union(crashEvidence, List.of(evidence)), trialAt, clearedAt);
     }
 
     /**
@@ -61,7 +65,7 @@
      * @param kept The evidence that remains.
      * @return The suspect.
      */
-    Suspect withEvidenceOnly(List<Strike> kept) {
+    Suspect withEvidenceOnly(List<CrashEvidence> kept) {
         return new Suspect(fingerprint, description, kept, trialAt, clearedAt);
     }
 
@@ -72,7 +76,7 @@
      * @return The suspect.
      */
     Suspect withTrial(long at) {
-        return new Suspect(fingerprint, description, strikes, Math.max(trialAt, at), clearedAt);
+        return new Suspect(fingerprint, description, crashEvidence, Math.max(trialAt, at), clearedAt);
     }
 
     /**
@@ -82,7 +86,7 @@
      * @return The suspect, without earlier evidence.
      */
     Suspect withClearance(long at) {
-        return new Suspect(fingerprint, description, strikes, trialAt, Math.max(clearedAt, at));
+        return new Suspect(fingerprint, description, crashEvidence, trialAt, Math.max(clearedAt, at));
     }
 
     /**
@@ -95,7 +99,7 @@
         return new Suspect(
                 fingerprint,
                 description.isEmpty() ? other.description : description,
-                union(strikes, other.strikes),
+                union(crashEvidence, other.crashEvidence),
                 Math.max(trialAt, other.trialAt),
                 Math.max(clearedAt, other.clearedAt));
     }
@@ -106,7 +110,7 @@
      * @return The number.
      */
     public int count() {
-        return (int) strikes.stream().filter(Strike::certain).count();
+        return (int) crashEvidence.stream().filter(CrashEvidence::certain).count();
     }
 
     /**
@@ -115,7 +119,9 @@
      * @return The time in milliseconds since the epoch, or zero without evidence.
      */
     public long lastCrashAt() {
-        return strikes.isEmpty() ? 0 : strikes.get(strikes.size() - 1).at();
+        return crashEvidence.isEmpty()
+                ? 0
+                : crashEvidence.get(crashEvidence.size() - 1).at();
     }
 
     /**
@@ -134,9 +140,9 @@
      * @param second Another list.
      * @return The evidence of both lists, with each termination once.
      */
-    private static List<Strike> union(List<Strike> first, List<Strike> second) {
-        List<Strike> merged = new ArrayList<>(first);
-        for (Strike evidence : second) {
+    private static List<CrashEvidence> union(List<CrashEvidence> first, List<CrashEvidence> second) {
+        List<CrashEvidence> merged = new ArrayList<>(first);
+        for (CrashEvidence evidence : second) {
             int same = indexOf(merged, evidence);
             if (same < 0) {
                 merged.add(evidence);
@@ -150,13 +156,13 @@
     /**
      * Finds evidence of the same termination.
      *
-     * @param strikes The list to search.
+     * @param entries The list to search.
      * @param evidence The evidence to find.
      * @return Its index, or -1 if there is none.
      */
-    private static int indexOf(List<Strike> strikes, Strike evidence) {
-        for (int i = 0; i < strikes.size(); i++) {
-            if (strikes.get(i).isSameTermination(evidence)) {
+    private static int indexOf(List<CrashEvidence> entries, CrashEvidence evidence) {
+        for (int i = 0; i < entries.size(); i++) {
+            if (entries.get(i).isSameTermination(evidence)) {
                 return i;
             }
         }
@@ -166,14 +172,14 @@
     /**
      * Sorts evidence, drops what was cleared, and truncates it to the maximum.
      *
-     * @param strikes The evidence.
+     * @param entries The evidence.
      * @param clearedAt When the request was last cleared.
      * @return The newest evidence that was not cleared, the oldest first.
      */
-    private static List<Strike> bounded(List<Strike> strikes, long clearedAt) {
-        List<Strike> uncleared = strikes.stream()
+    private static List<CrashEvidence> bounded(List<CrashEvidence> entries, long clearedAt) {
+        List<CrashEvidence> uncleared = entries.stream()
                 .filter(evidence -> evidence.at() > clearedAt)
-                .sorted(Comparator.comparingLong(Strike::at).thenComparing(Strike::endpoint))
+                .sorted(Comparator.comparingLong(CrashEvidence::at).thenComparing(CrashEvidence::endpoint))
                 .toList();
         return uncleared.subList(Math.max(0, uncleared.size() - MAXIMUM_EVIDENCE), uncleared.size());
     }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/SuspectCodec.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/SuspectCodec.java
@@ -47,14 +47,15 @@
      * @return The line.
      */
     static String encode(Suspect suspect) {
-        String strikes =
-                suspect.strikes().stream().map(SuspectCodec::encode).collect(Collectors.joining(EVIDENCE_SEPARATOR));
+        String crashEvidence = suspect.crashEvidence().stream()
+                .map(SuspectCodec::encode)
+                .collect(Collectors.joining(EVIDENCE_SEPARATOR));
         return String.join(
                 SEPARATOR,
                 suspect.fingerprint().toString(),
                 Long.toString(suspect.trialAt()),
                 Long.toString(suspect.clearedAt()),
-                strikes.isEmpty() ? NONE : strikes,
+                crashEvidence.isEmpty() ? NONE : crashEvidence,
                 suspect.description().replaceAll("\\p{Cntrl}", "?"));
     }
 
@@ -85,14 +86,14 @@
             return Optional.empty();
         }
         try {
-            List<Strike> strikes = new ArrayList<>();
+            List<CrashEvidence> crashEvidence = new ArrayList<>();
             if (!parts[3].equals(NONE)) {
                 for (String evidence : parts[3].split(EVIDENCE_SEPARATOR, -1)) {
-                    strikes.add(decodeEvidence(evidence));
+                    crashEvidence.add(decodeEvidence(evidence));
                 }
             }
             return Optional.of(new Suspect(
-                    fingerprint.get(), parts[4], strikes, Long.parseLong(parts[1]), Long.parseLong(parts[2])));
+                    fingerprint.get(), parts[4], crashEvidence, Long.parseLong(parts[1]), Long.parseLong(parts[2])));
         } catch (IllegalArgumentException | IndexOutOfBoundsException _exception) {
             return Optional.empty();
         }
@@ -104,7 +105,7 @@
      * @param evidence The evidence.
      * @return The text.
      */
-    private static String encode(Strike evidence) {
+    private static String encode(CrashEvidence evidence) {
         EndpointName endpoint = evidence.endpoint();
         return endpoint.pool() + "/" + endpoint.value() + "@" + endpoint.incarnation() + ":" + evidence.at() + ":"
                 + evidence.certain();
@@ -116,9 +117,9 @@
      * @param text The text.
      * @return The evidence.
      */
-    private static Strike decodeEvidence(String text) {
+    private static CrashEvidence decodeEvidence(String text) {
         String[] parts = text.split("[/@:]", -1);
         EndpointName endpoint = new EndpointName(new PoolName(parts[0]), parts[1], Long.parseLong(parts[2]));
-        return new Strike(endpoint, Long.parseLong(parts[3]), Boolean.parseBoolean(parts[4]));
+        return new CrashEvidence(endpoint, Long.parseLong(parts[3]), Boolean.parseBoolean(parts[4]));
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/Verdict.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/quarantine/Verdict.java
@@ -21,14 +21,14 @@
     record Restrain() implements Verdict {}
 
     /** Its hold time has elapsed, and it is granted one attempt as a trial. */
-    record Try() implements Verdict {}
+    record Trial() implements Verdict {}
 
     /**
      * It is refused.
      *
-     * @param comeBack The delay after which it is let through again.
+     * @param retryDelay The delay after which it is let through again.
      */
-    record Refuse(Duration comeBack) implements Verdict {}
+    record Refuse(Duration retryDelay) implements Verdict {}
 
     /**
      * Returns whether the request may be sent to another endpoint after an attempt returned no answer.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/registry/EndpointRegistrySystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/registry/EndpointRegistrySystem.java
@@ -10,7 +10,7 @@
 import io.yuccaswitch.core.platform.PlatformPurpose;
 import io.yuccaswitch.core.platform.PlatformTokens;
 import io.yuccaswitch.core.platform.StoredObject;
-import io.yuccaswitch.core.quarantine.EndpointStandings;
+import io.yuccaswitch.core.quarantine.EndpointStates;
 import io.yuccaswitch.core.time.MonotonicTime;
 import io.yuccaswitch.core.watch.SharedWatches;
 import java.time.Duration;
@@ -22,7 +22,7 @@
 import java.util.stream.Collectors;
 
 /** Follows the registry in which endpoints register their addresses and what they serve. */
-public final class EndpointRegistrySystem implements DecisionSystem, EndpointRegistry, EndpointStandings {
+public final class EndpointRegistrySystem implements DecisionSystem, EndpointRegistry, EndpointStates {
 
     /** The kind of the registry's objects. */
     public static final String KIND = "endpoint";
@@ -75,13 +75,13 @@
             PlatformTokens tokens,
             Function<StoredObject, Optional<RegisteredEndpoint>> decoder) {
         feed = watches.watchWithin(
-                KIND, PlatformPurpose.DISCOVERY, tokens, BATCHING_DELAY, RegistryFreshness.CONFIRMED);
+                KIND, PlatformPurpose.DISCOVERY, tokens, BATCHING_DELAY, RegistryFreshness.CONFIRMATION_AGE);
         this.decoder = decoder;
     }
 
     @Override
     public void run(Tick tick) {
-        Optional<KindFeed.News> changes = feed.run(tick);
+        Optional<KindFeed.Changes> changes = feed.run(tick);
         confirm(tick);
         boolean changed = changes.isPresent() && apply(tick, changes.get());
         changed |= isOutageOver(tick.now()) && removeLapsed(tick);
@@ -163,7 +163,7 @@
      *
      * @return {@code true} if the entries are not confirmed recently enough, or were not a short time ago.
      */
-    public boolean isInDoubt() {
+    public boolean isUncertain() {
         return uncertain;
     }
 
@@ -184,15 +184,15 @@
     }
 
     @Override
-    public Standing of(EndpointName name) {
+    public State of(EndpointName name) {
         if (!listed || uncertain) {
-            return Standing.UNTOLD;
+            return State.UNKNOWN;
         }
         Optional<RegisteredEndpoint> recorded = find(name);
         if (recorded.isEmpty()) {
-            return Standing.GONE;
+            return State.GONE;
         }
-        return recorded.get().leaving() ? Standing.LEAVING : Standing.WORKING;
+        return recorded.get().leaving() ? State.LEAVING : State.WORKING;
     }
 
     /**
@@ -202,7 +202,7 @@
      * @param name The name.
      * @return {@code true} if a later incarnation is recorded.
      */
-    public boolean hasStartedAgain(EndpointName name) {
+    public boolean hasRestarted(EndpointName name) {
         return entries.find(name.value())
                 .filter(row -> name.isBefore(row.endpoint().name()))
                 .isPresent();
@@ -215,7 +215,7 @@
      * @param name The incarnation that was recorded.
      * @param incarnation The incarnation that the endpoint reported.
      */
-    public void noteIncarnation(Tick tick, EndpointName name, long incarnation) {
+    public void recordIncarnation(Tick tick, EndpointName name, long incarnation) {
         Optional<RegisteredEndpoint> recorded = find(name);
         if (recorded.isEmpty() || !name.isBefore(name.withIncarnation(incarnation))) {
             return;
@@ -250,7 +250,7 @@
      * @param model The model.
      * @param version The version.
      */
-    public void noteVersion(Tick tick, EndpointName name, String model, long version) {
+    public void recordVersion(Tick tick, EndpointName name, String model, long version) {
         Optional<Row> row = entries.find(name.value())
                 .filter(recorded -> recorded.endpoint().name().equals(name));
         if (row.isEmpty() || row.get().endpoint().servesAtLeast(model, version)) {
@@ -269,7 +269,7 @@
      *
      * @return The number of changes.
      */
-    public long changes() {
+    public long changeCount() {
         return changeCount;
     }
 
@@ -290,7 +290,7 @@
      * @param changes The changes.
      * @return Whether anything changed.
      */
-    private boolean apply(Tick tick, KindFeed.News changes) {
+    private boolean apply(Tick tick, KindFeed.Changes changes) {
         listed = true;
         boolean changed = false;
         for (StoredObject object : changes.objects()) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/registry/RegistryFreshness.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/registry/RegistryFreshness.java
@@ -21,13 +21,13 @@
     private static final Duration SENDING_MARGIN = Duration.ofMillis(300);
 
     /** The maximum age at which a request may be sent. */
-    public static final Duration LIMIT = MAXIMUM_LEAVING_DELAY.minus(SENDING_MARGIN);
+    public static final Duration MAXIMUM_DISPATCH_AGE = MAXIMUM_LEAVING_DELAY.minus(SENDING_MARGIN);
 
     /**
      * The age at which a node confirms its copy at the platform itself: above the age that it reaches through other
      * nodes without failures, and low enough for the next tick and one call before the maximum age for requests.
      */
-    static final Duration CONFIRMED = Duration.ofMillis(1200);
+    static final Duration CONFIRMATION_AGE = Duration.ofMillis(1200);
 
     /** The freshness before the first entries were received. */
     public static final RegistryFreshness UNKNOWN = new RegistryFreshness(Optional.empty(), false);
@@ -48,8 +48,8 @@
      * @param now The current time.
      * @return {@code true} if it is.
      */
-    public boolean isWithinLimit(MonotonicTime now) {
-        return age(now).filter(age -> age.compareTo(LIMIT) <= 0).isPresent();
+    public boolean isFreshEnough(MonotonicTime now) {
+        return age(now).filter(age -> age.compareTo(MAXIMUM_DISPATCH_AGE) <= 0).isPresent();
     }
 
     /**
@@ -60,6 +60,6 @@
      * @return {@code true} if they may.
      */
     public boolean allowsDispatch(MonotonicTime now) {
-        return isWithinLimit(now) || (platformUnreachable && confirmedAt.isPresent());
+        return isFreshEnough(now) || (platformUnreachable && confirmedAt.isPresent());
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/Admission.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/Admission.java
@@ -137,8 +137,8 @@
         if (ahead == 0) {
             return Optional.empty();
         }
-        Duration wait = pool.times.queueing(ahead, dispatch.concurrency(tick, pool));
-        Duration total = wait.plus(pool.times.service(row.request()));
+        Duration wait = pool.times.estimateQueueingTime(ahead, dispatch.concurrency(tick, pool));
+        Duration total = wait.plus(pool.times.estimateServiceTime(row.request()));
         if (!row.request().deadline().isBefore(tick.now().plus(total))) {
             return Optional.empty();
         }
@@ -201,7 +201,8 @@
      */
     private static Duration retryAfter(PoolState pool, RequestRow row) {
         int ahead = pool.queue.ahead(row.request().priority());
-        return atLeastMinimum(pool.times.queueing(ahead, pool.settings.limits().initialConcurrency()));
+        return atLeastMinimum(
+                pool.times.estimateQueueingTime(ahead, pool.settings.limits().initialConcurrency()));
     }
 
     /**
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/AttemptObserver.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/AttemptObserver.java
@@ -62,8 +62,8 @@
      */
     private static EndpointLoad afterResult(
             Tick tick, PoolState pool, EndpointLoad load, Attempt attempt, AttemptResult result) {
-        if (result instanceof AttemptResult.Whole whole) {
-            return afterAnswer(tick, pool, load, attempt, whole);
+        if (result instanceof AttemptResult.Complete complete) {
+            return afterAnswer(tick, pool, load, attempt, complete);
         }
         if (result instanceof AttemptResult.NotRun notRun && notRun.leaving()) {
             return load;
@@ -93,19 +93,19 @@
      * @param pool The pool.
      * @param load The load state before the result.
      * @param attempt The attempt.
-     * @param whole The answer.
+     * @param complete The answer.
      * @return The load state after the result.
      */
     private static EndpointLoad afterAnswer(
-            Tick tick, PoolState pool, EndpointLoad load, Attempt attempt, AttemptResult.Whole whole) {
-        boolean overloaded = OVERLOAD_STATUSES.contains(whole.status());
-        if (overloaded || FAILURE_STATUSES.contains(whole.status())) {
+            Tick tick, PoolState pool, EndpointLoad load, Attempt attempt, AttemptResult.Complete complete) {
+        boolean overloaded = OVERLOAD_STATUSES.contains(complete.status());
+        if (overloaded || FAILURE_STATUSES.contains(complete.status())) {
             EndpointLoad failed = load.withLimit(
                     load.limit().after(new ConcurrencyLimit.Sample(0, attempt.inFlightAtStart(), overloaded)));
             return failed.withHealth(failed.health().afterFailure(pool.settings.retry(), tick.now()));
         }
         Duration duration = tick.now().since(attempt.startedAt());
-        int tokens = whole.generation()
+        int tokens = complete.generation()
                 .map(generation -> generation.tokens() - attempt.tokensAtStart())
                 .orElse(0);
         double seconds = duration.toNanos() / NANOSECONDS_PER_SECOND / Math.max(1, tokens);
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/AttemptResult.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/AttemptResult.java
@@ -15,7 +15,7 @@
      * @param body The complete body.
      * @param generation The engine's generation, or empty if the endpoint is not an engine.
      */
-    record Whole(int status, String contentType, Bytes body, Optional<Generation> generation)
+    record Complete(int status, String contentType, Bytes body, Optional<Generation> generation)
             implements AttemptResult {}
 
     /**
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/AttemptSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/AttemptSystem.java
@@ -126,14 +126,14 @@
         Optional<RequestRow> row = tables.requests.find(event.id());
         if (row.isPresent() && event.result() instanceof AttemptResult.MaybeRun lost) {
             Request request = row.get().request();
-            tables.quarantine.lose(tick, request::content, request.describe(), event.endpoint(), lost.loss());
+            tables.quarantine.recordLoss(tick, request::content, request.describe(), event.endpoint(), lost.loss());
         }
         if (row.isEmpty() || !row.get().history().running().contains(event.attempt())) {
             tick.decide(Decision.of("drop", event.id().value(), event.endpoint().toString(), "late result"));
             return;
         }
-        if (event.result() instanceof AttemptResult.Whole whole) {
-            handleAnswer(tick, row.get(), event, whole);
+        if (event.result() instanceof AttemptResult.Complete complete) {
+            handleAnswer(tick, row.get(), event, complete);
         } else if (event.result() instanceof AttemptResult.NotRun notRun) {
             handleNotRun(tick, row.get(), event.attempt(), notRun);
         } else if (event.result() instanceof AttemptResult.MaybeRun maybeRun) {
@@ -147,23 +147,24 @@
      * @param tick The tick.
      * @param row The request's row.
      * @param event The event.
-     * @param whole The answer.
+     * @param complete The answer.
      */
-    private void handleAnswer(Tick tick, RequestRow row, RequestEvent.AttemptEnded event, AttemptResult.Whole whole) {
+    private void handleAnswer(
+            Tick tick, RequestRow row, RequestEvent.AttemptEnded event, AttemptResult.Complete complete) {
         if (row.request().streaming()
-                && whole.generation().isPresent()
-                && !continues(row, whole.generation().get())) {
+                && complete.generation().isPresent()
+                && !continues(row, complete.generation().get())) {
             RequestRow failed = row.withHistory(row.history().afterEnd(event.attempt(), true, "resume-mismatch"));
             conclusions.conclude(
                     tick, failed, new Outcome.FailedAfterSend("resume-mismatch", "The stream could not be resumed."));
             return;
         }
         RequestRow ended = row.withHistory(row.history().afterEnd(event.attempt(), true, ""));
-        if (whole.status() < MINIMUM_ERROR_STATUS) {
+        if (complete.status() < MINIMUM_ERROR_STATUS) {
             boolean first = row.history().attempts() == 1;
-            tables.quarantine.serve(tick, row.request()::content, first);
+            tables.quarantine.recordSuccess(tick, row.request()::content, first);
         }
-        boolean failure = FAILURE_STATUSES.contains(whole.status());
+        boolean failure = FAILURE_STATUSES.contains(complete.status());
         if (failure
                 && ended.request().idempotent()
                 && !ended.history().running().isEmpty()) {
@@ -178,7 +179,11 @@
                 tick,
                 ended,
                 new Outcome.Answered(
-                        event.endpoint(), whole.status(), whole.contentType(), whole.body(), whole.generation()));
+                        event.endpoint(),
+                        complete.status(),
+                        complete.contentType(),
+                        complete.body(),
+                        complete.generation()));
     }
 
     /**
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/Conclusions.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/Conclusions.java
@@ -110,7 +110,8 @@
         keeper(row.id())
                 .ifPresent(peer -> tick.emit(new PeerEffect.Send(
                         peer,
-                        new RequestMessage.KeepAnswer(row.id(), row.request().caller(), row.fingerprint(), recorded))));
+                        new RequestMessage.ReplicateOutcome(
+                                row.id(), row.request().caller(), row.fingerprint(), recorded))));
     }
 
     /**
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/DispatchSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/DispatchSystem.java
@@ -90,7 +90,7 @@
      * @param inUse The endpoints in use.
      */
     private void sendOrRefuse(Tick tick, PoolState pool, RequestRow row, List<Endpoint> inUse) {
-        MonotonicTime expected = tick.now().plus(pool.times.service(row.request()));
+        MonotonicTime expected = tick.now().plus(pool.times.estimateServiceTime(row.request()));
         boolean late = row.request().deadline().isBefore(expected);
         boolean sheddable = row.request().priority() != PriorityClass.URGENT
                 && row.history().attempts() == 0;
@@ -272,7 +272,7 @@
                 endpoint.address(),
                 attemptDeadline(row.request()),
                 row.history().partial(),
-                tables.quarantine.isInDoubt(row.request()::content)));
+                tables.quarantine.isSuspect(row.request()::content)));
         explain(tick, pool, row, number, chosen, candidates);
     }
 
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/ForwardingSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/ForwardingSystem.java
@@ -71,9 +71,13 @@
         for (PeerEvent.Received event : tick.events(PeerEvent.Received.class)) {
             if (event.message() instanceof RequestMessage.Concluded concluded) {
                 handleConclusion(tick, event.sender(), concluded);
-            } else if (event.message() instanceof RequestMessage.KeepAnswer keep) {
-                tables.retained.retain(
-                        new RetainedOutcome(keep.id(), keep.caller(), keep.fingerprint(), keep.outcome(), tick.now()));
+            } else if (event.message() instanceof RequestMessage.ReplicateOutcome replication) {
+                tables.retained.retain(new RetainedOutcome(
+                        replication.id(),
+                        replication.caller(),
+                        replication.fingerprint(),
+                        replication.outcome(),
+                        tick.now()));
             }
         }
     }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/RequestEffect.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/RequestEffect.java
@@ -28,7 +28,7 @@
      * @param deadline The time by which the attempt must have ended.
      * @param resumeFrom The partial generation of an earlier attempt that the engine resumes from, or empty to start
      *     from the beginning.
-     * @param inDoubt Whether an endpoint may have terminated because of the request, so that the request needs a
+     * @param suspected Whether an endpoint may have terminated because of the request, so that the request needs a
      *     connection of its own.
      */
     record Send(
@@ -38,7 +38,7 @@
             String address,
             MonotonicTime deadline,
             Optional<Generation> resumeFrom,
-            boolean inDoubt)
+            boolean suspected)
             implements RequestEffect {
 
         /** {@inheritDoc} */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/RequestMessage.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/RequestMessage.java
@@ -73,6 +73,6 @@
      * @param fingerprint The fingerprint of the request, which distinguishes a repeated request from a different one.
      * @param outcome The outcome to retain.
      */
-    record KeepAnswer(RequestId id, CallerName caller, long fingerprint, RecordedOutcome outcome)
+    record ReplicateOutcome(RequestId id, CallerName caller, long fingerprint, RecordedOutcome outcome)
             implements RequestMessage {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/RequestSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/request/RequestSystem.java
@@ -20,7 +20,7 @@
  * <p>Create one instance and run it after the systems of configuration, membership and endpoints, after any system that
  * raises {@link RequestEvent.Arrived}, and before any that handles {@link RequestEvent.Concluded}. It consumes
  * {@link RequestEvent}, {@code PeerEvent.Received} with a {@link RequestMessage}, {@code PlatformEvent} for its own
- * tokens and {@code ConfigurationEvent.InForce}; it emits {@link RequestEffect}, {@code PeerEffect.Send} and
+ * tokens and {@code ConfigurationEvent.Activated}; it emits {@link RequestEffect}, {@code PeerEffect.Send} and
  * {@code PlatformEffect}.
  */
 public final class RequestSystem implements DecisionSystem {
@@ -105,7 +105,7 @@
     /** {@inheritDoc} */
     @Override
     public void run(Tick tick) {
-        for (ConfigurationEvent.InForce event : tick.events(ConfigurationEvent.InForce.class)) {
+        for (ConfigurationEvent.Activated event : tick.events(ConfigurationEvent.Activated.class)) {
             tables.configure(event.configuration());
         }
         for (DecisionSystem system : systems) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/retirement/RetirementSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/retirement/RetirementSystem.java
@@ -3,7 +3,7 @@
 import io.yuccaswitch.core.decision.Decision;
 import io.yuccaswitch.core.decision.DecisionSystem;
 import io.yuccaswitch.core.decision.Tick;
-import io.yuccaswitch.core.platform.CallBackOff;
+import io.yuccaswitch.core.platform.CallBackoff;
 import io.yuccaswitch.core.platform.KindWatch;
 import io.yuccaswitch.core.platform.PlatformCalls;
 import io.yuccaswitch.core.platform.PlatformEffect;
@@ -60,7 +60,7 @@
     private final Map<String, StoredObject> pending = new LinkedHashMap<>();
 
     /** Delays the next answer after a failure. */
-    private final CallBackOff backoff = new CallBackOff(INITIAL_BACKOFF, MAXIMUM_BACKOFF);
+    private final CallBackoff backoff = new CallBackoff(INITIAL_BACKOFF, MAXIMUM_BACKOFF);
 
     /** Whether the call that writes an answer is pending. */
     private boolean writing;
@@ -79,7 +79,7 @@
 
     @Override
     public void run(Tick tick) {
-        calls.answer(tick);
+        calls.processAnswers(tick);
         if (!responsible.getAsBoolean()) {
             return;
         }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/retry/EjectionPolicy.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/retry/EjectionPolicy.java
@@ -28,7 +28,7 @@
         List<C> inUse = new ArrayList<>();
         List<C> ejected = new ArrayList<>();
         for (C candidate : candidates) {
-            (health.apply(candidate).ejected(now) ? ejected : inUse).add(candidate);
+            (health.apply(candidate).isEjected(now) ? ejected : inUse).add(candidate);
         }
         int minimum = (int) Math.ceil(floor * candidates.size());
         if (inUse.size() >= minimum) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/retry/EndpointHealth.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/retry/EndpointHealth.java
@@ -30,7 +30,7 @@
      */
     public EndpointHealth afterFailure(RetrySettings settings, MonotonicTime now) {
         int failures = consecutiveFailures + 1;
-        if (failures < settings.ejectionThreshold() || ejected(now)) {
+        if (failures < settings.ejectionThreshold() || isEjected(now)) {
             return new EndpointHealth(failures, ejections, ejectedUntil);
         }
         Duration time = settings.ejectionTime().multipliedBy(1L << Math.min(MAXIMUM_DOUBLINGS, ejections));
@@ -43,7 +43,7 @@
      * @param now The current time.
      * @return {@code true} if the endpoint is ejected.
      */
-    public boolean ejected(MonotonicTime now) {
+    public boolean isEjected(MonotonicTime now) {
         return ejectedUntil.isPresent() && now.isBefore(ejectedUntil.get());
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/route/Route.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/route/Route.java
@@ -56,7 +56,7 @@
      *
      * @return {@code true} if the route accepts batch jobs and requires it.
      */
-    public boolean demandsSingleVersion() {
+    public boolean requiresSingleVersion() {
         return batch.filter(BatchTerms::singleVersion).isPresent();
     }
 
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/route/RouteConfiguration.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/route/RouteConfiguration.java
@@ -171,12 +171,12 @@
      * @param pool The pool.
      * @return {@code true} if a route of the pool does.
      */
-    public boolean demandsSingleVersion(PoolName pool) {
+    public boolean requiresSingleVersion(PoolName pool) {
         return byHost.values().stream()
                 .flatMap(List::stream)
                 .filter(route ->
                         route.pools().stream().anyMatch(share -> share.pool().equals(pool)))
-                .anyMatch(Route::demandsSingleVersion);
+                .anyMatch(Route::requiresSingleVersion);
     }
 
     /**
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/route/RouteConfigurationSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/route/RouteConfigurationSystem.java
@@ -37,7 +37,7 @@
     private final Function<StoredObject, Optional<RouteConfiguration>> decoder;
 
     /** The active configuration, if any. */
-    private Optional<RouteConfiguration> inForce = Optional.empty();
+    private Optional<RouteConfiguration> active = Optional.empty();
 
     /**
      * Creates a system without a configuration.
@@ -64,8 +64,8 @@
      *
      * @return The configuration, or empty before the first one is applied.
      */
-    public Optional<RouteConfiguration> inForce() {
-        return inForce;
+    public Optional<RouteConfiguration> active() {
+        return active;
     }
 
     /**
@@ -76,7 +76,7 @@
      * @return The route, or empty if there is none.
      */
     public Optional<Route> find(String host, String path) {
-        return inForce.flatMap(configuration -> configuration.find(host, path));
+        return active.flatMap(configuration -> configuration.find(host, path));
     }
 
     /**
@@ -93,12 +93,12 @@
         if (decoded.isEmpty()) {
             return;
         }
-        long activeVersion = inForce.map(RouteConfiguration::version).orElse(-1L);
+        long activeVersion = active.map(RouteConfiguration::version).orElse(-1L);
         if (decoded.get().version() <= activeVersion) {
             return;
         }
-        inForce = decoded;
-        tick.emit(new RouteEffect.InForce(decoded.get()));
+        active = decoded;
+        tick.emit(new RouteEffect.Activated(decoded.get()));
         tick.decide(Decision.of(
                 "configuration",
                 Long.toString(decoded.get().version()),
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/route/RouteEffect.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/route/RouteEffect.java
@@ -10,5 +10,5 @@
      *
      * @param configuration The configuration.
      */
-    record InForce(RouteConfiguration configuration) implements RouteEffect {}
+    record Activated(RouteConfiguration configuration) implements RouteEffect {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/CursorSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/CursorSystem.java
@@ -87,9 +87,9 @@
             if (update.answerRequested()) {
                 context.outbox.send(tick, sender.name(), cursorReport(update.trainer()));
             }
-        } else if (message instanceof SampleMessage.AskCursor request) {
+        } else if (message instanceof SampleMessage.QueryCursor request) {
             context.outbox.send(tick, sender.name(), cursorReport(request.trainer()));
-        } else if (message instanceof SampleMessage.CursorKnown answer) {
+        } else if (message instanceof SampleMessage.CursorAnswered answer) {
             applyReport(tick, sender, answer.trainer(), answer.cursor(), answer.complete());
             inquiries.update(answer.trainer(), inquiry -> inquiry.withAnswer(sender, answer.complete()));
         } else if (message instanceof SampleMessage.Reconciled answer) {
@@ -254,7 +254,7 @@
                         context.cursor(trainer).complete()));
         context.roles
                 .others(context.roles.working())
-                .forEach(member -> context.outbox.send(tick, member, new SampleMessage.AskCursor(trainer)));
+                .forEach(member -> context.outbox.send(tick, member, new SampleMessage.QueryCursor(trainer)));
     }
 
     /**
@@ -454,7 +454,7 @@
      */
     private SampleMessage cursorReport(TrainerName trainer) {
         CursorState state = context.cursor(trainer);
-        return new SampleMessage.CursorKnown(trainer, CursorCodec.encode(state.acknowledged()), state.complete());
+        return new SampleMessage.CursorAnswered(trainer, CursorCodec.encode(state.acknowledged()), state.complete());
     }
 
     /**
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/HandOverSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/HandOverSystem.java
@@ -109,18 +109,18 @@
             return;
         }
         if (certainty == Inquiry.Certainty.PENDING) {
-            keepWaiting(tick, row, SampleReport.IdleCause.CURSOR_UNKNOWN);
+            keepWaiting(tick, row, SampleReport.WaitCause.CURSOR_UNKNOWN);
             return;
         }
         announceProgress(tick, pull);
         if (!cursors.isDurable(pull.trainer())) {
-            keepWaiting(tick, row, SampleReport.IdleCause.ACKNOWLEDGEMENT);
+            keepWaiting(tick, row, SampleReport.WaitCause.ACKNOWLEDGEMENT);
             return;
         }
         discardStale(tick, pull, settings.get().stalenessBound());
         List<FinishedGroup> batch = batch(pull);
         if (batch.isEmpty()) {
-            keepWaiting(tick, row, SampleReport.IdleCause.NOTHING_FINISHED);
+            keepWaiting(tick, row, SampleReport.WaitCause.NOTHING_FINISHED);
         } else {
             handOver(tick, row, batch);
         }
@@ -320,12 +320,12 @@
      * @param row The pull.
      * @param cause The cause for which it waits.
      */
-    private void keepWaiting(Tick tick, WaitingPull row, SampleReport.IdleCause cause) {
-        if (tick.now().isBefore(row.deadline()) || cause == SampleReport.IdleCause.CURSOR_UNKNOWN) {
+    private void keepWaiting(Tick tick, WaitingPull row, SampleReport.WaitCause cause) {
+        if (tick.now().isBefore(row.deadline()) || cause == SampleReport.WaitCause.CURSOR_UNKNOWN) {
             waiting.update(row.key(), current -> current.withCause(cause));
             return;
         }
-        if (cause == SampleReport.IdleCause.ACKNOWLEDGEMENT) {
+        if (cause == SampleReport.WaitCause.ACKNOWLEDGEMENT) {
             refuse(
                     tick,
                     row,
@@ -388,7 +388,7 @@
             MonotonicTime arrivedAt,
             MonotonicTime deadline,
             boolean cursorApplied,
-            Optional<SampleReport.IdleCause> cause) {
+            Optional<SampleReport.WaitCause> cause) {
 
         /**
          * Returns this pull after its cursor was applied.
@@ -405,7 +405,7 @@
          * @param waitCause The cause.
          * @return The changed pull.
          */
-        private WaitingPull withCause(SampleReport.IdleCause waitCause) {
+        private WaitingPull withCause(SampleReport.WaitCause waitCause) {
             return new WaitingPull(key, pull, arrivedAt, deadline, cursorApplied, Optional.of(waitCause));
         }
     }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/PullSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/PullSystem.java
@@ -123,8 +123,8 @@
                         || !member.identity().equals(previous.get().keeper()))
                 .findFirst()
                 .orElseGet(() -> keepers.get(0));
-        MonotonicTime deadline =
-                previous.map(ForwardedPull::deadline).orElseGet(() -> tick.now().plus(limitedWait(event.patience())));
+        MonotonicTime deadline = previous.map(ForwardedPull::deadline)
+                .orElseGet(() -> tick.now().plus(limitedWait(event.maximumWait())));
         Duration remainingWait = tick.now().isBefore(deadline) ? deadline.since(tick.now()) : Duration.ZERO;
         MonotonicTime keeperDeadline = tick.now().plus(remainingWait).plus(KEEPER_TIMEOUT_MARGIN);
         forwardedPulls.put(
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleContext.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleContext.java
@@ -71,7 +71,7 @@
      * @param tick The current tick.
      */
     void observe(Tick tick) {
-        for (ConfigurationEvent.InForce event : tick.events(ConfigurationEvent.InForce.class)) {
+        for (ConfigurationEvent.Activated event : tick.events(ConfigurationEvent.Activated.class)) {
             configuration = Optional.of(event.configuration());
         }
         for (WeightEvent.Published event : tick.events(WeightEvent.Published.class)) {
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleEffect.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleEffect.java
@@ -37,8 +37,8 @@
      *
      * @param key The identity of the group.
      * @param code The code of the reason.
-     * @param surelyNotRun {@code true} if no node holds the group, {@code false} if one may.
+     * @param definitelyNotRun {@code true} if no node holds the group, {@code false} if one may.
      * @param retryAfter The time after which the trainer may retry, or empty if a retry is useless.
      */
-    record RefusedGroup(GroupKey key, String code, boolean surelyNotRun, Optional<Duration> retryAfter) {}
+    record RefusedGroup(GroupKey key, String code, boolean definitelyNotRun, Optional<Duration> retryAfter) {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleEvent.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleEvent.java
@@ -28,7 +28,7 @@
      * @param useVersion The weight version with which the trainer will use the samples.
      * @param step The step whose groups are handed over, or empty for any step.
      * @param maximumGroups The maximum number of groups to hand over.
-     * @param patience The maximum time to wait for groups.
+     * @param maximumWait The maximum time to wait for groups.
      */
     record PullRequested(
             long token,
@@ -37,7 +37,7 @@
             long useVersion,
             OptionalLong step,
             int maximumGroups,
-            Duration patience)
+            Duration maximumWait)
             implements SampleEvent {}
 
     /**
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleMessage.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleMessage.java
@@ -138,17 +138,17 @@
      *
      * @param trainer The trainer.
      */
-    record AskCursor(TrainerName trainer) implements SampleMessage {}
+    record QueryCursor(TrainerName trainer) implements SampleMessage {}
 
     /**
-     * Answers {@link AskCursor} or {@link Acknowledge}.
+     * Answers {@link QueryCursor} or {@link Acknowledge}.
      *
      * @param trainer The trainer.
      * @param cursor The encoded cursor that the sender has recorded.
      * @param complete {@code true} if the sender's cursor is complete: it was guaranteed to contain all groups that the
      *     trainer had received when it was recorded.
      */
-    record CursorKnown(TrainerName trainer, String cursor, boolean complete) implements SampleMessage {}
+    record CursorAnswered(TrainerName trainer, String cursor, boolean complete) implements SampleMessage {}
 
     /**
      * Announces the progress of a trainer.
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleReport.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleReport.java
@@ -57,7 +57,7 @@
             Duration completionMean,
             Duration completionMaximum,
             long stragglers,
-            Map<IdleCause, Duration> waiting) {
+            Map<WaitCause, Duration> waiting) {
 
         /** Copies the collections. */
         public Trainer {
@@ -68,7 +68,7 @@
     }
 
     /** The cause for which a pull waits. */
-    public enum IdleCause {
+    public enum WaitCause {
         /** No group is finished at the keeper. */
         NOTHING_FINISHED,
         /** The record of the groups that the trainer has received is not yet durable. */
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleStatistics.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/sample/SampleStatistics.java
@@ -92,7 +92,7 @@
      * @param cause The cause for which the pull waited.
      * @param time The time.
      */
-    void waited(TrainerName trainer, SampleReport.IdleCause cause, Duration time) {
+    void waited(TrainerName trainer, SampleReport.WaitCause cause, Duration time) {
         of(trainer).waiting.merge(cause, time, Duration::plus);
     }
 
@@ -131,7 +131,7 @@
         private final Map<DiscardReason, Long> discarded = new EnumMap<>(DiscardReason.class);
 
         /** The time that pulls waited by cause. */
-        private final Map<SampleReport.IdleCause, Duration> waiting = new EnumMap<>(SampleReport.IdleCause.class);
+        private final Map<SampleReport.WaitCause, Duration> waiting = new EnumMap<>(SampleReport.WaitCause.class);
 
         /** The number of acknowledged samples by the number of versions that they lagged behind. */
         private final long[] staleness = new long[STALENESS_HISTOGRAM_SIZE];
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/scaling/ScalingSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/scaling/ScalingSystem.java
@@ -102,7 +102,7 @@
             settlingSince = Optional.empty();
             return;
         }
-        if (lease.permission().isEmpty() || !registry.isListed() || registry.isInDoubt()) {
+        if (lease.permission().isEmpty() || !registry.isListed() || registry.isUncertain()) {
             return;
         }
         MonotonicTime since = settlingSince.orElseGet(tick::now);
@@ -110,7 +110,7 @@
         if (tick.now().since(since).compareTo(SETTLING_DELAY) < 0) {
             return;
         }
-        routes.inForce()
+        routes.active()
                 .ifPresent(
                         configuration -> configuration.scaling().forEach((pool, terms) -> evaluate(tick, pool, terms)));
     }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/suspension/SuspensionDetector.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/suspension/SuspensionDetector.java
@@ -26,7 +26,7 @@
      * @param epochMillis The wall clock in milliseconds since the epoch.
      * @return The suspension since the last check, if there was one.
      */
-    public Optional<Suspended> look(MonotonicTime now, long epochMillis) {
+    public Optional<Suspended> check(MonotonicTime now, long epochMillis) {
         long current = Duration.ofMillis(epochMillis).toNanos() - now.nanoseconds();
         long before = difference.orElse(current);
         Duration gap = Duration.ofNanos(current - before);
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/UsageCountSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/UsageCountSystem.java
@@ -55,14 +55,14 @@
     public void run(Tick tick) {
         tick.events(UsageEvent.Counted.class).forEach(counted -> recordCounts(tick, counted));
         for (PeerEvent.Received received : tick.events(PeerEvent.Received.class)) {
-            if (received.message() instanceof UsageMessage.Grown increased) {
+            if (received.message() instanceof UsageMessage.ReplicateCounts increased) {
                 increased.rows().forEach(counts::merge);
-            } else if (received.message() instanceof UsageMessage.Ask ask) {
+            } else if (received.message() instanceof UsageMessage.RequestCounts ask) {
                 tick.emit(new PeerEffect.Send(
-                        received.sender().name(), new UsageMessage.Known(ask.window(), counts.rows(ask.window()))));
+                        received.sender().name(), new UsageMessage.Counts(ask.window(), counts.rows(ask.window()))));
             }
         }
-        counts.evictBefore(windows.oldestKept(timeOfDay.getAsLong()));
+        counts.evictBefore(windows.oldestRetained(timeOfDay.getAsLong()));
     }
 
     /**
@@ -80,7 +80,7 @@
         keepers.members().stream()
                 .filter(member -> !member.equals(membership.self()))
                 .limit(KEEPER_COUNT)
-                .forEach(member ->
-                        tick.emit(new PeerEffect.Send(member.identity().name(), new UsageMessage.Grown(rows))));
+                .forEach(member -> tick.emit(
+                        new PeerEffect.Send(member.identity().name(), new UsageMessage.ReplicateCounts(rows))));
     }
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/UsageMessage.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/UsageMessage.java
@@ -11,14 +11,14 @@
      *
      * @param rows The counts that have increased.
      */
-    record Grown(List<UsageRow> rows) implements UsageMessage {
+    record ReplicateCounts(List<UsageRow> rows) implements UsageMessage {
 
         /**
          * Copies the rows.
          *
          * @param rows The counts that have increased.
          */
-        public Grown {
+        public ReplicateCounts {
             rows = List.copyOf(rows);
         }
     }
@@ -28,7 +28,7 @@
      *
      * @param window The number of the window.
      */
-    record Ask(long window) implements UsageMessage {}
+    record RequestCounts(long window) implements UsageMessage {}
 
     /**
      * Returns all counts that a node has for a window.
@@ -36,7 +36,7 @@
      * @param window The number of the window.
      * @param rows The counts, including the node's own.
      */
-    record Known(long window, List<UsageRow> rows) implements UsageMessage {
+    record Counts(long window, List<UsageRow> rows) implements UsageMessage {
 
         /**
          * Copies the rows.
@@ -44,7 +44,7 @@
          * @param window The number of the window.
          * @param rows The counts.
          */
-        public Known {
+        public Counts {
             rows = List.copyOf(rows);
         }
     }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/UsageReportSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/UsageReportSystem.java
@@ -11,7 +11,7 @@
 import io.yuccaswitch.core.membership.MembershipView;
 import io.yuccaswitch.core.peer.PeerEffect;
 import io.yuccaswitch.core.peer.PeerEvent;
-import io.yuccaswitch.core.platform.CallBackOff;
+import io.yuccaswitch.core.platform.CallBackoff;
 import io.yuccaswitch.core.platform.ObjectKey;
 import io.yuccaswitch.core.platform.PlatformCalls;
 import io.yuccaswitch.core.platform.PlatformEffect;
@@ -79,10 +79,10 @@
     private final PlatformCalls calls;
 
     /** When the next call to the platform may be made. */
-    private final CallBackOff backoff = new CallBackOff(INITIAL_BACKOFF, MAXIMUM_BACKOFF);
+    private final CallBackoff backoff = new CallBackoff(INITIAL_BACKOFF, MAXIMUM_BACKOFF);
 
     /** When the next report may be sent. */
-    private final CallBackOff sendBackoff = new CallBackOff(INITIAL_BACKOFF, MAXIMUM_BACKOFF);
+    private final CallBackoff sendBackoff = new CallBackoff(INITIAL_BACKOFF, MAXIMUM_BACKOFF);
 
     /** The windows whose reports have not been delivered yet. */
     private final EntityTable<Long, WindowRow> rows = new EntityTable<>();
@@ -119,12 +119,12 @@
         this.windows = windows;
         this.timeOfDay = timeOfDay;
         calls = new PlatformCalls(tokens);
-        startWindow = windows.at(timeOfDay.getAsLong());
+        startWindow = windows.windowAt(timeOfDay.getAsLong());
     }
 
     @Override
     public void run(Tick tick) {
-        calls.answer(tick);
+        calls.processAnswers(tick);
         tick.events(UsageEvent.Reported.class).forEach(reported -> handleOutcome(tick, reported));
         if (!lease.isHeld()) {
             rows.removeIf(_row -> true);
@@ -132,7 +132,7 @@
             return;
         }
         for (PeerEvent.Received received : tick.events(PeerEvent.Received.class)) {
-            if (received.message() instanceof UsageMessage.Known known) {
+            if (received.message() instanceof UsageMessage.Counts known) {
                 handleCounts(received.sender().name(), known);
             }
         }
@@ -173,7 +173,7 @@
      * @param listed The objects.
      */
     private void handleListed(Tick tick, PlatformEvent.ObjectsListed listed) {
-        long oldest = windows.at(timeOfDay.getAsLong()) - REPORTED_PAST_WINDOWS;
+        long oldest = windows.windowAt(timeOfDay.getAsLong()) - REPORTED_PAST_WINDOWS;
         long first = listed.objects().isEmpty() ? Math.max(startWindow, oldest) : oldest;
         for (StoredObject object : listed.objects()) {
             Optional<StoredReport> report = StoredReport.decode(object.value());
@@ -199,7 +199,7 @@
      * @param tick The tick.
      */
     private void collect(Tick tick) {
-        long endedBefore = windows.at(timeOfDay.getAsLong() - COLLECTION_DELAY.toMillis());
+        long endedBefore = windows.windowAt(timeOfDay.getAsLong() - COLLECTION_DELAY.toMillis());
         while (nextWindow.getAsLong() < endedBefore) {
             long window = nextWindow.getAsLong();
             Set<NodeName> others = membership.working().stream()
@@ -207,7 +207,7 @@
                     .filter(node -> !node.equals(membership.self().identity()))
                     .map(node -> node.name())
                     .collect(Collectors.toSet());
-            others.forEach(node -> tick.emit(new PeerEffect.Send(node, new UsageMessage.Ask(window))));
+            others.forEach(node -> tick.emit(new PeerEffect.Send(node, new UsageMessage.RequestCounts(window))));
             rows.put(window, WindowRow.collecting(window, others, tick.now().plus(ANSWER_TIMEOUT)));
             nextWindow = OptionalLong.of(window + 1);
         }
@@ -219,7 +219,7 @@
      * @param sender The node.
      * @param known The counts.
      */
-    private void handleCounts(NodeName sender, UsageMessage.Known known) {
+    private void handleCounts(NodeName sender, UsageMessage.Counts known) {
         known.rows().forEach(counts::merge);
         rows.find(known.window()).ifPresent(row -> rows.put(known.window(), row.withAnswerOf(sender)));
     }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/UsageWindows.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/usage/UsageWindows.java
@@ -25,7 +25,7 @@
      * @param epochMillis The time in milliseconds since the epoch.
      * @return The number of the window.
      */
-    public long at(long epochMillis) {
+    public long windowAt(long epochMillis) {
         return Math.floorDiv(epochMillis, length.toMillis());
     }
 
@@ -35,8 +35,8 @@
      * @param epochMillis The current time in milliseconds since the epoch.
      * @return The number of the window.
      */
-    public long oldestKept(long epochMillis) {
-        return at(epochMillis) - RETAINED_WINDOWS;
+    public long oldestRetained(long epochMillis) {
+        return windowAt(epochMillis) - RETAINED_WINDOWS;
     }
 
     /**
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/KindConfirmation.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/KindConfirmation.java
@@ -1,7 +1,7 @@
 package io.yuccaswitch.core.watch;
 
 import io.yuccaswitch.core.decision.Tick;
-import io.yuccaswitch.core.platform.CallBackOff;
+import io.yuccaswitch.core.platform.CallBackoff;
 import io.yuccaswitch.core.platform.KindFeed;
 import io.yuccaswitch.core.platform.PlatformCalls;
 import io.yuccaswitch.core.platform.PlatformEffect;
@@ -61,7 +61,7 @@
      * Delays calls after a failure. Calls for changes have a backoff of their own, as their failures must not delay
      * this call.
      */
-    private final CallBackOff backoff = new CallBackOff(BACKOFF, BACKOFF);
+    private final CallBackoff backoff = new CallBackoff(BACKOFF, BACKOFF);
 
     /** Whether a call waits for its answer. */
     private boolean calling;
@@ -111,7 +111,7 @@
         waited = waited.plus(step.compareTo(MAXIMUM_STEP) < 0 ? step : MAXIMUM_STEP);
         checkedAt = Optional.of(tick.now());
         answer = Optional.empty();
-        calls.answer(tick);
+        calls.processAnswers(tick);
         return answer;
     }
 
@@ -179,7 +179,7 @@
         relistNeeded = listed.reset();
         if (!relistNeeded) {
             answer = Optional.of(
-                    new Answer(new KindFeed.News(listed.objects(), lists), version, listed.version(), sentAt));
+                    new Answer(new KindFeed.Changes(listed.objects(), lists), version, listed.version(), sentAt));
         }
     }
 
@@ -191,5 +191,5 @@
      * @param upTo The version up to which this update is complete.
      * @param confirmedAt When the call was sent, which is the time as of which the answer is guaranteed to be complete.
      */
-    record Answer(KindFeed.News changes, long afterVersion, long upTo, MonotonicTime confirmedAt) {}
+    record Answer(KindFeed.Changes changes, long afterVersion, long upTo, MonotonicTime confirmedAt) {}
 }
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/KindReplica.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/KindReplica.java
@@ -62,7 +62,7 @@
      * @param changes All objects, or the changed ones.
      * @param upTo The version up to which this update is complete.
      */
-    void apply(KindFeed.News changes, long upTo) {
+    void apply(KindFeed.Changes changes, long upTo) {
         if (changes.complete()) {
             objects.clear();
             deletions = 0;
@@ -84,13 +84,13 @@
      * @param afterVersion The version.
      * @return The changes after the version, or all objects if some deletions since then are no longer retained.
      */
-    KindFeed.News changesAfter(long afterVersion) {
+    KindFeed.Changes changesAfter(long afterVersion) {
         boolean complete = afterVersion < deletionsRetainedAfter;
         List<StoredObject> wanted = objects.values().stream()
                 .filter(object -> complete ? !object.deleted() : object.version() > afterVersion)
                 .sorted(Comparator.comparingLong(StoredObject::version))
                 .toList();
-        return new KindFeed.News(wanted, complete);
+        return new KindFeed.Changes(wanted, complete);
     }
 
     /**
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/SharedKindWatch.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/SharedKindWatch.java
@@ -2,7 +2,7 @@
 
 import io.yuccaswitch.core.decision.Tick;
 import io.yuccaswitch.core.identity.NodeName;
-import io.yuccaswitch.core.platform.CallBackOff;
+import io.yuccaswitch.core.platform.CallBackoff;
 import io.yuccaswitch.core.platform.KindFeed;
 import io.yuccaswitch.core.platform.KindWatch;
 import io.yuccaswitch.core.platform.PlatformPurpose;
@@ -53,7 +53,7 @@
     private final WatchServer server;
 
     /** Delays the calls of a follower to the platform after a failure. */
-    private final CallBackOff backoff = new CallBackOff(INITIAL_BACKOFF, MAXIMUM_BACKOFF);
+    private final CallBackoff backoff = new CallBackoff(INITIAL_BACKOFF, MAXIMUM_BACKOFF);
 
     /** Confirms this node's state at the platform where other nodes can't. */
     private final KindConfirmation confirmation;
@@ -112,12 +112,12 @@
     }
 
     @Override
-    public Optional<News> run(Tick tick) {
+    public Optional<Changes> run(Tick tick) {
         tick.events(Suspended.class).forEach(event -> suspended(event.gap()));
-        Optional<News> changes = Stream.of(
+        Optional<Changes> changes = Stream.of(
                         processPlatformAnswer(tick), processRelayedAnswer(tick), processConfirmation(tick))
-                .<News>mapMulti(Optional::ifPresent)
-                .reduce(News::followedBy);
+                .<Changes>mapMulti(Optional::ifPresent)
+                .reduce(Changes::mergedWith);
         processReportedAge(tick);
         server.run(tick);
         if (!follower.isWaiting()) {
@@ -183,11 +183,11 @@
      * @param tick The tick.
      * @return The changes that this node did not have.
      */
-    private Optional<News> processPlatformAnswer(Tick tick) {
+    private Optional<Changes> processPlatformAnswer(Tick tick) {
         if (!platformWatch.isCalling()) {
             return Optional.empty();
         }
-        Optional<News> changes = platformWatch.receive(tick);
+        Optional<Changes> changes = platformWatch.receive(tick);
         if (platformWatch.isCalling()) {
             return changes;
         }
@@ -197,7 +197,7 @@
         } else {
             backoff.succeeded(tick.now(), Duration.ZERO);
         }
-        Optional<News> applied = changes.flatMap(
+        Optional<Changes> applied = changes.flatMap(
                 found -> apply(found, requestedAfter, platformWatch.version().orElseThrow()));
         confirm(platformWatch.confirmedAt());
         return applied;
@@ -209,16 +209,16 @@
      * @param tick The tick.
      * @return The changes that this node did not have.
      */
-    private Optional<News> processRelayedAnswer(Tick tick) {
+    private Optional<Changes> processRelayedAnswer(Tick tick) {
         Optional<WatchFollower.Outcome> outcome = follower.receive(tick);
         if (outcome.isEmpty()) {
             return Optional.empty();
         }
         unconfirmed = !outcome.get().inContact();
-        Optional<News> changes = outcome.get()
+        Optional<Changes> changes = outcome.get()
                 .changes()
                 .flatMap(answer -> apply(
-                        new News(answer.objects(), answer.complete()),
+                        new Changes(answer.objects(), answer.complete()),
                         outcome.get().version(),
                         answer.version()));
         confirm(outcome.get().confirmedAt());
@@ -231,13 +231,13 @@
      * @param tick The tick.
      * @return The changes that this node did not have.
      */
-    private Optional<News> processConfirmation(Tick tick) {
+    private Optional<Changes> processConfirmation(Tick tick) {
         Optional<KindConfirmation.Answer> answer = confirmation.receive(tick);
         if (answer.isEmpty()) {
             return Optional.empty();
         }
         unconfirmed = false;
-        Optional<News> changes = apply(
+        Optional<Changes> changes = apply(
                 answer.get().changes(),
                 answer.get().afterVersion(),
                 answer.get().upTo());
@@ -278,13 +278,13 @@
      * @param upTo The version up to which this update is complete.
      * @return The changes that this node did not have.
      */
-    private Optional<News> apply(News changes, long afterVersion, long upTo) {
+    private Optional<Changes> apply(Changes changes, long afterVersion, long upTo) {
         long replicaVersion = replica.version();
         if (upTo <= replicaVersion) {
             platformWatch.resumeAfter(replicaVersion);
             return Optional.empty();
         }
-        News fresh =
+        Changes fresh =
                 changes.complete() || afterVersion >= replicaVersion ? changes : changes.changesAfter(replicaVersion);
         replica.apply(fresh, upTo);
         platformWatch.resumeAfter(upTo);
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/WatchServer.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/watch/WatchServer.java
@@ -111,7 +111,7 @@
      */
     private WatchMessage.Changes answer(Tick tick, HeldRequest request, boolean inContact) {
         WatchMessage.Follow follow = request.follow();
-        KindFeed.News changes = replica.changesAfter(follow.version());
+        KindFeed.Changes changes = replica.changesAfter(follow.version());
         Optional<MonotonicTime> confirmed = confirmedAt.get();
         OptionalLong confirmedAge =
                 confirmed.isPresent() ? OptionalLong.of(ageMillis(confirmed.get(), tick)) : OptionalLong.empty();
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/EngineTrackingSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/EngineTrackingSystem.java
@@ -87,7 +87,7 @@
     /** {@inheritDoc} */
     @Override
     public void run(Tick tick) {
-        for (ConfigurationEvent.InForce event : tick.events(ConfigurationEvent.InForce.class)) {
+        for (ConfigurationEvent.Activated event : tick.events(ConfigurationEvent.Activated.class)) {
             configure(tick, event.configuration());
         }
         plans.forEach((pool, plan) -> updateLease(tick, pool, plan));
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/VersionSystem.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/VersionSystem.java
@@ -96,7 +96,7 @@
             reject(tick, event, known.get());
             return;
         }
-        if (versions.join(published)) {
+        if (versions.merge(published)) {
             tick.decide(Decision.of(
                     DECISION_KIND, event.trainer().value(), Long.toString(event.version()), "published at this node"));
             announce(tick, published, Optional.empty());
@@ -133,9 +133,9 @@
             markSafe(published.trainer(), published.version());
             applyUpdate(tick, decode(published), Optional.of(sender));
             long newest = versions.newest(published.trainer()).orElseThrow().version();
-            tick.emit(new PeerEffect.Send(sender, new WeightMessage.Known(published.trainer(), newest)));
+            tick.emit(new PeerEffect.Send(sender, new WeightMessage.RecordedVersions(published.trainer(), newest)));
         }
-        if (event.message() instanceof WeightMessage.Known known) {
+        if (event.message() instanceof WeightMessage.RecordedVersions known) {
             markSafe(known.trainer(), known.version());
         }
         if (event.message() instanceof WeightMessage.Exchange exchange) {
@@ -153,7 +153,7 @@
     private void handleExchange(Tick tick, NodeName sender, WeightMessage.Exchange exchange) {
         VersionTable theirs = new VersionTable();
         for (WeightMessage.Published published : exchange.versions()) {
-            theirs.join(decode(published));
+            theirs.merge(decode(published));
             markSafe(published.trainer(), published.version());
             applyUpdate(tick, decode(published), Optional.of(sender));
         }
@@ -178,7 +178,7 @@
      * @param source The node that sent the version, or empty if it came from the platform.
      */
     private void applyUpdate(Tick tick, PublishedVersion update, Optional<NodeName> source) {
-        if (!versions.join(update)) {
+        if (!versions.merge(update)) {
             return;
         }
         tick.raise(new WeightEvent.Published(update.trainer(), update.version(), update.location()));
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/VersionTable.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/VersionTable.java
@@ -17,7 +17,7 @@
      * @param update The version.
      * @return {@code true} if the version replaces the previous one.
      */
-    public boolean join(PublishedVersion update) {
+    public boolean merge(PublishedVersion update) {
         Optional<PublishedVersion> current = rows.find(update.trainer());
         if (current.isPresent() && !update.isNewerThan(current.get())) {
             return false;
--- a/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/WeightMessage.java
+++ b/yuccaswitch-core/src/main/java/io/yuccaswitch/core/weight/WeightMessage.java
@@ -8,7 +8,7 @@
 public sealed interface WeightMessage extends PeerMessage {
 
     /**
-     * Announces a published version. The receiver answers with {@link Known}.
+     * Announces a published version. The receiver answers with {@link RecordedVersions}.
      *
      * @param trainer The trainer.
      * @param version The version.
@@ -22,7 +22,7 @@
      * @param trainer The trainer.
      * @param version The newest version at the sender.
      */
-    record Known(TrainerName trainer, long version) implements WeightMessage {}
+    record RecordedVersions(TrainerName trainer, long version) implements WeightMessage {}
 
     /**
      * Announces the newest version of each trainer. The receiver answers with the versions that are newer at its side,
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/account/KeysInForceTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/account/KeysInForceTest.java
@@ -111,7 +111,7 @@
         }
 
         private void check(String name) {
-            Optional<RouteConfiguration> applied = systems.get(name).inForce();
+            Optional<RouteConfiguration> applied = systems.get(name).active();
             if (applied.isEmpty()) {
                 return;
             }
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/BatchSite.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/BatchSite.java
@@ -258,7 +258,7 @@
         boolean scores = name.startsWith("scorer");
         String[] parts = object.value().toUtf8().split(" ", -1);
         PoolName pool = name.startsWith("other") ? OTHER_POOL : POOL;
-        long incarnation = parts.length > 1 ? Long.parseLong(parts[1]) : EndpointName.UNTOLD;
+        long incarnation = parts.length > 1 ? Long.parseLong(parts[1]) : EndpointName.UNKNOWN;
         return Optional.of(new RegisteredEndpoint(
                 new EndpointName(scores ? SCORERS : pool, name, incarnation),
                 name + ":80",
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/BatchSystemTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/BatchSystemTest.java
@@ -503,7 +503,7 @@
         site.submit(first, BatchSite.job("job", 8));
         site.run(100);
         first.freeze(true);
-        site.site.believeGone("node-1");
+        site.site.markGone("node-1");
         site.engines(
                 run -> run.item().id().endsWith("3") ? Optional.empty() : Optional.of(BatchSite.completed(run, 1)));
         site.run(4000);
@@ -658,7 +658,7 @@
         site.site.platform().failWhere((node, call) -> node.equals("node-1") && readsIndex(call));
         site.site.connect((_from, _to) -> true);
         site.engines(run -> Optional.of(BatchSite.completed(run, 1)));
-        site.site.believeGone("node-1");
+        site.site.markGone("node-1");
         site.run(4000);
         assertThat(site.listed("job")).hasSize(4);
         long read = site.read(first, "job", 3, Duration.ofMillis(100));
@@ -678,7 +678,7 @@
         site.engines(_run -> Optional.empty());
         site.submit(first, BatchSite.job("job", 4));
         site.run(100);
-        site.site.believeLeaving("node-1");
+        site.site.markLeaving("node-1");
         site.run(4000);
         assertThat(site.runs.values()).containsOnly(1);
         site.engines(run -> Optional.of(BatchSite.completed(run, 1)));
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/JobHandOverTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/batch/JobHandOverTest.java
@@ -52,7 +52,7 @@
     void aLeavingNodeIsNotChosenAsRunner() {
         strong.accept(new MembershipEvent.LeaveRequested());
         strong.accept(new BatchEvent.Leaving());
-        site.site.believeLeaving("strong");
+        site.site.markLeaving("strong");
         site.run(100);
         site.submit(weak, BatchSite.job("job", 4));
         site.run(2000);
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/configuration/distribution/ConfigurationSystemTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/configuration/distribution/ConfigurationSystemTest.java
@@ -106,7 +106,7 @@
     @Test
     void aPartitionedZoneCatchesUpAndNeverDowngradesOtherZones() {
         startServing(9, 3, 1);
-        driver.cutZone("zone-2");
+        driver.partitionZone("zone-2");
         driver.platform().downFor(node -> node.zone().equals("zone-2"));
         driver.run(Duration.ofSeconds(10));
         driver.platform().configure(Envelopes.of(2));
@@ -220,7 +220,7 @@
         driver.platform().configure(Envelopes.of(2));
         timeUntilActive(2);
         driver.run(Duration.ofMillis(100));
-        assertThat(fleet).allSatisfy(node -> assertThat(node.kept()).contains("2:content"));
+        assertThat(fleet).allSatisfy(node -> assertThat(node.storedEnvelope()).contains("2:content"));
     }
 
     @Property(tries = 40, seed = "20261202")
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/decision/PacedSystemTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/decision/ThrottledSystemTest.java
@@ -10,10 +10,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-final class PacedSystemTest {
+final class ThrottledSystemTest {
 
     private final List<Long> runs = new ArrayList<>();
-    private final PacedSystem paced = new PacedSystem(
+    private final ThrottledSystem throttled = new ThrottledSystem(
             List.of(tick -> runs.add(tick.now().nanoseconds() / 1_000_000)),
             Irrelevant.class::isInstance,
             () -> Duration.ofMillis(100));
@@ -43,7 +43,7 @@
     }
 
     private void tick(long millis, Event... events) {
-        paced.run(new Tick(
+        throttled.run(new Tick(
                 new MonotonicTime(Duration.ofMillis(millis).toNanos()),
                 Arrays.asList(events),
                 new SplittableRandom(1)));
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/driver/CoreDriver.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/driver/CoreDriver.java
@@ -112,7 +112,7 @@
         partition = (from, to) -> separates.test(from, to) || separates.test(to, from);
     }
 
-    public void cutZone(String zone) {
+    public void partitionZone(String zone) {
         partition((from, to) -> from.zone().equals(zone) && !to.zone().equals(zone));
     }
 
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/driver/DrivenNode.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/driver/DrivenNode.java
@@ -46,7 +46,7 @@
     private final List<MembershipEvent> events = new ArrayList<>();
     private List<Event> inbox = new ArrayList<>();
     private NodeIdentity identity;
-    private Optional<String> kept = Optional.empty();
+    private Optional<String> storedEnvelope = Optional.empty();
     private long lastTickMillis;
     private boolean paused;
     private long cpuNanos;
@@ -117,16 +117,16 @@
     }
 
     /** Returns the envelope that the shell would have stored on disk. */
-    public Optional<String> kept() {
-        return kept;
+    public Optional<String> storedEnvelope() {
+        return storedEnvelope;
     }
 
-    public MemberCondition sees(DrivenNode other) {
+    public MemberCondition conditionOf(DrivenNode other) {
         return membership.find(other.name()).map(Member::condition).orElse(MemberCondition.DEAD);
     }
 
     public Optional<Duration> platformSilence() {
-        return membership.platformNews().silentFor(time());
+        return membership.platformReachability().unreachableFor(time());
     }
 
     public double cpuMicrosPerTick() {
@@ -177,16 +177,16 @@
             driver.sendToAddress(this, send);
         } else if (effect instanceof PlatformEffect call) {
             driver.platform().call(this, call);
-        } else if (effect instanceof MembershipEffect.LearnAddress learned) {
+        } else if (effect instanceof MembershipEffect.RegisterAddress learned) {
             addresses.put(learned.node(), learned.peerAddress());
-        } else if (effect instanceof MembershipEffect.ForgetAddress forgotten) {
+        } else if (effect instanceof MembershipEffect.RemoveAddress forgotten) {
             addresses.remove(forgotten.node());
         } else if (effect instanceof MembershipEffect.Identify identified) {
             identity = identified.identity();
         } else if (effect instanceof ConfigurationEffect.Decode decode) {
             driver.schedule(1, () -> accept(Envelopes.decode(decode.envelope())));
-        } else if (effect instanceof ConfigurationEffect.Keep keep) {
-            kept = Optional.of(keep.envelope().toUtf8());
+        } else if (effect instanceof ConfigurationEffect.Persist keep) {
+            storedEnvelope = Optional.of(keep.envelope().toUtf8());
         }
     }
 
@@ -194,6 +194,6 @@
         events.addAll(tick.events(MembershipEvent.class).stream()
                 .filter(event -> !(event instanceof MembershipEvent.PeerReported))
                 .toList());
-        tick.events(ConfigurationEvent.InForce.class).forEach(event -> generations.add(event.generation()));
+        tick.events(ConfigurationEvent.Activated.class).forEach(event -> generations.add(event.generation()));
     }
 }
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/endpoint/EndpointFixture.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/endpoint/EndpointFixture.java
@@ -58,7 +58,7 @@
         core = new DecisionCore(
                 List.of(
                         new VirtualMachineListSystem(ZONE, table, membership, new PlatformTokens()),
-                        new EndpointSystem(table, new LeavingNews.ToFewNodes(membership)),
+                        new EndpointSystem(table, new LeavingAnnouncer.RandomSubset(membership)),
                         new ProbeSystem(name, ZONE, table)),
                 7);
     }
@@ -123,7 +123,7 @@
             AvailabilityZone zone = index % 2 == 0 ? ZONE : new AvailabilityZone("garia");
             settings.put(name(index).value(), new EndpointSettings(address(index), zone, 1));
         }
-        return new ConfigurationEvent.InForce(generation, configuration(settings, subsetSize));
+        return new ConfigurationEvent.Activated(generation, configuration(settings, subsetSize));
     }
 
     static FleetConfiguration configuration(Map<String, EndpointSettings> endpoints, int subsetSize) {
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/endpoint/EndpointSystemTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/endpoint/EndpointSystemTest.java
@@ -159,7 +159,7 @@
         large.tick(EndpointFixture.inForce(1, 1, 16));
         large.tick(new Leaving(name(0), "i1", "own refusal"));
         assertThat(large.take(PeerEffect.Send.class))
-                .hasSize(LeavingNews.ToFewNodes.FAN_OUT)
+                .hasSize(LeavingAnnouncer.RandomSubset.FAN_OUT)
                 .extracting(PeerEffect.Send::target)
                 .doesNotHaveDuplicates();
     }
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/membership/MembershipSystemTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/membership/MembershipSystemTest.java
@@ -99,10 +99,10 @@
         driver.partition((from, _to) -> from == paused);
         paused.resume();
 
-        driver.runUntil(() -> paused.membership().isDoubtful(), Duration.ofSeconds(1));
-        assertThat(paused.membership().isDoubtful()).isTrue();
+        driver.runUntil(() -> paused.membership().isUncertain(), Duration.ofSeconds(1));
+        assertThat(paused.membership().isUncertain()).isTrue();
         driver.run(Duration.ofSeconds(3));
-        assertThat(paused.membership().isDoubtful()).isTrue();
+        assertThat(paused.membership().isUncertain()).isTrue();
         assertThat(paused.membership().working()).hasSize(4);
     }
 
@@ -116,7 +116,7 @@
         paused.resume();
 
         driver.run(Duration.ofSeconds(1));
-        assertThat(paused.membership().isDoubtful()).isTrue();
+        assertThat(paused.membership().isUncertain()).isTrue();
     }
 
     @Test
@@ -126,25 +126,25 @@
         DrivenNode dead = fleet.get(3);
         DrivenNode uncertain = fleet.get(1);
         driver.kill(dead);
-        driver.runUntil(() -> uncertain.sees(dead) == MemberCondition.SUSPECTED, MAXIMUM_WAIT);
+        driver.runUntil(() -> uncertain.conditionOf(dead) == MemberCondition.SUSPECTED, MAXIMUM_WAIT);
         isolateWhilePaused(uncertain).resume();
 
         driver.run(Duration.ofSeconds(50));
-        assertThat(uncertain.sees(dead)).isEqualTo(MemberCondition.SUSPECTED);
+        assertThat(uncertain.conditionOf(dead)).isEqualTo(MemberCondition.SUSPECTED);
         driver.heal();
-        assertThat(driver.runUntil(() -> uncertain.sees(dead) == MemberCondition.DEAD, MAXIMUM_WAIT))
+        assertThat(driver.runUntil(() -> uncertain.conditionOf(dead) == MemberCondition.DEAD, MAXIMUM_WAIT))
                 .isLessThan(Duration.ofSeconds(20));
     }
 
     @Test
     void bothSidesOfAHealedPartitionFindEachOther() {
         joined(12, 3);
-        driver.cutZone("zone-1");
+        driver.partitionZone("zone-1");
         driver.run(Duration.ofSeconds(30));
         DrivenNode inside = nodeIn("zone-1");
         DrivenNode outside = nodeIn("zone-0");
-        assertThat(inside.sees(outside)).isEqualTo(MemberCondition.DEAD);
-        assertThat(outside.sees(inside)).isEqualTo(MemberCondition.DEAD);
+        assertThat(inside.conditionOf(outside)).isEqualTo(MemberCondition.DEAD);
+        assertThat(outside.conditionOf(inside)).isEqualTo(MemberCondition.DEAD);
         assertThat(inside.membership().working()).hasSize(4);
 
         driver.heal();
@@ -158,7 +158,7 @@
         List<DrivenNode> fleet = joined(9, 3);
         driver.kill(fleet.get(0));
         driver.runUntil(() -> allNodesSee(fleet.get(0), MemberCondition.DEAD), MAXIMUM_WAIT);
-        driver.cutZone("zone-1");
+        driver.partitionZone("zone-1");
         driver.run(Duration.ofSeconds(20));
         driver.heal();
 
@@ -322,7 +322,7 @@
                         -1, List.of(new VirtualMachine("x", DrivenNode.address("vm-3"), true))));
         driver.run(Duration.ofSeconds(10));
 
-        assertThat(listed.events()).containsOnlyOnce(new MembershipEvent.LeavingAdvised());
+        assertThat(listed.events()).containsOnlyOnce(new MembershipEvent.LeavingNotified());
         assertThat(allNodesSee(listed, MemberCondition.ALIVE)).isTrue();
     }
 
@@ -409,7 +409,7 @@
     void nodesInAMinorityDoNotReportThePlatformAsUnreachable() {
         joined(9, 3);
         driver.run(Duration.ofSeconds(20));
-        driver.cutZone("zone-2");
+        driver.partitionZone("zone-2");
         driver.platform().downFor(node -> node.zone().equals("zone-2"));
         driver.run(Duration.ofSeconds(20));
 
@@ -442,11 +442,11 @@
     }
 
     private boolean allNodesSee(DrivenNode node, MemberCondition condition) {
-        return driver.nodes().stream().allMatch(other -> other.sees(node) == condition);
+        return driver.nodes().stream().allMatch(other -> other.conditionOf(node) == condition);
     }
 
     private boolean otherNodesSee(DrivenNode node, MemberCondition condition) {
-        return driver.nodes().stream().allMatch(other -> other == node || other.sees(node) == condition);
+        return driver.nodes().stream().allMatch(other -> other == node || other.conditionOf(node) == condition);
     }
 
     private DrivenNode isolateWhilePaused(DrivenNode node) {
@@ -473,7 +473,7 @@
 
     private static boolean allSeeAllAlive(Collection<DrivenNode> nodes) {
         return nodes.stream()
-                .allMatch(node -> nodes.stream().allMatch(other -> node.sees(other) == MemberCondition.ALIVE));
+                .allMatch(node -> nodes.stream().allMatch(other -> node.conditionOf(other) == MemberCondition.ALIVE));
     }
 
     private static Bytes memberObject(String name, long incarnation) {
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/modelversion/VersionSystemsTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/modelversion/VersionSystemsTest.java
@@ -343,7 +343,7 @@
         start("node-2");
         run(100);
         first.accept(new MembershipEvent.LeaveRequested());
-        site.believeGone("node-1");
+        site.markGone("node-1");
         run(5500);
         name("model-a", 2);
         run(1000);
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/proxy/EndpointSelectionTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/proxy/EndpointSelectionTest.java
@@ -37,7 +37,7 @@
         RegisteredEndpoint first = selection.choose(equal, Set.of(), now).orElseThrow();
         for (int request = 0; request < 10; request++) {
             assertThat(selection.choose(equal, Set.of(), now)).contains(first);
-            selection.succeed(first, Duration.ofMillis(36), now);
+            selection.recordSuccess(first, Duration.ofMillis(36), now);
             now = now.plus(Duration.ofMillis(3500));
         }
     }
@@ -64,7 +64,7 @@
 
     @Test
     void reportedLoadIsUsedForAShortTime() {
-        selection.tell(near, 4, now);
+        selection.recordLoad(near, 4, now);
         assertThat(selection.choose(both, Set.of(), now)).contains(far);
         now = now.plus(Duration.ofSeconds(1));
         assertThat(selection.choose(both, Set.of(), now)).contains(near);
@@ -72,18 +72,18 @@
 
     @Test
     void timeUntilASlotIsFreeIncreasesWithTheLoad() {
-        Duration idle = selection.untilFree(both, now);
-        both.forEach(endpoint -> selection.tell(endpoint, 40, now));
-        Duration full = selection.untilFree(both, now);
+        Duration idle = selection.timeUntilSlotIsFree(both, now);
+        both.forEach(endpoint -> selection.recordLoad(endpoint, 40, now));
+        Duration full = selection.timeUntilSlotIsFree(both, now);
         assertThat(full).isGreaterThan(idle.multipliedBy(5));
-        selection.tell(near, 4, now);
-        assertThat(selection.untilFree(both, now)).isLessThan(full);
-        assertThat(selection.untilFree(List.of(), now)).isPositive();
+        selection.recordLoad(near, 4, now);
+        assertThat(selection.timeUntilSlotIsFree(both, now)).isLessThan(full);
+        assertThat(selection.timeUntilSlotIsFree(List.of(), now)).isPositive();
     }
 
     @Test
     void slowEndpointIsAvoidedAndSelectedAgainLater() {
-        selection.slow(near, Duration.ofMillis(100), now);
+        selection.recordTimeout(near, Duration.ofMillis(100), now);
         assertThat(selection.choose(both, Set.of(), now)).contains(far);
         now = now.plus(Duration.ofSeconds(3));
         assertThat(selection.choose(both, Set.of(), now)).contains(near);
@@ -91,9 +91,9 @@
 
     @Test
     void failedEndpointIsPausedUnlessThereIsNoOther() {
-        selection.fail(near, now);
+        selection.recordFailure(near, now);
         assertThat(selection.choose(both, Set.of(), now)).contains(far);
-        selection.fail(far, now);
+        selection.recordFailure(far, now);
         assertThat(selection.choose(both, Set.of(), now)).isPresent();
         assertThat(selection.choose(List.of(near), Set.of(), now)).contains(near);
     }
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/proxy/RequestPlanTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/proxy/RequestPlanTest.java
@@ -20,35 +20,35 @@
     void atMostOnceRequestIsNotRetriedAfterItMayHaveRun() {
         RequestPlan plan = plan(RequestKind.AT_MOST_ONCE, 3);
         send(plan, "one");
-        plan.mayHaveRun();
-        assertThat(plan.mayTryAgain()).isFalse();
-        assertThat(plan.hasMaybeRun()).isTrue();
+        plan.recordPossibleRun();
+        assertThat(plan.mayRetry()).isFalse();
+        assertThat(plan.mayHaveRun()).isTrue();
     }
 
     @Test
     void requestThatDefinitelyDidNotRunIsRetriedRegardlessOfItsKind() {
         RequestPlan plan = plan(RequestKind.AT_MOST_ONCE, 1);
         send(plan, "one");
-        assertThat(plan.mayTryAgain()).isTrue();
-        assertThat(plan.hasMaybeRun()).isFalse();
+        assertThat(plan.mayRetry()).isTrue();
+        assertThat(plan.mayHaveRun()).isFalse();
     }
 
     @Test
     void idempotentRequestRunsAtNoMoreEndpointsThanItsRouteAllows() {
         RequestPlan plan = plan(RequestKind.IDEMPOTENT, 2);
         send(plan, "one");
-        plan.mayHaveRun();
-        assertThat(plan.mayTryAgain()).isTrue();
+        plan.recordPossibleRun();
+        assertThat(plan.mayRetry()).isTrue();
         send(plan, "two");
-        plan.mayHaveRun();
-        assertThat(plan.mayTryAgain()).isFalse();
+        plan.recordPossibleRun();
+        assertThat(plan.mayRetry()).isFalse();
     }
 
     @Test
     void numberOfSendsAfterRefusalsIsLimited() {
         RequestPlan plan = plan(RequestKind.IDEMPOTENT, 2);
         int sends = 0;
-        while (plan.mayTryAgain()) {
+        while (plan.mayRetry()) {
             send(plan, "endpoint-" + sends++);
         }
         assertThat(sends).isEqualTo(4);
@@ -57,15 +57,15 @@
     @Test
     void attemptLeavesTimeForAnotherOneIfOneIsAllowed() {
         RequestPlan plan = plan(RequestKind.IDEMPOTENT, 2);
-        assertThat(plan.attemptTime(Duration.ofMillis(800))).isEqualTo(Duration.ofMillis(100));
+        assertThat(plan.attemptTimeout(Duration.ofMillis(800))).isEqualTo(Duration.ofMillis(100));
         send(plan, "one");
-        plan.mayHaveRun();
-        assertThat(plan.attemptTime(Duration.ofMillis(700))).isEqualTo(Duration.ofMillis(700));
+        plan.recordPossibleRun();
+        assertThat(plan.attemptTimeout(Duration.ofMillis(700))).isEqualTo(Duration.ofMillis(700));
     }
 
     @Test
     void onlyAttemptOfAnAtMostOnceRequestMayUseAllRemainingTime() {
-        assertThat(plan(RequestKind.AT_MOST_ONCE, 3).attemptTime(Duration.ofMillis(800)))
+        assertThat(plan(RequestKind.AT_MOST_ONCE, 3).attemptTimeout(Duration.ofMillis(800)))
                 .isEqualTo(Duration.ofMillis(800));
     }
 
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/proxy/ReturnTimeTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/proxy/RetryDelayTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test;
 
 /** Tests the delays after which rejected callers retry. */
-final class ReturnTimeTest {
+final class RetryDelayTest {
 
     @Test
     void delayIsBetweenTwentyMillisecondsAndTwoSeconds() {
-        assertThat(ReturnTime.of(Duration.ZERO, 0)).isGreaterThanOrEqualTo(Duration.ofMillis(20));
-        assertThat(ReturnTime.of(Duration.ofMinutes(1), 0.999)).isLessThan(Duration.ofSeconds(2));
+        assertThat(RetryDelay.of(Duration.ZERO, 0)).isGreaterThanOrEqualTo(Duration.ofMillis(20));
+        assertThat(RetryDelay.of(Duration.ofMinutes(1), 0.999)).isLessThan(Duration.ofSeconds(2));
     }
 
     @Test
@@ -23,7 +23,7 @@
         Duration untilFree = Duration.ofMillis(100);
         int[] arrivals = new int[10];
         IntStream.range(0, 1000).forEach(_caller -> {
-            long millis = ReturnTime.of(untilFree, random.nextDouble()).toMillis();
+            long millis = RetryDelay.of(untilFree, random.nextDouble()).toMillis();
             arrivals[(int) ((millis - 100) / 10)]++;
         });
         assertThat(Arrays.stream(arrivals).boxed())
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/quarantine/QuarantineSystemTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/quarantine/QuarantineSystemTest.java
@@ -5,7 +5,7 @@
 import io.yuccaswitch.core.identity.EndpointName;
 import io.yuccaswitch.core.identity.PoolName;
 import io.yuccaswitch.core.peer.PeerEffect;
-import io.yuccaswitch.core.quarantine.EndpointStandings.Standing;
+import io.yuccaswitch.core.quarantine.EndpointStates.State;
 import io.yuccaswitch.core.site.TestNode;
 import io.yuccaswitch.core.site.TestSite;
 import io.yuccaswitch.core.value.Bytes;
@@ -28,7 +28,7 @@
 
     private final TestSite site = new TestSite();
     private final Map<String, QuarantineSystem> systems = new HashMap<>();
-    private final Map<EndpointName, Standing> endpointStatuses = new HashMap<>();
+    private final Map<EndpointName, State> endpointStates = new HashMap<>();
     private final Set<String> partitioned = new HashSet<>();
 
     @BeforeEach
@@ -113,7 +113,7 @@
         run(100);
         assertThat(verdicts(HARMFUL)).allMatch(Verdict.Serve.class::isInstance);
         node("a").accept(new QuarantineEvent.EndpointEnded(endpoint("e1")));
-        endpointStatuses.put(endpoint("e2"), Standing.GONE);
+        endpointStates.put(endpoint("e2"), State.GONE);
         run(100);
         assertThat(verdicts(HARMFUL)).allMatch(Verdict.Restrain.class::isInstance);
     }
@@ -146,7 +146,7 @@
 
     @Test
     void plannedStopOfAnEndpointIsNoEvidence() {
-        endpointStatuses.put(endpoint("e1"), Standing.LEAVING);
+        endpointStates.put(endpoint("e1"), State.LEAVING);
         terminate("a", HARMLESS, "e1");
         run(100);
         assertThat(verdicts(HARMLESS)).allMatch(Verdict.Serve.class::isInstance);
@@ -154,7 +154,7 @@
 
     @Test
     void evidenceIsDroppedWhileTheRegistryStillListsTheEndpoints() {
-        List.of("e1", "e2", "e3").forEach(name -> endpointStatuses.put(endpoint(name), Standing.WORKING));
+        List.of("e1", "e2", "e3").forEach(name -> endpointStates.put(endpoint(name), State.WORKING));
         List.of("e1", "e2", "e3").forEach(name -> terminate("a", HARMLESS, name));
         run(100);
         assertThat(verdicts(HARMLESS)).allMatch(Verdict.Refuse.class::isInstance);
@@ -223,7 +223,7 @@
     void heldRequestGetsOneTrialAfterItsHoldTimeAndIsHeldForLongerIfAnotherEndpointTerminates() {
         List.of("e1", "e2", "e3").forEach(name -> terminate("a", HARMFUL, name));
         run(31_000);
-        assertThat(verdicts(HARMFUL)).allMatch(Verdict.Try.class::isInstance);
+        assertThat(verdicts(HARMFUL)).allMatch(Verdict.Trial.class::isInstance);
         node("b").accept(new QuarantineEvent.TrialBegun(HARMFUL));
         run(50);
         assertThat(verdicts(HARMFUL)).allMatch(Verdict.Refuse.class::isInstance);
@@ -231,7 +231,7 @@
         run(100);
         assertThat(verdicts(HARMFUL))
                 .allMatch(verdict -> verdict instanceof Verdict.Refuse refuse
-                        && refuse.comeBack().compareTo(Duration.ofMinutes(9)) > 0);
+                        && refuse.retryDelay().compareTo(Duration.ofMinutes(9)) > 0);
     }
 
     @Test
@@ -293,7 +293,7 @@
             QuarantineSystem system = new QuarantineSystem(
                     node,
                     tokens,
-                    endpoint -> endpointStatuses.getOrDefault(endpoint, Standing.UNTOLD),
+                    endpoint -> endpointStates.getOrDefault(endpoint, State.UNKNOWN),
                     () -> site.now().nanoseconds() / 1_000_000);
             systems.put(name, system);
             return List.of(system);
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/quarantine/SuspectTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/quarantine/SuspectTest.java
@@ -43,24 +43,24 @@
     void distantTerminationsOfAnEndpointWithoutIncarnationsCountTwice() {
         EndpointName endpoint = new EndpointName(new PoolName("ledger"), "e1");
         Suspect suspect = new Suspect(REQUEST, "")
-                .withEvidence(new Strike(endpoint, 10_000, true))
-                .withEvidence(new Strike(endpoint, 10_500, true))
-                .withEvidence(new Strike(endpoint, 15_000, true));
+                .withEvidence(new CrashEvidence(endpoint, 10_000, true))
+                .withEvidence(new CrashEvidence(endpoint, 10_500, true))
+                .withEvidence(new CrashEvidence(endpoint, 15_000, true));
         assertThat(suspect.count()).isEqualTo(2);
     }
 
     @Provide
     Arbitrary<Suspect> suspects() {
-        Arbitrary<Strike> strikes = Combinators.combine(
+        Arbitrary<CrashEvidence> crashEvidence = Combinators.combine(
                         Arbitraries.integers().between(1, 4),
                         Arbitraries.longs().between(1, 3),
                         Arbitraries.of(true, false))
-                .as((name, incarnation, certain) -> new Strike(
+                .as((name, incarnation, certain) -> new CrashEvidence(
                         new EndpointName(new PoolName("ledger"), "e" + name, incarnation),
                         1000 * name + incarnation,
                         certain));
         return Combinators.combine(
-                        strikes.list().ofMaxSize(6),
+                        crashEvidence.list().ofMaxSize(6),
                         Arbitraries.longs().between(0, 5000),
                         Arbitraries.longs().between(0, 3000))
                 .as((list, trialAt, clearedAt) -> list.stream()
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/registry/EndpointRegistrySystemTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/registry/EndpointRegistrySystemTest.java
@@ -73,7 +73,7 @@
         put("one", "ledger 10.0.0.1:80 ready 9");
         run(600);
         assertThat(registry.find(earlier)).isEmpty();
-        assertThat(registry.hasStartedAgain(earlier)).isTrue();
+        assertThat(registry.hasRestarted(earlier)).isTrue();
         assertThat(registry.find(name("one", 9))).isPresent();
     }
 
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/registry/LeavingEndpointTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/registry/LeavingEndpointTest.java
@@ -3,13 +3,13 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.yuccaswitch.core.decision.DecisionSystem;
-import io.yuccaswitch.core.decision.PacedSystem;
+import io.yuccaswitch.core.decision.ThrottledSystem;
 import io.yuccaswitch.core.identity.PoolName;
 import io.yuccaswitch.core.membership.RendezvousRanking;
 import io.yuccaswitch.core.platform.PlatformTokens;
+import io.yuccaswitch.core.site.Faults;
 import io.yuccaswitch.core.site.TestNode;
 import io.yuccaswitch.core.site.TestSite;
-import io.yuccaswitch.core.site.Troubles;
 import io.yuccaswitch.core.time.MonotonicTime;
 import io.yuccaswitch.core.watch.SharedWatches;
 import java.time.Duration;
@@ -84,17 +84,16 @@
             put("one", "ledger 10.0.0.1:80 ready");
             site.run(Duration.ofSeconds(1));
             Random random = new Random(seed);
-            Troubles troubles =
-                    Troubles.drawn(watchers, site.now().plus(Duration.ofMillis(random.nextInt(1000))), random);
-            troubles.strike(site);
+            Faults faults = Faults.random(watchers, site.now().plus(Duration.ofMillis(random.nextInt(1000))), random);
+            faults.applyTo(site);
             site.run(Duration.ofMillis(1000 + random.nextInt(1500)));
             if (seed % 2 == 0) {
                 put("one", "ledger 10.0.0.1:80 draining");
             } else {
                 site.platform().remove(EndpointRegistrySystem.KIND, "one");
             }
-            assertNoLongerChosenInTime(watchers, "seed " + seed + " " + troubles);
-            Troubles.NONE.strike(site);
+            assertNoLongerChosenInTime(watchers, "seed " + seed + " " + faults);
+            Faults.NONE.applyTo(site);
         }
     }
 
@@ -108,12 +107,12 @@
             site.run(Duration.ofSeconds(4));
             put("one", "ledger 10.0.0.1:80 ready");
             site.run(Duration.ofMillis(1000 + phase + step % 7 * 10));
-            Troubles.lostAndStill(watchers, site.now(), Duration.ofMillis(contact))
-                    .strike(site);
+            Faults.disconnectedThenFrozen(watchers, site.now(), Duration.ofMillis(contact))
+                    .applyTo(site);
             put("one", "ledger 10.0.0.1:80 draining");
             assertNoLongerChosenInTime(
                     watchers, "platform lost at phase " + (phase + step % 7 * 10) + ", frozen after " + contact);
-            Troubles.NONE.strike(site);
+            Faults.NONE.applyTo(site);
         }
     }
 
@@ -127,7 +126,7 @@
 
     private void assertNoLongerChosenInTime(Set<String> exempt, String description) {
         MonotonicTime acknowledged = site.now();
-        site.run(RegistryFreshness.LIMIT);
+        site.run(RegistryFreshness.MAXIMUM_DISPATCH_AGE);
         for (int millis = 0; millis < 2500; millis += 10) {
             for (Map.Entry<String, EndpointRegistrySystem> registry : registries.entrySet()) {
                 if (!exempt.contains(registry.getKey())) {
@@ -146,7 +145,7 @@
         EndpointRegistrySystem registry =
                 new EndpointRegistrySystem(new SharedWatches(node), tokens, EndpointRegistrySystemTest::decode);
         registries.put(node.name(), registry);
-        return List.of(new PacedSystem(List.of(registry), _event -> false, () -> IDLE_TICK_INTERVAL));
+        return List.of(new ThrottledSystem(List.of(registry), _event -> false, () -> IDLE_TICK_INTERVAL));
     }
 
     private static List<String> chosen(EndpointRegistrySystem registry) {
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/registry/PlatformOutageTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/registry/PlatformOutageTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.yuccaswitch.core.decision.DecisionSystem;
-import io.yuccaswitch.core.decision.PacedSystem;
+import io.yuccaswitch.core.decision.ThrottledSystem;
 import io.yuccaswitch.core.platform.PlatformTokens;
 import io.yuccaswitch.core.site.TestNode;
 import io.yuccaswitch.core.site.TestSite;
@@ -42,7 +42,7 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 100, 300, 600, 900, 1200})
     void endpointsStayInUseThroughoutAnOutageHoweverLateCallsFail(int failureMillis) {
-        site.platform().cutWhere(_node -> true);
+        site.platform().disconnectWhere(_node -> true);
         site.platform().delayAnswers(_node -> Duration.ofMillis(failureMillis));
         Map<String, Integer> heldMillis = new TreeMap<>();
         for (int millis = 0; millis < 20_000; millis += 10) {
@@ -60,6 +60,6 @@
         EndpointRegistrySystem registry =
                 new EndpointRegistrySystem(new SharedWatches(node), tokens, EndpointRegistrySystemTest::decode);
         registries.put(node.name(), registry);
-        return List.of(new PacedSystem(List.of(registry), _event -> false, () -> IDLE_TICK_INTERVAL));
+        return List.of(new ThrottledSystem(List.of(registry), _event -> false, () -> IDLE_TICK_INTERVAL));
     }
 }
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/AtMostOncePropertyTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/AtMostOncePropertyTest.java
@@ -168,7 +168,7 @@
                     switch (random.nextInt(3)) {
                         case 0 -> new AttemptResult.NotRun("connect-failed", random.nextBoolean());
                         case 1 -> new AttemptResult.MaybeRun("connection-lost", Optional.empty());
-                        default -> new AttemptResult.Whole(200, "", Bytes.ofUtf8("ran"), Optional.empty());
+                        default -> new AttemptResult.Complete(200, "", Bytes.ofUtf8("ran"), Optional.empty());
                     };
             if (!(result instanceof AttemptResult.NotRun)) {
                 runs.merge(attempt.send().id(), 1, Integer::sum);
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/BenchmarkSite.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/BenchmarkSite.java
@@ -153,7 +153,7 @@
         nodes.get(job.node)
                 .events
                 .add(new RequestEvent.AttemptEnded(
-                        job.id, job.attempt, endpoint, new AttemptResult.Whole(200, "", Bytes.EMPTY, generation)));
+                        job.id, job.attempt, endpoint, new AttemptResult.Complete(200, "", Bytes.EMPTY, generation)));
         OfferedRequest request = offered.get(job.id);
         request.firstToken = job.firstTokenAt - request.at();
     }
@@ -217,7 +217,7 @@
                     List.of(new RequestSystem(
                             this, this, clock, new PlatformTokens(), Quarantine.NoOp.INSTANCE, limits)),
                     index);
-            events.add(new ConfigurationEvent.InForce(1, configuration));
+            events.add(new ConfigurationEvent.Activated(1, configuration));
         }
 
         void tick() {
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/RequestSystemTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/RequestSystemTest.java
@@ -167,7 +167,7 @@
                 .containsExactly("t0 t1 ", "t0 t1 t2 ", "t0 t1 t2 t3 ");
         node.end(
                 node.lastSend(),
-                new AttemptResult.Whole(200, "", Bytes.EMPTY, Optional.of(generation("t0 other text", 9))));
+                new AttemptResult.Complete(200, "", Bytes.EMPTY, Optional.of(generation("t0 other text", 9))));
         assertThat(node.lastOutcome()).isInstanceOf(Outcome.FailedAfterSend.class);
     }
 
