--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/TestSite.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/request/TestSite.java
@@ -26,7 +26,7 @@
 import io.yuccaswitch.core.platform.PlatformEvent;
 import io.yuccaswitch.core.platform.PlatformTokens;
 import io.yuccaswitch.core.platform.StoredObject;
-import io.yuccaswitch.core.quarantine.EndpointStandings;
+import io.yuccaswitch.core.quarantine.EndpointStates;
 import io.yuccaswitch.core.quarantine.Quarantine;
 import io.yuccaswitch.core.quarantine.QuarantineSystem;
 import io.yuccaswitch.core.time.MonotonicTime;
@@ -73,7 +73,7 @@
     Node start(String name) {
         Node node = new Node(new NodeIdentity(new NodeName(name), incarnations++), "z" + name.charAt(1));
         nodes.put(name, node);
-        node.tick(new ConfigurationEvent.InForce(1, configuration));
+        node.tick(new ConfigurationEvent.Activated(1, configuration));
         return node;
     }
 
@@ -177,7 +177,7 @@
             this.availabilityZone = new AvailabilityZone(availabilityZone);
             PlatformTokens tokens = new PlatformTokens();
             QuarantineSystem quarantine = new QuarantineSystem(
-                    this, tokens, EndpointStandings.Untold.INSTANCE, () -> now.nanoseconds() / 1_000_000);
+                    this, tokens, EndpointStates.Unknown.INSTANCE, () -> now.nanoseconds() / 1_000_000);
             system = new RequestSystem(
                     this,
                     this,
@@ -231,7 +231,7 @@
         }
 
         void answer(RequestEffect.Send send, String text) {
-            end(send, new AttemptResult.Whole(200, "text/plain", Bytes.ofUtf8(text), Optional.empty()));
+            end(send, new AttemptResult.Complete(200, "text/plain", Bytes.ofUtf8(text), Optional.empty()));
         }
 
         /** Returns an id with a prefix that this node issues. */
@@ -252,7 +252,7 @@
         public Collection<Member> working() {
             return nodes.values().stream()
                     .map(node -> member(node.identity, node.availabilityZone, observedCondition(node)))
-                    .filter(Member::takesWork)
+                    .filter(Member::acceptsWork)
                     .toList();
         }
 
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/route/ConfigurationInTimeTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/route/ConfigurationInTimeTest.java
@@ -4,14 +4,14 @@
 
 import io.yuccaswitch.core.account.AccountDirectory;
 import io.yuccaswitch.core.decision.DecisionSystem;
-import io.yuccaswitch.core.decision.PacedSystem;
+import io.yuccaswitch.core.decision.ThrottledSystem;
 import io.yuccaswitch.core.membership.RendezvousRanking;
 import io.yuccaswitch.core.platform.PlatformTokens;
 import io.yuccaswitch.core.platform.StoredObject;
 import io.yuccaswitch.core.registry.EndpointRegistrySystem;
+import io.yuccaswitch.core.site.Faults;
 import io.yuccaswitch.core.site.TestNode;
 import io.yuccaswitch.core.site.TestSite;
-import io.yuccaswitch.core.site.Troubles;
 import io.yuccaswitch.core.time.MonotonicTime;
 import io.yuccaswitch.core.watch.SharedWatches;
 import java.time.Duration;
@@ -66,12 +66,12 @@
         for (int step = 0; step < 28; step++) {
             site.run(Duration.ofMillis(5000 + phase + step % 7 * 10));
             int contactMillis = 450 + step / 7 * 200;
-            Troubles.lostAndStill(watchers, site.now(), Duration.ofMillis(contactMillis))
-                    .strike(site);
+            Faults.disconnectedThenFrozen(watchers, site.now(), Duration.ofMillis(contactMillis))
+                    .applyTo(site);
             publishVersion();
             assertActiveInTime(
                     "platform lost at phase " + (phase + step % 7 * 10) + ", suspended after " + contactMillis);
-            Troubles.NONE.strike(site);
+            Faults.NONE.applyTo(site);
         }
     }
 
@@ -81,13 +81,12 @@
         for (long seed = group * 20; seed < group * 20 + 20; seed++) {
             site.run(Duration.ofSeconds(5));
             Random random = new Random(seed);
-            Troubles troubles =
-                    Troubles.drawn(watchers, site.now().plus(Duration.ofMillis(random.nextInt(1000))), random);
-            troubles.strike(site);
+            Faults faults = Faults.random(watchers, site.now().plus(Duration.ofMillis(random.nextInt(1000))), random);
+            faults.applyTo(site);
             site.run(Duration.ofMillis(1000 + random.nextInt(1500)));
             publishVersion();
-            assertActiveInTime("seed " + seed + " " + troubles);
-            Troubles.NONE.strike(site);
+            assertActiveInTime("seed " + seed + " " + faults);
+            Faults.NONE.applyTo(site);
         }
     }
 
@@ -110,7 +109,7 @@
         site.run(MAXIMUM_ACTIVATION_DELAY);
         systems.forEach((name, system) -> {
             if (!watchers.contains(name)) {
-                assertThat(system.inForce().orElseThrow().version())
+                assertThat(system.active().orElseThrow().version())
                         .as(
                                 "at %s %s after the acknowledgement, %s",
                                 name, site.now().since(acknowledged), description)
@@ -130,7 +129,7 @@
         RouteConfigurationSystem routes =
                 new RouteConfigurationSystem(watches, tokens, ConfigurationInTimeTest::decode);
         systems.put(node.name(), routes);
-        return List.of(new PacedSystem(List.of(routes, registry), _event -> false, () -> IDLE_INTERVAL));
+        return List.of(new ThrottledSystem(List.of(routes, registry), _event -> false, () -> IDLE_INTERVAL));
     }
 
     private static Optional<RouteConfiguration> decode(StoredObject object) {
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/route/RouteConfigurationTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/route/RouteConfigurationTest.java
@@ -61,10 +61,10 @@
         site.run(Duration.ofMillis(300));
         site.platform().put(RouteConfigurationSystem.KIND, "main", "6");
         site.run(Duration.ofMillis(300));
-        assertThat(system[0].inForce().orElseThrow().version()).isEqualTo(7);
+        assertThat(system[0].active().orElseThrow().version()).isEqualTo(7);
         site.platform().put(RouteConfigurationSystem.KIND, "main", "9");
         site.run(Duration.ofMillis(300));
-        assertThat(system[0].inForce().orElseThrow().version()).isEqualTo(9);
+        assertThat(system[0].active().orElseThrow().version()).isEqualTo(9);
     }
 
     static Route route(String name, String prefix) {
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/sample/SampleFleet.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/sample/SampleFleet.java
@@ -84,7 +84,7 @@
                 new Member(identity, new AvailabilityZone(zone), "local", name, name, name, MemberCondition.ALIVE));
         Node node = new Node(identity);
         nodes.put(key, node);
-        node.inbox.add(new ConfigurationEvent.InForce(1, configuration));
+        node.inbox.add(new ConfigurationEvent.Activated(1, configuration));
         published.forEach((trainer, version) -> node.inbox.add(new WeightEvent.Published(trainer, version, "")));
     }
 
@@ -121,7 +121,7 @@
 
     void reconfigure(FleetConfiguration changed) {
         configuration = changed;
-        nodes.values().forEach(node -> node.inbox.add(new ConfigurationEvent.InForce(2, changed)));
+        nodes.values().forEach(node -> node.inbox.add(new ConfigurationEvent.Activated(2, changed)));
     }
 
     long submit(String node, List<GroupSpecification> groups) {
@@ -203,7 +203,7 @@
     private record ScheduledAction(MonotonicTime at, Runnable action) {}
 
     private List<Member> working() {
-        return members.values().stream().filter(Member::takesWork).toList();
+        return members.values().stream().filter(Member::acceptsWork).toList();
     }
 
     private static List<String> names(List<Member> pair) {
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/sample/SubmissionTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/sample/SubmissionTest.java
@@ -46,7 +46,7 @@
 
         assertThat(answer.refused()).hasSize(2).allSatisfy(refused -> {
             assertThat(refused.code()).isEqualTo("no-second-zone");
-            assertThat(refused.surelyNotRun()).isTrue();
+            assertThat(refused.definitelyNotRun()).isTrue();
             assertThat(refused.retryAfter()).isPresent();
         });
     }
@@ -75,7 +75,7 @@
         assertThat(answer.accepted()).hasSizeBetween(6, 12);
         assertThat(answer.refused()).allSatisfy(refused -> {
             assertThat(refused.code()).isEqualTo("groups-in-progress");
-            assertThat(refused.surelyNotRun()).isTrue();
+            assertThat(refused.definitelyNotRun()).isTrue();
             assertThat(fleet.nodes.values()).noneMatch(node -> node.holds(refused.key()));
         });
         ((EngineModel.Simple) fleet.engines).answerTime = Duration.ofMillis(50);
@@ -106,7 +106,7 @@
 
         assertThat(answer.refused()).isNotEmpty().allSatisfy(refused -> {
             assertThat(refused.code()).isEqualTo("holders-unreachable");
-            assertThat(refused.surelyNotRun()).isFalse();
+            assertThat(refused.definitelyNotRun()).isFalse();
         });
     }
 
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/site/Troubles.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/site/Faults.java
@@ -13,16 +13,16 @@
  *
  * @param all The faults.
  */
-public record Troubles(List<Fault> all) {
+public record Faults(List<Fault> all) {
 
     /** The delay of slow answers and messages. */
     private static final Duration SLOW_DELAY = Duration.ofMillis(280);
 
     /** No faults. */
-    public static final Troubles NONE = new Troubles(List.of());
+    public static final Faults NONE = new Faults(List.of());
 
     /** Draws random faults that follow each other at each node without a gap. */
-    public static Troubles drawn(Collection<String> nodes, MonotonicTime begin, Random random) {
+    public static Faults random(Collection<String> nodes, MonotonicTime begin, Random random) {
         List<Fault> faults = new ArrayList<>();
         for (String node : nodes) {
             MonotonicTime at = begin;
@@ -33,22 +33,22 @@
                 at = end;
             }
         }
-        return new Troubles(faults);
+        return new Faults(faults);
     }
 
     /** Creates faults in which nodes lose the platform and freeze some time later. */
-    public static Troubles lostAndStill(Collection<String> nodes, MonotonicTime lost, Duration contact) {
+    public static Faults disconnectedThenFrozen(Collection<String> nodes, MonotonicTime lost, Duration contact) {
         List<Fault> faults = new ArrayList<>();
         MonotonicTime end = lost.plus(Duration.ofSeconds(4));
         for (String node : nodes) {
             faults.add(new Fault(node, Kind.PLATFORM_DOES_NOT_ANSWER, lost, end));
             faults.add(new Fault(node, Kind.NODE_IS_FROZEN, lost.plus(contact), end));
         }
-        return new Troubles(faults);
+        return new Faults(faults);
     }
 
     /** Injects the faults into a site from now on. */
-    public void strike(TestSite site) {
+    public void applyTo(TestSite site) {
         site.everyStep(this::injectCurrent);
         injectCurrent(site);
     }
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/site/SharedPlatform.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/site/SharedPlatform.java
@@ -89,7 +89,7 @@
      * Disconnects the nodes that match: their watches end with an error at the wait time, and their other calls stay
      * unanswered.
      */
-    public void cutWhere(Predicate<String> condition) {
+    public void disconnectWhere(Predicate<String> condition) {
         disconnected = condition;
     }
 
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/site/TestNode.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/site/TestNode.java
@@ -131,7 +131,7 @@
     /** Returns whether the wait time of a watch is over. */
     private boolean isWatchExpired(PlatformEffect call, MonotonicTime now) {
         return call instanceof PlatformEffect.Watch watch
-                && watch.waitTime()
+                && watch.watchTimeout()
                         .filter(wait -> now.since(pendingCalls.get(call)).compareTo(wait) >= 0)
                         .isPresent();
     }
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/site/TestSite.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/site/TestSite.java
@@ -74,12 +74,12 @@
     }
 
     /** Makes the others consider a node dead although it is running. */
-    public void believeGone(String name) {
+    public void markGone(String name) {
         consideredDead.add(name);
     }
 
     /** Makes the others consider a node as leaving. */
-    public void believeLeaving(String name) {
+    public void markLeaving(String name) {
         leaving.add(name);
     }
 
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/suspension/SuspensionDetectorTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/suspension/SuspensionDetectorTest.java
@@ -15,29 +15,29 @@
     @Test
     void noSuspensionIsReportedWhileBothClocksAdvanceEqually() {
         for (long millis = 0; millis < 10_000; millis += 100) {
-            assertThat(detector.look(at(millis), EPOCH + millis)).isEmpty();
+            assertThat(detector.check(at(millis), EPOCH + millis)).isEmpty();
         }
     }
 
     @Test
     void timeThatOnlyTheWallClockCountedIsReportedOnce() {
-        detector.look(at(0), EPOCH);
-        assertThat(detector.look(at(100), EPOCH + 5100)).contains(new Suspended(Duration.ofSeconds(5)));
-        assertThat(detector.look(at(200), EPOCH + 5200)).isEmpty();
+        detector.check(at(0), EPOCH);
+        assertThat(detector.check(at(100), EPOCH + 5100)).contains(new Suspended(Duration.ofSeconds(5)));
+        assertThat(detector.check(at(200), EPOCH + 5200)).isEmpty();
     }
 
     @Test
     void smallCorrectionsAddUpToASuspension() {
-        detector.look(at(0), EPOCH);
-        assertThat(detector.look(at(100), EPOCH + 220)).isEmpty();
-        assertThat(detector.look(at(200), EPOCH + 450)).contains(new Suspended(Duration.ofMillis(250)));
+        detector.check(at(0), EPOCH);
+        assertThat(detector.check(at(100), EPOCH + 220)).isEmpty();
+        assertThat(detector.check(at(200), EPOCH + 450)).contains(new Suspended(Duration.ofMillis(250)));
     }
 
     @Test
     void wallClockThatIsSetBackIsNotReportedButBecomesTheNewReference() {
-        detector.look(at(0), EPOCH);
-        assertThat(detector.look(at(100), EPOCH - 2000)).isEmpty();
-        assertThat(detector.look(at(200), EPOCH - 900)).contains(new Suspended(Duration.ofSeconds(1)));
+        detector.check(at(0), EPOCH);
+        assertThat(detector.check(at(100), EPOCH - 2000)).isEmpty();
+        assertThat(detector.check(at(200), EPOCH - 900)).contains(new Suspended(Duration.ofSeconds(1)));
     }
 
     private static MonotonicTime at(long millis) {
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/usage/UsageSite.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/usage/UsageSite.java
@@ -72,7 +72,7 @@
     }
 
     long window() {
-        return new UsageWindows(WINDOW).at(millis());
+        return new UsageWindows(WINDOW).windowAt(millis());
     }
 
     long millis() {
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/watch/SharedKindWatchTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/watch/SharedKindWatchTest.java
@@ -78,7 +78,7 @@
     @Test
     void changeArrivesInTimeWhileTheWatchersAreDisconnectedFromThePlatform() {
         Set<String> watchers = watchers();
-        site.platform().cutWhere(watchers::contains);
+        site.platform().disconnectWhere(watchers::contains);
         site.platform().put(KIND, "a", "second");
         site.run(MAXIMUM_DELAY);
         assertThat(copiesExcept(watchers))
@@ -367,7 +367,7 @@
             return now.since(feed.confirmedAt().orElseThrow().plus(lag));
         }
 
-        private void apply(KindFeed.News changes) {
+        private void apply(KindFeed.Changes changes) {
             if (changes.complete()) {
                 content.clear();
             }
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/weight/LeaseFaultTest.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/weight/LeaseFaultTest.java
@@ -149,7 +149,7 @@
         site.run(Duration.ofSeconds(2));
         TestNode holder = site.holder().orElseThrow();
         long before = holder.held(TestSite.POOL, site.now).orElseThrow().fencingNumber();
-        site.platform.remove(LeaseSystem.KIND, LEASE_NAME);
+        site.platform.remove(LeaseSystem.OBJECT_KIND, LEASE_NAME);
         site.run(Duration.ofSeconds(20));
         HeldLease after =
                 site.holder().orElseThrow().held(TestSite.POOL, site.now).orElseThrow();
@@ -158,7 +158,7 @@
 
     @Test
     void aMalformedLeaseValueIsTreatedAsHeldUntilItIsUnchangedForTheFullLeaseDuration() {
-        site.platform.put(LeaseSystem.KIND, LEASE_NAME, "rubbish");
+        site.platform.put(LeaseSystem.OBJECT_KIND, LEASE_NAME, "rubbish");
         site.run(TestSite.LEASE, current -> assertThat(current.holders()).isZero());
         site.run(Duration.ofSeconds(10));
         assertThat(site.holders()).isEqualTo(1);
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/weight/TestNode.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/weight/TestNode.java
@@ -114,7 +114,7 @@
         public Collection<Member> working() {
             return site.reachableFrom(TestNode.this).stream()
                     .map(node -> site.member(node.identity.name()))
-                    .filter(Member::takesWork)
+                    .filter(Member::acceptsWork)
                     .toList();
         }
 
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/weight/TestSite.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/weight/TestSite.java
@@ -103,7 +103,7 @@
         node.lastPlatformContactAt = now;
         nodes.put(name, node);
         if (generation > 0) {
-            node.inbox.add(new ConfigurationEvent.InForce(generation, configuration()));
+            node.inbox.add(new ConfigurationEvent.Activated(generation, configuration()));
         }
         return node;
     }
@@ -124,7 +124,7 @@
 
     void configure() {
         generation++;
-        nodes.values().forEach(node -> node.inbox.add(new ConfigurationEvent.InForce(generation, configuration())));
+        nodes.values().forEach(node -> node.inbox.add(new ConfigurationEvent.Activated(generation, configuration())));
     }
 
     void publish(TestNode node, String trainer, long version) {
--- a/yuccaswitch-core/src/test/java/io/yuccaswitch/core/weight/WeightBenchmark.java
+++ b/yuccaswitch-core/src/test/java/io/yuccaswitch/core/weight/WeightBenchmark.java
@@ -170,7 +170,7 @@
                 (name, now) -> Optional.of(
                         new HeldLease(name, 1, MonotonicTime.ZERO, now.plus(Duration.ofSeconds(1)), false)));
         DecisionCore core = new DecisionCore(List.of(tracking, new PlacementSystem(tables, versions)), 1);
-        core.tick(MonotonicTime.ZERO, List.of(new ConfigurationEvent.InForce(1, configuration)));
+        core.tick(MonotonicTime.ZERO, List.of(new ConfigurationEvent.Activated(1, configuration)));
         List<Event> reports = new ArrayList<>();
         for (EndpointName name : names) {
             LoadReport load = new LoadReport(MonotonicTime.ZERO, 0, 0, 1, 0);
--- a/yuccaswitch-endpoint/src/main/java/io/yuccaswitch/endpoint/AnswerReader.java
+++ b/yuccaswitch-endpoint/src/main/java/io/yuccaswitch/endpoint/AnswerReader.java
@@ -35,7 +35,7 @@
         /** {@inheritDoc} */
         @Override
         public AttemptResult read(Response response) throws IOException {
-            return new AttemptResult.Whole(
+            return new AttemptResult.Complete(
                     response.code(),
                     response.header("Content-Type", ""),
                     AnswerBody.read(response, maximumBytes),
--- a/yuccaswitch-endpoint/src/main/java/io/yuccaswitch/endpoint/Attempt.java
+++ b/yuccaswitch-endpoint/src/main/java/io/yuccaswitch/endpoint/Attempt.java
@@ -170,11 +170,11 @@
      * @return The refusal, or empty if the endpoint did not state that the request has not run.
      */
     private Optional<AttemptResult> refusal(AttemptResult result) {
-        if (!(result instanceof AttemptResult.Whole whole) || !REFUSAL_STATUSES.contains(whole.status())) {
+        if (!(result instanceof AttemptResult.Complete complete) || !REFUSAL_STATUSES.contains(complete.status())) {
             return Optional.empty();
         }
         try {
-            JsonNode body = Json.parse(whole.body());
+            JsonNode body = Json.parse(complete.body());
             JsonNode error = body.path("error");
             if (!error.path("ran").asText().equals("no")) {
                 return Optional.empty();
--- a/yuccaswitch-endpoint/src/main/java/io/yuccaswitch/endpoint/EndpointClient.java
+++ b/yuccaswitch-endpoint/src/main/java/io/yuccaswitch/endpoint/EndpointClient.java
@@ -138,7 +138,7 @@
             return;
         }
         EndpointHttp.ConnectionUse connection =
-                send.inDoubt() ? EndpointHttp.ConnectionUse.NEW : EndpointHttp.ConnectionUse.KEPT;
+                send.suspected() ? EndpointHttp.ConnectionUse.NEW : EndpointHttp.ConnectionUse.KEPT;
         Call call = http.call(request.get(), transmission, timeLeft, connection);
         AttemptKey key = new AttemptKey(send.id(), send.attempt());
         emitter.setCancellable(() -> attempt.cancel(call));
@@ -172,7 +172,7 @@
         if (result instanceof AttemptResult.MaybeRun maybeRun) {
             return "maybe-run." + maybeRun.code();
         }
-        return result instanceof AttemptResult.Whole ? "whole" : "not-run";
+        return result instanceof AttemptResult.Complete ? "whole" : "not-run";
     }
 
     /**
--- a/yuccaswitch-endpoint/src/main/java/io/yuccaswitch/endpoint/GenerationReader.java
+++ b/yuccaswitch-endpoint/src/main/java/io/yuccaswitch/endpoint/GenerationReader.java
@@ -76,7 +76,7 @@
         Generation generation =
                 builder.finish(last.segments(), last.finishReason().orElse(""));
         Bytes body = EngineProtocol.answer(request, last.model(), generation);
-        return new AttemptResult.Whole(OK, "application/json", body, Optional.of(generation));
+        return new AttemptResult.Complete(OK, "application/json", body, Optional.of(generation));
     }
 
     /** {@inheritDoc} */
--- a/yuccaswitch-endpoint/src/test/java/io/yuccaswitch/endpoint/EndpointReportsTest.java
+++ b/yuccaswitch-endpoint/src/test/java/io/yuccaswitch/endpoint/EndpointReportsTest.java
@@ -195,7 +195,7 @@
                 java.util.Optional.empty());
         AttemptResult result =
                 ClientFixture.result(fixture.start(send, io.yuccaswitch.core.configuration.PoolKind.SERVICE));
-        assertThat(((AttemptResult.Whole) result).body().toUtf8())
+        assertThat(((AttemptResult.Complete) result).body().toUtf8())
                 .isEqualTo("{\"score\":" + ScorerStandIn.scoreOf("x") + "}");
         assertThat(scorer.runs()).containsExactly(Map.entry("t/3/0/1", 1));
     }
--- a/yuccaswitch-endpoint/src/test/java/io/yuccaswitch/endpoint/GenerationTest.java
+++ b/yuccaswitch-endpoint/src/test/java/io/yuccaswitch/endpoint/GenerationTest.java
@@ -57,7 +57,7 @@
     @Test
     void aStreamedGenerationIsReturnedAsOneAnswer() {
         AttemptResult result = fixture.generate(address(engine(0.05, 80)), "a", "{\"prompt\":\"p\",\"max_tokens\":2}");
-        assertThat(result).isInstanceOfSatisfying(AttemptResult.Whole.class, answer -> {
+        assertThat(result).isInstanceOfSatisfying(AttemptResult.Complete.class, answer -> {
             assertThat(answer.body().toUtf8()).contains("\"id\":\"a\"", "\"text\":\"t0v1 t1v1 \"", "\"length\"");
             assertThat(answer.contentType()).isEqualTo("application/json");
         });
@@ -323,8 +323,8 @@
     }
 
     private static Generation completeGeneration(AttemptResult result) {
-        assertThat(result).isInstanceOf(AttemptResult.Whole.class);
-        return ((AttemptResult.Whole) result).generation().orElseThrow();
+        assertThat(result).isInstanceOf(AttemptResult.Complete.class);
+        return ((AttemptResult.Complete) result).generation().orElseThrow();
     }
 
     /** Checks that no token is missing or repeated, and that each is labelled with the version written in it. */
--- a/yuccaswitch-endpoint/src/test/java/io/yuccaswitch/endpoint/PooledConnectionTest.java
+++ b/yuccaswitch-endpoint/src/test/java/io/yuccaswitch/endpoint/PooledConnectionTest.java
@@ -37,7 +37,7 @@
                 RawServer.write(connection, RawServer.answer(id, "own"));
             }
         })) {
-            assertThat(fixture.post(server.address(), "a")).isInstanceOf(AttemptResult.Whole.class);
+            assertThat(fixture.post(server.address(), "a")).isInstanceOf(AttemptResult.Complete.class);
             assertThat(fixture.post(server.address(), "b"))
                     .as(
                             "the second request used the pooled connection, which does not show whether the server was running")
@@ -54,7 +54,7 @@
         try (RawServer server = new RawServer((_request, id, connection) -> RawServer.write(
                 connection,
                 RawServer.answer(id, "later").replace("200 OK", status + "\r\nRetry-After: 0\r\nLocation: /other")))) {
-            assertThat(fixture.post(server.address(), "a")).isInstanceOf(AttemptResult.Whole.class);
+            assertThat(fixture.post(server.address(), "a")).isInstanceOf(AttemptResult.Complete.class);
             assertThat(server.requests()).isEqualTo(1);
         }
     }
@@ -122,8 +122,8 @@
     }
 
     private static void assertOwnAnswer(AttemptResult result, String id) {
-        assertThat(result).isInstanceOfSatisfying(AttemptResult.Whole.class, whole -> assertThat(
-                        whole.body().toUtf8())
+        assertThat(result).isInstanceOfSatisfying(AttemptResult.Complete.class, complete -> assertThat(
+                        complete.body().toUtf8())
                 .isEqualTo("answer to " + id));
     }
 }
--- a/yuccaswitch-endpoint/src/test/java/io/yuccaswitch/endpoint/WholeAnswerTest.java
+++ b/yuccaswitch-endpoint/src/test/java/io/yuccaswitch/endpoint/WholeAnswerTest.java
@@ -44,7 +44,7 @@
     @Test
     void aCompleteAnswerIsAccepted() {
         AttemptResult result = fixture.post(service.server().address(), "vm-1@3/a b".replace(' ', '/'));
-        assertThat(result).isInstanceOfSatisfying(AttemptResult.Whole.class, answer -> {
+        assertThat(result).isInstanceOfSatisfying(AttemptResult.Complete.class, answer -> {
             assertThat(answer.status()).isEqualTo(200);
             assertThat(answer.contentType()).isEqualTo("application/json");
             assertThat(answer.body().toUtf8()).contains("\"path\":\"/ledger\"");
@@ -103,7 +103,7 @@
         try (RawServer server = new RawServer((_request, id, connection) ->
                 RawServer.write(connection, RawServer.answer(id, body).replace("200 OK", "503 Service Unavailable")))) {
             assertThat(fixture.post(server.address(), "a"))
-                    .isInstanceOfSatisfying(AttemptResult.Whole.class, answer -> assertThat(answer.status())
+                    .isInstanceOfSatisfying(AttemptResult.Complete.class, answer -> assertThat(answer.status())
                             .isEqualTo(503));
         }
     }
@@ -128,7 +128,7 @@
         service.faults().set(Fault.CUT_AFTER_BYTES, bytes);
         service.faults().set(Fault.CUT_ANSWERS, 1);
         assertThat(fixture.post(service.server().address(), "a")).isEqualTo(connectionLost());
-        assertThat(fixture.post(service.server().address(), "b")).isInstanceOf(AttemptResult.Whole.class);
+        assertThat(fixture.post(service.server().address(), "b")).isInstanceOf(AttemptResult.Complete.class);
     }
 
     @Test
@@ -158,7 +158,7 @@
             assertThat(fixture.post(server.address(), "a")).isEqualTo(connectionLost());
             assertThat(fixture.post(server.address(), "b"))
                     .isInstanceOfSatisfying(
-                            AttemptResult.Whole.class,
+                            AttemptResult.Complete.class,
                             answer -> assertThat(answer.body().toUtf8()).isEqualTo("abcd"));
         }
     }
@@ -193,7 +193,7 @@
             assertThat(ClientFixture.result(events))
                     .isEqualTo(new AttemptResult.MaybeRun(
                             FailureCodes.CANCELLED, Optional.empty(), new Loss(Loss.Cause.BROKEN_OFF, true)));
-            assertThat(fixture.post(server.address(), "b")).isInstanceOf(AttemptResult.Whole.class);
+            assertThat(fixture.post(server.address(), "b")).isInstanceOf(AttemptResult.Complete.class);
             assertThat(server.connections()).isEqualTo(2);
         }
     }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/Node.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/Node.java
@@ -336,7 +336,7 @@
      */
     private static PeerTransportSettings transportSettings(NodeSettings settings) {
         InetSocketAddress address = PeerAddresses.parse(settings.peerAddress())
-                .orElseThrow(() -> new IllegalArgumentException("Not an address: " + settings.peerAddress()));
+                .orElseThrow(() -> new IllegalArgumentException("Invalid peer address: " + settings.peerAddress()));
         return PeerTransportSettings.of(
                 address, settings.site(), settings.peerToken().orElse(""));
     }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/NodeCore.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/NodeCore.java
@@ -5,7 +5,7 @@
 import io.yuccaswitch.core.decision.DecisionCore;
 import io.yuccaswitch.core.endpoint.EndpointSystem;
 import io.yuccaswitch.core.endpoint.EndpointTable;
-import io.yuccaswitch.core.endpoint.LeavingNews;
+import io.yuccaswitch.core.endpoint.LeavingAnnouncer;
 import io.yuccaswitch.core.endpoint.ProbeSystem;
 import io.yuccaswitch.core.endpoint.VirtualMachineListSystem;
 import io.yuccaswitch.core.lease.LeaseSystem;
@@ -13,7 +13,7 @@
 import io.yuccaswitch.core.membership.MembershipOptions;
 import io.yuccaswitch.core.membership.MembershipSystem;
 import io.yuccaswitch.core.platform.PlatformTokens;
-import io.yuccaswitch.core.quarantine.EndpointStandings;
+import io.yuccaswitch.core.quarantine.EndpointStates;
 import io.yuccaswitch.core.quarantine.QuarantineSystem;
 import io.yuccaswitch.core.request.RequestClock;
 import io.yuccaswitch.core.request.RequestSystem;
@@ -76,9 +76,9 @@
     NodeCore(Member self, List<String> seeds, RequestClock clock, long seed, NodeObserver observer) {
         PlatformTokens tokens = new PlatformTokens();
         membership = new MembershipSystem(self, seeds, configuration, tokens, MembershipOptions.DEFAULT);
-        leases = new LeaseSystem(WeightPlans::leases, membership, tokens, membership.platformNews());
+        leases = new LeaseSystem(WeightPlans::leases, membership, tokens, membership.platformReachability());
         quarantine =
-                new QuarantineSystem(membership, tokens, EndpointStandings.Untold.INSTANCE, System::currentTimeMillis);
+                new QuarantineSystem(membership, tokens, EndpointStates.Unknown.INSTANCE, System::currentTimeMillis);
         requests = new RequestSystem(membership, endpoints, clock, tokens, quarantine);
         samples = new SampleSystem(membership, tokens, clock);
         core = new DecisionCore(
@@ -86,7 +86,7 @@
                         membership,
                         new ConfigurationSystem(configuration, membership, tokens),
                         new VirtualMachineListSystem(self.availabilityZone(), endpoints, membership, tokens),
-                        new EndpointSystem(endpoints, new LeavingNews.ToFewNodes(membership)),
+                        new EndpointSystem(endpoints, new LeavingAnnouncer.RandomSubset(membership)),
                         new ProbeSystem(self.identity().name(), self.availabilityZone(), endpoints),
                         leases,
                         new VersionSystem(versions, new VersionStore(tokens), membership),
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/NodeObserver.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/NodeObserver.java
@@ -52,7 +52,7 @@
      * @param currentWorkingNodes The number of nodes that accept work, including this one.
      */
     void run(Tick tick, int currentWorkingNodes) {
-        for (ConfigurationEvent.InForce event : tick.events(ConfigurationEvent.InForce.class)) {
+        for (ConfigurationEvent.Activated event : tick.events(ConfigurationEvent.Activated.class)) {
             configuration = Optional.of(event.configuration());
         }
         for (MembershipEvent.IdentityRaised event : tick.events(MembershipEvent.IdentityRaised.class)) {
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/configuration/ConfigurationService.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/configuration/ConfigurationService.java
@@ -99,7 +99,7 @@
     private void execute(ConfigurationEffect effect) {
         if (effect instanceof ConfigurationEffect.Decode decode) {
             loop.accept(decode(decode.envelope()));
-        } else if (effect instanceof ConfigurationEffect.Keep keep) {
+        } else if (effect instanceof ConfigurationEffect.Persist keep) {
             snapshot.ifPresent(file -> file.write(keep.envelope()));
         }
     }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/configuration/ConfigurationStatus.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/configuration/ConfigurationStatus.java
@@ -31,7 +31,7 @@
     @Override
     public Object content() {
         Optional<Long> inForceForMillis =
-                configuration.inForceSince().map(DecisionLoop.now()::since).map(Duration::toMillis);
+                configuration.activeSince().map(DecisionLoop.now()::since).map(Duration::toMillis);
         return new Content(
                 configuration.generation(), inForceForMillis, configuration.heldGeneration(), configuration.isReady());
     }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/decision/DecisionLoop.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/decision/DecisionLoop.java
@@ -191,7 +191,7 @@
      */
     private void tick(MonotonicTime now, List<Queued> queued) {
         List<Event> events = new ArrayList<>(queued.size());
-        suspensions.look(now, System.currentTimeMillis()).ifPresent(suspended -> {
+        suspensions.check(now, System.currentTimeMillis()).ifPresent(suspended -> {
             LOGGER.warnf("event=suspended millis=%d", suspended.gap().toMillis());
             events.add(suspended);
         });
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/WaitingCallers.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/entry/WaitingCallers.java
@@ -58,7 +58,9 @@
             Entry entry = entries.computeIfAbsent(request.id(), _id -> new Entry(request.fingerprint()));
             if (entry.fingerprint != request.fingerprint()) {
                 return Flowable.just(new Signal.Concluded(new Outcome.NotRun(
-                        "request-id-reused", "The id was used for another request.", java.util.Optional.empty())));
+                        "request-id-reused",
+                        "The id was already used for a different request.",
+                        java.util.Optional.empty())));
             }
             entry.waiting.add(signals);
             loop.accept(new RequestEvent.Arrived(request));
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/CallerDialect.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/CallerDialect.java
@@ -36,7 +36,7 @@
      * @param path The path.
      * @return {@code true} if it does.
      */
-    boolean asksForReadiness(String path);
+    boolean isReadinessQuery(String path);
 
     /**
      * Returns whether a request queries the entry addresses.
@@ -44,7 +44,7 @@
      * @param path The path.
      * @return {@code true} if it does.
      */
-    boolean asksForAddresses(String path);
+    boolean isAddressQuery(String path);
 
     /**
      * Writes the answer to a query of the entry addresses.
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/DispatchCheck.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/DispatchCheck.java
@@ -58,15 +58,15 @@
             withheld.mark();
             LOGGER.infof(
                     "event=request-withheld id=%s endpoint=%s working=%s registryAgeMillis=%d limitMillis=%d",
-                    request, endpoint, working, age, RegistryFreshness.LIMIT.toMillis());
+                    request, endpoint, working, age, RegistryFreshness.MAXIMUM_DISPATCH_AGE.toMillis());
             return false;
         }
         ages.update(age);
-        if (!freshness.isWithinLimit(now)) {
+        if (!freshness.isFreshEnough(now)) {
             LOGGER.warnf(
                     "event=dispatch-late id=%s endpoint=%s registryAgeMillis=%d limitMillis=%d reason=\"the platform is"
                             + " unreachable\"",
-                    request, endpoint, age, RegistryFreshness.LIMIT.toMillis());
+                    request, endpoint, age, RegistryFreshness.MAXIMUM_DISPATCH_AGE.toMillis());
         }
         return true;
     }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/EndpointAttempts.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/EndpointAttempts.java
@@ -260,7 +260,7 @@
             opened.discard();
             return opened.withFailure(unusableAnswer("the answer belongs to another request"));
         }
-        if (dialect.saysNotRun(response.code(), response.headers()) || dialect.isMisdirected(response.code())) {
+        if (dialect.isNotRun(response.code(), response.headers()) || dialect.isMisdirected(response.code())) {
             response.close();
             return opened.withFailure(new AttemptResult.NotRun(
                     AttemptResult.NotRunCause.REFUSED, "refused with status " + response.code()));
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/EndpointDialect.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/EndpointDialect.java
@@ -29,7 +29,7 @@
      * @param name The header's name.
      * @return {@code false} for hop-by-hop headers and for headers that the node sets itself.
      */
-    boolean passesOn(String name);
+    boolean isForwarded(String name);
 
     /**
      * Returns whether a header of a caller carries a key or names an account. At a site with accounts the node removes
@@ -38,7 +38,7 @@
      * @param name The header's name.
      * @return {@code true} if it does.
      */
-    boolean concernsAccount(String name);
+    boolean isAccountHeader(String name);
 
     /**
      * Adds the account of a request to it.
@@ -72,7 +72,7 @@
      * @param headers The headers.
      * @return {@code true} if the endpoint guarantees that it was not run.
      */
-    boolean saysNotRun(int status, Headers headers);
+    boolean isNotRun(int status, Headers headers);
 
     /**
      * Returns whether the answer comes from another endpoint than the one that was addressed.
@@ -122,7 +122,7 @@
      * @param line The line.
      * @return The version, or empty if the line has another field.
      */
-    OptionalLong versionLine(String line);
+    OptionalLong parseVersionLine(String line);
 
     /**
      * Returns whether a status means that an item of a batch job can never be run.
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/Gateway.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/Gateway.java
@@ -158,7 +158,7 @@
         platform = new PlatformClient(
                 PlatformClientSettings.of("http://" + platformSettings.address())
                         .withToken(platformSettings.token())
-                        .withTimes(PLATFORM_TIMEOUT, WATCH_TIMEOUT)
+                        .withTimeouts(PLATFORM_TIMEOUT, WATCH_TIMEOUT)
                         .withCircuit(CIRCUIT_SETTINGS)
                         .withRates(new CallRates(platformSettings.writesPerSecond(), platformSettings.readsPerSecond())
                                 .shareOf(settings.nodes())),
@@ -267,7 +267,7 @@
         loop.decisions().subscribe(DecisionLog::write);
         loop.effects(PlatformEffect.class)
                 .subscribe(effect -> platform.execute(effect).subscribe(loop::accept));
-        loop.effects(RouteEffect.InForce.class).subscribe(effect -> {
+        loop.effects(RouteEffect.Activated.class).subscribe(effect -> {
             view.replace(effect.configuration());
             server.apply(effect.configuration());
         });
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/GatewayCore.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/GatewayCore.java
@@ -5,7 +5,7 @@
 import io.yuccaswitch.core.decision.DecisionCore;
 import io.yuccaswitch.core.decision.DecisionSystem;
 import io.yuccaswitch.core.decision.Event;
-import io.yuccaswitch.core.decision.PacedSystem;
+import io.yuccaswitch.core.decision.ThrottledSystem;
 import io.yuccaswitch.core.duty.DutyLease;
 import io.yuccaswitch.core.duty.LeaseRelaySystem;
 import io.yuccaswitch.core.identity.PoolName;
@@ -106,7 +106,7 @@
                 tokens,
                 quarantine,
                 System::currentTimeMillis);
-        List<DecisionSystem> pacedSystems = new ArrayList<>(List.of(
+        List<DecisionSystem> throttledSystems = new ArrayList<>(List.of(
                 routes,
                 registry,
                 lease,
@@ -116,11 +116,12 @@
                 quarantine,
                 batches,
                 view.observer(membership)));
-        settings.cloud().ifPresent(cloud -> pacedSystems.addAll(cloudSystems(cloud, routes, tokens, timeOfDay)));
+        settings.cloud().ifPresent(cloud -> throttledSystems.addAll(cloudSystems(cloud, routes, tokens, timeOfDay)));
         core = new DecisionCore(
                 List.of(
                         membership,
-                        new PacedSystem(pacedSystems, GatewayCore::concernsMembershipOnly, this::maximumTickInterval)),
+                        new ThrottledSystem(
+                                throttledSystems, GatewayCore::concernsMembershipOnly, this::maximumTickInterval)),
                 self.identity().hashCode());
     }
 
@@ -143,7 +144,7 @@
             systems.add(new UsageReportSystem(membership, lease, counts, windows, timeOfDay, tokens));
         }
         if (cloud.includes(CloudSettings.Duty.SCALE)) {
-            ToIntFunction<PoolName> demand = pool -> batches.openItems(routes.inForce()
+            ToIntFunction<PoolName> demand = pool -> batches.openItems(routes.active()
                     .map(configuration -> configuration.models().get(pool))
                     .orElseGet(Set::of));
             systems.add(new ScalingSystem(lease, registry, routes, demand));
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/GatewayServer.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/GatewayServer.java
@@ -265,9 +265,9 @@
         String path = context.req().getRequestURI();
         if (port == portOf(settings.entryAddress())) {
             serve(context, path);
-        } else if (port == portOf(settings.readinessAddress()) && callers.asksForReadiness(path)) {
+        } else if (port == portOf(settings.readinessAddress()) && callers.isReadinessQuery(path)) {
             context.status(view.isReady() ? OK : UNAVAILABLE);
-        } else if (port == portOf(settings.directoryAddress()) && callers.asksForAddresses(path)) {
+        } else if (port == portOf(settings.directoryAddress()) && callers.isAddressQuery(path)) {
             answerDirectory(context);
         } else if (port == portOf(settings.metricsAddress()) && path.equals(METRICS_PATH)) {
             context.contentType(MetricsText.CONTENT_TYPE).result(metrics.write());
@@ -467,7 +467,7 @@
     private List<Map.Entry<String, String>> headersOf(Context context, ClientAccount account) {
         List<Map.Entry<String, String>> headers = new ArrayList<>();
         for (String name : Collections.list(context.req().getHeaderNames())) {
-            if (endpoints.passesOn(name) && !(account.isChecked() && endpoints.concernsAccount(name))) {
+            if (endpoints.isForwarded(name) && !(account.isChecked() && endpoints.isAccountHeader(name))) {
                 Collections.list(context.req().getHeaders(name)).forEach(value -> headers.add(Map.entry(name, value)));
             }
         }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/GatewayView.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/GatewayView.java
@@ -205,12 +205,12 @@
     }
 
     @Override
-    public Optional<FleetConfiguration> inForce() {
+    public Optional<FleetConfiguration> active() {
         return Optional.empty();
     }
 
     @Override
-    public Optional<MonotonicTime> inForceSince() {
+    public Optional<MonotonicTime> activeSince() {
         return Optional.empty();
     }
 }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/ItemRunner.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/ItemRunner.java
@@ -135,7 +135,7 @@
         }
         Request.Builder request = new Request.Builder().url(url).post(new OneShotBody("", item.body()));
         item.headers().forEach((name, value) -> {
-            if (dialect.passesOn(name) && !(run.id().isChecked() && dialect.concernsAccount(name))) {
+            if (dialect.isForwarded(name) && !(run.id().isChecked() && dialect.isAccountHeader(name))) {
                 request.header(name, value);
             }
         });
@@ -149,7 +149,7 @@
         Transmission transmission =
                 new Transmission(() -> dispatch.maySend(run.endpoint().name(), item.id()));
         EndpointHttp.ConnectionUse connection =
-                run.inDoubt() ? EndpointHttp.ConnectionUse.NEW : EndpointHttp.ConnectionUse.KEPT;
+                run.uncertain() ? EndpointHttp.ConnectionUse.NEW : EndpointHttp.ConnectionUse.KEPT;
         Call call = http.call(request, transmission, run.timeLeft(), connection);
         Attempt attempt = new Attempt(run, call, transmission);
         running.put(Key.of(run), attempt);
@@ -350,7 +350,7 @@
                 throw new IOException("the answer belongs to another request");
             }
             int status = response.code();
-            if (dialect.saysNotRun(status, response.headers()) || dialect.isMisdirected(status)) {
+            if (dialect.isNotRun(status, response.headers()) || dialect.isMisdirected(status)) {
                 return Optional.of(new AttemptOutcome.Refused("status " + status));
             }
             if (dialect.isImpossible(status)) {
@@ -373,8 +373,8 @@
          */
         private void read(Response response) throws IOException {
             OptionalLong version = dialect.version(response.headers());
-            version.ifPresent(first ->
-                    loop.accept(new BatchEvent.AttemptBegun(run.id(), run.item().id(), run.attempt(), first)));
+            version.ifPresent(first -> loop.accept(
+                    new BatchEvent.AttemptStarted(run.id(), run.item().id(), run.attempt(), first)));
             ServerSentEvents stream = new ServerSentEvents(response.body().source(), dialect);
             Optional<ServerSentEvents.Event> event = stream.next();
             while (event.isPresent()) {
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/PlainRequestHandler.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/PlainRequestHandler.java
@@ -259,9 +259,9 @@
                     return "answered";
                 }
                 if (!(result instanceof AttemptResult.NotRun)) {
-                    plan.mayHaveRun();
+                    plan.recordPossibleRun();
                 }
-                if (!plan.mayTryAgain()) {
+                if (!plan.mayRetry()) {
                     if (result instanceof AttemptResult.Complete complete) {
                         caller.forward(complete, PlainRequestHandler::isEndToEndHeader);
                         return "answered";
@@ -332,7 +332,7 @@
             plan.begin(name);
             MonotonicTime startedAt = DecisionLoop.now();
             long sentAt = usage.now();
-            EndpointAttempts.Timeouts timeouts = new EndpointAttempts.Timeouts(plan.attemptTime(timeLeft), timeLeft);
+            EndpointAttempts.Timeouts timeouts = new EndpointAttempts.Timeouts(plan.attemptTimeout(timeLeft), timeLeft);
             EndpointHttp.ConnectionUse connection = quarantineCheck.needsNewConnection(endpoint)
                     ? EndpointHttp.ConnectionUse.NEW
                     : EndpointHttp.ConnectionUse.KEPT;
@@ -348,7 +348,7 @@
                 updateSelection(endpoint, result, now.since(startedAt), timeouts, now);
                 opened.response()
                         .map(response -> dialect.load(response.headers()))
-                        .ifPresent(load -> load.ifPresent(running -> selection.tell(endpoint, running, now)));
+                        .ifPresent(load -> load.ifPresent(running -> selection.recordLoad(endpoint, running, now)));
             }
             return result;
         }
@@ -369,11 +369,11 @@
                 EndpointAttempts.Timeouts timeouts,
                 MonotonicTime now) {
             if (result instanceof AttemptResult.Complete || result instanceof AttemptResult.Relayed) {
-                selection.succeed(endpoint, duration, now);
+                selection.recordSuccess(endpoint, duration, now);
             } else if (duration.compareTo(timeouts.head()) >= 0) {
-                selection.slow(endpoint, duration, now);
+                selection.recordTimeout(endpoint, duration, now);
             } else if (!watched.isDisconnected() && !isWithheld(result)) {
-                selection.fail(endpoint, now);
+                selection.recordFailure(endpoint, now);
             }
         }
 
@@ -479,7 +479,7 @@
             if (relay.hasBegun()) {
                 return UnservedRequests.Progress.STREAM_BEGUN;
             }
-            return plan.hasMaybeRun() ? UnservedRequests.Progress.MAY_HAVE_RUN : UnservedRequests.Progress.NOT_RUN;
+            return plan.mayHaveRun() ? UnservedRequests.Progress.MAY_HAVE_RUN : UnservedRequests.Progress.NOT_RUN;
         }
 
         /**
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/QuarantineGate.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/QuarantineGate.java
@@ -115,22 +115,22 @@
                 return Optional.empty();
             }
             if (onTrial) {
-                return answerLost ? Optional.of(LastEndpoint.COME_BACK) : Optional.empty();
+                return answerLost ? Optional.of(LastEndpoint.RETRY_DELAY) : Optional.empty();
             }
             if (!ended.isEmpty() && countEndedEndpoints(current) >= MAXIMUM_ENDED_ENDPOINTS) {
-                return Optional.of(LastEndpoint.COME_BACK);
+                return Optional.of(LastEndpoint.RETRY_DELAY);
             }
             long now = System.currentTimeMillis();
             Verdict verdict = current.verdict(fingerprint(), now);
             if (verdict instanceof Verdict.Refuse refuse) {
-                return Optional.of(refuse.comeBack());
+                return Optional.of(refuse.retryDelay());
             }
-            if (verdict instanceof Verdict.Try) {
+            if (verdict instanceof Verdict.Trial) {
                 return beginTrial(current);
             }
             boolean withheld = verdict instanceof Verdict.Restrain
-                    && (answerLost || current.sparesLast(fingerprint(), names(working), now));
-            return withheld ? Optional.of(LastEndpoint.COME_BACK) : Optional.empty();
+                    && (answerLost || current.protectsLastEndpoint(fingerprint(), names(working), now));
+            return withheld ? Optional.of(LastEndpoint.RETRY_DELAY) : Optional.empty();
         }
 
         /**
@@ -155,7 +155,7 @@
          */
         void recordLostAnswer(RegisteredEndpoint endpoint, Loss loss) {
             answerLost = true;
-            if (loss.cause() == Loss.Cause.ENDPOINT_ENDED && loss.lived()) {
+            if (loss.cause() == Loss.Cause.ENDPOINT_ENDED && loss.wasRunning()) {
                 ended.add(endpoint.name());
             }
             if (loss.cause() != Loss.Cause.UNUSABLE) {
@@ -203,7 +203,7 @@
                     .orElse(0L);
             Long previous = trials.put(fingerprint(), heldUntil);
             if (previous != null && previous == heldUntil) {
-                return Optional.of(LastEndpoint.COME_BACK);
+                return Optional.of(LastEndpoint.RETRY_DELAY);
             }
             onTrial = true;
             events.accept(new QuarantineEvent.TrialBegun(fingerprint()));
@@ -218,7 +218,7 @@
          */
         private int countEndedEndpoints(QuarantineView current) {
             Set<EndpointName> all = new HashSet<>(ended);
-            all.addAll(current.endedUnder(fingerprint()));
+            all.addAll(current.endpointsEndedBy(fingerprint()));
             return all.size();
         }
 
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/ScoringRunner.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/ScoringRunner.java
@@ -217,7 +217,7 @@
          */
         private EndpointAttempts.OpenedAttempt open() {
             EndpointHttp.ConnectionUse connection =
-                    score.inDoubt() ? EndpointHttp.ConnectionUse.NEW : EndpointHttp.ConnectionUse.KEPT;
+                    score.uncertain() ? EndpointHttp.ConnectionUse.NEW : EndpointHttp.ConnectionUse.KEPT;
             EndpointAttempts.Timeouts timeouts = new EndpointAttempts.Timeouts(score.timeLeft(), score.timeLeft());
             try {
                 return attempts.open(
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/ServerSentEvents.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/ServerSentEvents.java
@@ -103,8 +103,8 @@
             String text = line.utf8();
             if (text.startsWith(ID_FIELD)) {
                 id = parseId(text.substring(ID_FIELD.length()).trim());
-            } else if (dialect.versionLine(text).isPresent()) {
-                version = dialect.versionLine(text);
+            } else if (dialect.parseVersionLine(text).isPresent()) {
+                version = dialect.parseVersionLine(text);
             }
         }
         return new Event(id, version, data, lines);
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/UnservedRequests.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/UnservedRequests.java
@@ -2,7 +2,7 @@
 
 import io.yuccaswitch.core.identity.PoolName;
 import io.yuccaswitch.core.proxy.EndpointSelection;
-import io.yuccaswitch.core.proxy.ReturnTime;
+import io.yuccaswitch.core.proxy.RetryDelay;
 import io.yuccaswitch.core.registry.RegisteredEndpoint;
 import io.yuccaswitch.node.decision.DecisionLoop;
 import java.io.IOException;
@@ -97,8 +97,8 @@
     private Duration retryDelay(Optional<PoolName> pool) {
         List<RegisteredEndpoint> working = pool.map(view::endpoints).orElseGet(List::of);
         synchronized (selection) {
-            Duration untilFree = selection.untilFree(working, DecisionLoop.now());
-            return ReturnTime.of(untilFree, ThreadLocalRandom.current().nextDouble());
+            Duration untilFree = selection.timeUntilSlotIsFree(working, DecisionLoop.now());
+            return RetryDelay.of(untilFree, ThreadLocalRandom.current().nextDouble());
         }
     }
 
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/UsageMeter.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/gateway/UsageMeter.java
@@ -84,7 +84,7 @@
                 pendingReport = Schedulers.computation()
                         .scheduleDirect(this::report, REPORT_DELAY.toMillis(), TimeUnit.MILLISECONDS);
             }
-            long window = windows.at(begunAt);
+            long window = windows.windowAt(begunAt);
             long count =
                     counts.computeIfAbsent(window, _window -> new HashMap<>()).merge(name.value(), 1L, Long::sum);
             changed.computeIfAbsent(window, _window -> new HashMap<>()).put(name.value(), count);
@@ -98,6 +98,6 @@
         }
         events.accept(new UsageEvent.Counted(Map.copyOf(changed)));
         changed.clear();
-        counts.headMap(windows.oldestKept(now())).clear();
+        counts.headMap(windows.oldestRetained(now())).clear();
     }
 }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/membership/MembershipService.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/membership/MembershipService.java
@@ -75,9 +75,9 @@
      * @param effect The effect.
      */
     private void execute(MembershipEffect effect) {
-        if (effect instanceof MembershipEffect.LearnAddress learned) {
+        if (effect instanceof MembershipEffect.RegisterAddress learned) {
             addresses.learn(learned.node(), learned.peerAddress());
-        } else if (effect instanceof MembershipEffect.ForgetAddress forgotten) {
+        } else if (effect instanceof MembershipEffect.RemoveAddress forgotten) {
             addresses.forget(forgotten.node());
         } else if (effect instanceof MembershipEffect.Identify identified) {
             transport.identify(identified.identity());
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/membership/MembershipStatus.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/membership/MembershipStatus.java
@@ -39,7 +39,7 @@
                 .map(this::row)
                 .toList();
         return new Content(
-                membership.self().identity().toString(), membership.isDoubtful(), rows, membership.statistics());
+                membership.self().identity().toString(), membership.isUncertain(), rows, membership.statistics());
     }
 
     /**
@@ -57,7 +57,7 @@
                 member.entryAddress(),
                 member.operatorAddress(),
                 report.map(PeerReport::generation),
-                report.flatMap(PeerReport::platformLastHeardAgo).map(Duration::toMillis));
+                report.flatMap(PeerReport::timeSincePlatformAnswer).map(Duration::toMillis));
     }
 
     /**
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/operator/QuarantineRoutes.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/operator/QuarantineRoutes.java
@@ -4,11 +4,11 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import io.javalin.http.Context;
 import io.javalin.http.HttpStatus;
+import io.yuccaswitch.core.quarantine.CrashEvidence;
 import io.yuccaswitch.core.quarantine.QuarantineEffect;
 import io.yuccaswitch.core.quarantine.QuarantineEvent;
 import io.yuccaswitch.core.quarantine.QuarantineView;
 import io.yuccaswitch.core.quarantine.RequestFingerprint;
-import io.yuccaswitch.core.quarantine.Strike;
 import io.yuccaswitch.core.quarantine.Suspect;
 import io.yuccaswitch.node.decision.DecisionLoop;
 import io.yuccaswitch.node.decision.EventSink;
@@ -137,10 +137,10 @@
                     suspect.description(),
                     entry.isHeld(),
                     suspect.count(),
-                    Instant.ofEpochMilli(suspect.strikes().get(0).at()).toString(),
+                    Instant.ofEpochMilli(suspect.crashEvidence().get(0).at()).toString(),
                     entry.isHeld() ? Instant.ofEpochMilli(entry.heldUntil()).toString() : "",
-                    suspect.strikes().stream()
-                            .map(Strike::endpoint)
+                    suspect.crashEvidence().stream()
+                            .map(CrashEvidence::endpoint)
                             .map(Object::toString)
                             .toList());
         }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/peer/PeerMessages.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/peer/PeerMessages.java
@@ -50,11 +50,11 @@
                 .register(PeerMessageRange.BATCH, 129, BatchMessage.HandedOver.class);
         builder.register(PeerMessageRange.WATCH, 140, WatchMessage.Follow.class)
                 .register(PeerMessageRange.WATCH, 141, WatchMessage.Changes.class);
-        builder.register(PeerMessageRange.QUARANTINE, 160, QuarantineMessage.Told.class)
-                .register(PeerMessageRange.QUARANTINE, 161, QuarantineMessage.Compare.class);
-        builder.register(PeerMessageRange.USAGE, 180, UsageMessage.Grown.class)
-                .register(PeerMessageRange.USAGE, 181, UsageMessage.Ask.class)
-                .register(PeerMessageRange.USAGE, 182, UsageMessage.Known.class);
+        builder.register(PeerMessageRange.QUARANTINE, 160, QuarantineMessage.Update.class)
+                .register(PeerMessageRange.QUARANTINE, 161, QuarantineMessage.DigestComparison.class);
+        builder.register(PeerMessageRange.USAGE, 180, UsageMessage.ReplicateCounts.class)
+                .register(PeerMessageRange.USAGE, 181, UsageMessage.RequestCounts.class)
+                .register(PeerMessageRange.USAGE, 182, UsageMessage.Counts.class);
         return builder.build();
     }
 
@@ -70,7 +70,7 @@
                 .register(PeerMessageRange.MEMBERSHIP, 4, MembershipMessage.Rows.class)
                 .register(PeerMessageRange.MEMBERSHIP, 5, MembershipMessage.ProbeRequest.class)
                 .register(PeerMessageRange.MEMBERSHIP, 6, MembershipMessage.ProbeSuccess.class)
-                .register(PeerMessageRange.MEMBERSHIP, 7, MembershipMessage.LeavingAdvice.class);
+                .register(PeerMessageRange.MEMBERSHIP, 7, MembershipMessage.LeavingNotification.class);
     }
 
     /**
@@ -94,7 +94,7 @@
                 .register(PeerMessageRange.REQUEST, 41, RequestMessage.Concluded.class)
                 .register(PeerMessageRange.REQUEST, 42, RequestMessage.Lookup.class)
                 .register(PeerMessageRange.REQUEST, 43, RequestMessage.LookupAnswer.class)
-                .register(PeerMessageRange.REQUEST, 44, RequestMessage.KeepAnswer.class);
+                .register(PeerMessageRange.REQUEST, 44, RequestMessage.ReplicateOutcome.class);
     }
 
     /**
@@ -104,15 +104,15 @@
      */
     private static void registerWeight(PeerMessageRegistry.Builder builder) {
         builder.register(PeerMessageRange.WEIGHT, 80, WeightMessage.Published.class)
-                .register(PeerMessageRange.WEIGHT, 81, WeightMessage.Known.class)
+                .register(PeerMessageRange.WEIGHT, 81, WeightMessage.RecordedVersions.class)
                 .register(PeerMessageRange.WEIGHT, 82, WeightMessage.Exchange.class)
                 .register(PeerMessageRange.WEIGHT, 90, LeaseMessage.Acting.class)
                 .register(PeerMessageRange.WEIGHT, 91, LeaseMessage.Recorded.class)
                 .register(PeerMessageRange.WEIGHT, 92, DutyMessage.RenewLease.class)
-                .register(PeerMessageRange.WEIGHT, 93, DutyMessage.LeaseAnswered.class)
+                .register(PeerMessageRange.WEIGHT, 93, DutyMessage.RenewalAnswered.class)
                 .register(PeerMessageRange.WEIGHT, 94, OrderMessage.ReadVersions.class)
                 .register(PeerMessageRange.WEIGHT, 95, OrderMessage.VersionsRead.class)
-                .register(PeerMessageRange.WEIGHT, 96, DutyMessage.LeaseGivenBack.class);
+                .register(PeerMessageRange.WEIGHT, 96, DutyMessage.LeaseReleased.class);
     }
 
     /**
@@ -133,8 +133,8 @@
                 .register(PeerMessageRange.SAMPLE, 69, SampleMessage.PullAnswered.class)
                 .register(PeerMessageRange.SAMPLE, 70, SampleMessage.PullRefused.class)
                 .register(PeerMessageRange.SAMPLE, 71, SampleMessage.Acknowledge.class)
-                .register(PeerMessageRange.SAMPLE, 72, SampleMessage.AskCursor.class)
-                .register(PeerMessageRange.SAMPLE, 73, SampleMessage.CursorKnown.class)
+                .register(PeerMessageRange.SAMPLE, 72, SampleMessage.QueryCursor.class)
+                .register(PeerMessageRange.SAMPLE, 73, SampleMessage.CursorAnswered.class)
                 .register(PeerMessageRange.SAMPLE, 74, SampleMessage.Progress.class);
     }
 
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/trainer/SampleStatus.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/trainer/SampleStatus.java
@@ -128,7 +128,7 @@
      * @param entry The entry whose key is the cause.
      * @return The code.
      */
-    static String cause(Map.Entry<SampleReport.IdleCause, Duration> entry) {
+    static String cause(Map.Entry<SampleReport.WaitCause, Duration> entry) {
         return entry.getKey().name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
@@ -138,7 +138,7 @@
      * @param entry The entry whose value is the time.
      * @return The time in milliseconds.
      */
-    static long millis(Map.Entry<SampleReport.IdleCause, Duration> entry) {
+    static long millis(Map.Entry<SampleReport.WaitCause, Duration> entry) {
         return entry.getValue().toMillis();
     }
 }
--- a/yuccaswitch-node/src/main/java/io/yuccaswitch/node/trainer/TrainerDocuments.java
+++ b/yuccaswitch-node/src/main/java/io/yuccaswitch/node/trainer/TrainerDocuments.java
@@ -115,7 +115,7 @@
                     refused.key().step(),
                     refused.key().group(),
                     refused.code(),
-                    refused.surelyNotRun() ? "no" : "unknown",
+                    refused.definitelyNotRun() ? "no" : "unknown",
                     refused.retryAfter().map(Duration::toMillis));
         }
     }
--- a/yuccaswitch-node/src/test/java/io/yuccaswitch/node/entry/EntryServerTest.java
+++ b/yuccaswitch-node/src/test/java/io/yuccaswitch/node/entry/EntryServerTest.java
@@ -99,7 +99,7 @@
         subscriptions.add(loop.effects(RequestEffect.Send.class).subscribe(sentAttempts::add));
         subscriptions.add(loop.effects(RequestEffect.CancelAttempt.class).subscribe(cancelledAttempts::add));
         loop.start();
-        loop.accept(new ConfigurationEvent.InForce(1, configuration));
+        loop.accept(new ConfigurationEvent.Activated(1, configuration));
         server.start(HostAndPort.parse("127.0.0.1:0"));
     }
 
@@ -153,7 +153,7 @@
     }
 
     private void answer(RequestEffect.Send send, int status, String text) {
-        endAttempt(send, new AttemptResult.Whole(status, "text/plain", Bytes.ofUtf8(text), Optional.empty()));
+        endAttempt(send, new AttemptResult.Complete(status, "text/plain", Bytes.ofUtf8(text), Optional.empty()));
     }
 
     private static Generation generation(String text, int tokens, String finishReason) {
@@ -280,7 +280,7 @@
         assertThat(second.resumeFrom()).contains(generation("t0 t1 t2 ", 3, ""));
         endAttempt(
                 second,
-                new AttemptResult.Whole(200, "", Bytes.EMPTY, Optional.of(generation("t0 t1 t2 t3 ", 4, "stop"))));
+                new AttemptResult.Complete(200, "", Bytes.EMPTY, Optional.of(generation("t0 t1 t2 t3 ", 4, "stop"))));
 
         StringBuilder rest = new StringBuilder();
         String last = "";
@@ -394,7 +394,7 @@
                             member(new NodeIdentity(new NodeName("vm-2"), 5), "z1", MemberCondition.ALIVE),
                             member(new NodeIdentity(new NodeName("vm-3"), 6), "z1", MemberCondition.LEAVING))
                     .stream()
-                    .filter(Member::takesWork)
+                    .filter(Member::acceptsWork)
                     .toList();
         }
 
--- a/yuccaswitch-node/src/test/java/io/yuccaswitch/node/gateway/DispatchCheckTest.java
+++ b/yuccaswitch-node/src/test/java/io/yuccaswitch/node/gateway/DispatchCheckTest.java
@@ -86,8 +86,8 @@
 
     @Test
     void withholdsRequestIfStateIsStale() {
-        AttemptResult result =
-                attempt(_call -> updateFreshness(RegistryFreshness.LIMIT.plus(Duration.ofMillis(1)), false));
+        AttemptResult result = attempt(
+                _call -> updateFreshness(RegistryFreshness.MAXIMUM_DISPATCH_AGE.plus(Duration.ofMillis(1)), false));
         assertWithheld(result);
     }
 
--- a/yuccaswitch-node/src/test/java/io/yuccaswitch/node/gateway/TestEndpointDialect.java
+++ b/yuccaswitch-node/src/test/java/io/yuccaswitch/node/gateway/TestEndpointDialect.java
@@ -23,12 +23,12 @@
     }
 
     @Override
-    public boolean passesOn(String _name) {
+    public boolean isForwarded(String _name) {
         return true;
     }
 
     @Override
-    public boolean concernsAccount(String _name) {
+    public boolean isAccountHeader(String _name) {
         return false;
     }
 
@@ -42,7 +42,7 @@
     public void resume(Request.Builder _request, long _lastEventId) {}
 
     @Override
-    public boolean saysNotRun(int status, Headers _headers) {
+    public boolean isNotRun(int status, Headers _headers) {
         return status == UNAVAILABLE;
     }
 
@@ -67,7 +67,7 @@
     }
 
     @Override
-    public OptionalLong versionLine(String _line) {
+    public OptionalLong parseVersionLine(String _line) {
         return OptionalLong.empty();
     }
 
--- a/yuccaswitch-node/src/test/java/io/yuccaswitch/node/membership/MembershipBenchmark.java
+++ b/yuccaswitch-node/src/test/java/io/yuccaswitch/node/membership/MembershipBenchmark.java
@@ -140,10 +140,10 @@
         List<Double> all = new ArrayList<>();
         for (DrivenNode dead : victims) {
             driver.kill(dead);
-            Duration some = until(
-                    driver, () -> driver.nodes().stream().anyMatch(node -> node.sees(dead) == MemberCondition.DEAD));
-            Duration rest = until(
-                    driver, () -> driver.nodes().stream().allMatch(node -> node.sees(dead) == MemberCondition.DEAD));
+            Duration some = until(driver, () -> driver.nodes().stream()
+                    .anyMatch(node -> node.conditionOf(dead) == MemberCondition.DEAD));
+            Duration rest = until(driver, () -> driver.nodes().stream()
+                    .allMatch(node -> node.conditionOf(dead) == MemberCondition.DEAD));
             first.add(seconds(some));
             all.add(seconds(some.plus(rest)));
             driver.run(Duration.ofSeconds(2));
--- a/yuccaswitch-node/src/test/java/io/yuccaswitch/node/peer/PeerMessagesTest.java
+++ b/yuccaswitch-node/src/test/java/io/yuccaswitch/node/peer/PeerMessagesTest.java
@@ -51,7 +51,7 @@
                 PeerTransport from = transport("from", new LinkedBlockingQueue<>())) {
             to.start();
             from.start();
-            from.carryOut(new PeerEffect.SendToAddress(
+            from.execute(new PeerEffect.SendToAddress(
                     "127.0.0.1:" + to.localAddress().getPort(), message));
 
             Event event = received.poll(10, TimeUnit.SECONDS);
--- a/yuccaswitch-node/src/test/java/io/yuccaswitch/node/trainer/SampleMessagesTest.java
+++ b/yuccaswitch-node/src/test/java/io/yuccaswitch/node/trainer/SampleMessagesTest.java
@@ -52,7 +52,7 @@
                 new MetricRegistry())) {
             address.set(transport.localAddress());
             transport.start();
-            messages().forEach(message -> transport.carryOut(new PeerEffect.Send(name, message)));
+            messages().forEach(message -> transport.execute(new PeerEffect.Send(name, message)));
 
             await().until(() -> received.size() == messages().size());
         }
@@ -73,8 +73,8 @@
                 new SampleMessage.PullAnswered(9, "cursor", List.of(GROUP), 4),
                 new SampleMessage.PullRefused(9, "cursor-unknown", "why", 1000),
                 new SampleMessage.Acknowledge(TRAINER, "cursor", true, false),
-                new SampleMessage.AskCursor(TRAINER),
-                new SampleMessage.CursorKnown(TRAINER, "cursor", true),
+                new SampleMessage.QueryCursor(TRAINER),
+                new SampleMessage.CursorAnswered(TRAINER, "cursor", true),
                 new SampleMessage.Progress(TRAINER, 3, 6));
     }
 }
--- a/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/ObjectApiDialect.java
+++ b/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/ObjectApiDialect.java
@@ -39,7 +39,7 @@
      * @param status The status of a failed call.
      * @return {@code true} if the status guarantees this.
      */
-    boolean promisesUnapplied(int status);
+    boolean guaranteesNotApplied(int status);
 
     /**
      * A complete answer.
--- a/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/PlatformClient.java
+++ b/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/PlatformClient.java
@@ -319,7 +319,7 @@
      */
     private Single<Reply> reply(PlatformEffect effect, Request request) {
         return effect instanceof PlatformEffect.Watch watch
-                ? transport.sendWatch(request, watch.waitTime().orElse(watchWait))
+                ? transport.sendWatch(request, watch.watchTimeout().orElse(watchWait))
                 : transport.send(request);
     }
 
--- a/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/PlatformClientSettings.java
+++ b/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/PlatformClientSettings.java
@@ -76,7 +76,7 @@
      * @param newWatchWait The maximum time for which a watch waits.
      * @return The changed settings.
      */
-    public PlatformClientSettings withTimes(Duration newCallTimeout, Duration newWatchWait) {
+    public PlatformClientSettings withTimeouts(Duration newCallTimeout, Duration newWatchWait) {
         return new PlatformClientSettings(
                 address, token, connectTimeout, newCallTimeout, newWatchWait, rates, retry, circuit);
     }
--- a/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/PlatformReplies.java
+++ b/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/PlatformReplies.java
@@ -97,7 +97,7 @@
         if (status >= LOWEST_CLIENT_ERROR && status < LOWEST_SERVER_ERROR && status != REQUEST_TIMEOUT) {
             return Optional.of(Attempt.unavailable(effect.token(), false, reason, Outcome.REJECTED));
         }
-        boolean maybeApplied = changes && !dialect.promisesUnapplied(status);
+        boolean maybeApplied = changes && !dialect.guaranteesNotApplied(status);
         return Optional.of(Attempt.unavailable(effect.token(), maybeApplied, reason, Outcome.FAILED));
     }
 
--- a/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/PlatformRequests.java
+++ b/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/PlatformRequests.java
@@ -70,7 +70,8 @@
             addCondition(request, OptionalLong.of(delete.expectedVersion()));
             request.url(objectUrl(delete.key())).delete();
         } else if (effect instanceof PlatformEffect.Watch watch) {
-            request.url(watchUrl(watch, probe ? Duration.ZERO : watch.waitTime().orElse(watchWait)));
+            request.url(
+                    watchUrl(watch, probe ? Duration.ZERO : watch.watchTimeout().orElse(watchWait)));
         } else {
             request.url(address.newBuilder().addPathSegment("virtual-machines").build());
         }
--- a/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/StandardDialect.java
+++ b/yuccaswitch-platform/src/main/java/io/yuccaswitch/platform/StandardDialect.java
@@ -55,7 +55,7 @@
     }
 
     @Override
-    public boolean promisesUnapplied(int _status) {
+    public boolean guaranteesNotApplied(int _status) {
         return false;
     }
 
--- a/yuccaswitch-platform/src/test/java/io/yuccaswitch/platform/Calls.java
+++ b/yuccaswitch-platform/src/test/java/io/yuccaswitch/platform/Calls.java
@@ -16,7 +16,7 @@
     /** Returns settings with short timeouts, no retries and a circuit that never opens. */
     static PlatformClientSettings settings(int port) {
         return PlatformClientSettings.of("http://127.0.0.1:" + port)
-                .withTimes(Duration.ofMillis(700), Duration.ofMillis(500))
+                .withTimeouts(Duration.ofMillis(700), Duration.ofMillis(500))
                 .withRetry(new RetrySettings(1, Duration.ZERO, Duration.ZERO, 0))
                 .withCircuit(new CircuitSettings(Integer.MAX_VALUE, Duration.ZERO, Duration.ZERO, Duration.ZERO));
     }
--- a/yuccaswitch-platform/src/test/java/io/yuccaswitch/platform/SettledWriteTest.java
+++ b/yuccaswitch-platform/src/test/java/io/yuccaswitch/platform/SettledWriteTest.java
@@ -120,7 +120,7 @@
 
     private PlatformClient createClientWithLongTimeout() {
         return new PlatformClient(
-                Calls.settings(platform.port()).withTimes(Duration.ofMillis(1500), Duration.ZERO),
+                Calls.settings(platform.port()).withTimeouts(Duration.ofMillis(1500), Duration.ZERO),
                 new MetricRegistry());
     }
 
--- a/yuccaswitch-platform/src/test/java/io/yuccaswitch/platform/WatchTest.java
+++ b/yuccaswitch-platform/src/test/java/io/yuccaswitch/platform/WatchTest.java
@@ -126,7 +126,8 @@
     void aWaitingWatchIsCancelledWhenAnotherCallFails() throws Exception {
         Duration wait = Duration.ofSeconds(20);
         try (PlatformClient partitioned = new PlatformClient(
-                Calls.settings(silent.getLocalPort()).withTimes(Duration.ofMillis(200), wait), new MetricRegistry())) {
+                Calls.settings(silent.getLocalPort()).withTimeouts(Duration.ofMillis(200), wait),
+                new MetricRegistry())) {
             Future<PlatformEvent> watch = partitioned
                     .execute(new PlatformEffect.Watch(1, PlatformPurpose.LEASE, Calls.KEY.kind(), 0))
                     .toFuture();
@@ -140,7 +141,7 @@
     @Test
     void cancelledWatchesAreNotTreatedAsFailuresOfThePlatform() throws Exception {
         PlatformClientSettings settings = Calls.settings(silent.getLocalPort())
-                .withTimes(Duration.ofMillis(200), Duration.ofSeconds(20))
+                .withTimeouts(Duration.ofMillis(200), Duration.ofSeconds(20))
                 .withCircuit(
                         new CircuitSettings(3, Duration.ofSeconds(9), Duration.ofSeconds(9), Duration.ofSeconds(9)));
         try (PlatformClient partitioned = new PlatformClient(settings, new MetricRegistry())) {
@@ -180,7 +181,7 @@
     @Test
     void aWatchMayWaitLongerThanOtherCalls() {
         try (PlatformClient clientWithLongWatchWait = new PlatformClient(
-                Calls.settings(link.port()).withTimes(Duration.ofMillis(200), Duration.ofMillis(800)),
+                Calls.settings(link.port()).withTimeouts(Duration.ofMillis(200), Duration.ofMillis(800)),
                 new MetricRegistry())) {
             assertThat(new Calls(clientWithLongWatchWait).watch(0)).isInstanceOf(PlatformEvent.ObjectsListed.class);
         }
@@ -190,7 +191,7 @@
     @Timeout(20)
     void aWatchTimesOutSoonAfterItsOwnWaitTimeAlthoughTheDefaultIsLonger() {
         try (PlatformClient clientWithLongWatchWait = new PlatformClient(
-                Calls.settings(link.port()).withTimes(Duration.ofMillis(200), Duration.ofSeconds(60)),
+                Calls.settings(link.port()).withTimeouts(Duration.ofMillis(200), Duration.ofSeconds(60)),
                 new MetricRegistry())) {
             link.apply(LinkFaults.of(LinkMode.BLACKHOLE));
             PlatformEvent answer = new Calls(clientWithLongWatchWait)
--- a/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/PeerTransport.java
+++ b/yuccaswitch-protocol/src/main/java/io/yuccaswitch/protocol/PeerTransport.java
@@ -128,7 +128,7 @@
      * @return The subscription.
      */
     public Disposable subscribe(Observable<PeerEffect> effects) {
-        return effects.subscribe(this::carryOut);
+        return effects.subscribe(this::execute);
     }
 
     /**
@@ -136,7 +136,7 @@
      *
      * @param effect The effect.
      */
-    public void carryOut(PeerEffect effect) {
+    public void execute(PeerEffect effect) {
         if (effect instanceof PeerEffect.Send send) {
             send(send.target(), send.message());
         } else if (effect instanceof PeerEffect.SendToAddress send) {
--- a/yuccaswitch-protocol/src/test/java/io/yuccaswitch/protocol/PeerTransportTest.java
+++ b/yuccaswitch-protocol/src/test/java/io/yuccaswitch/protocol/PeerTransportTest.java
@@ -84,7 +84,7 @@
     void aMessageToAnAddressReachesTheNodeThatListensThere() {
         Node a = node("a", 1);
         Node b = node("b", 1);
-        a.transport.carryOut(new PeerEffect.SendToAddress(
+        a.transport.execute(new PeerEffect.SendToAddress(
                 "127.0.0.1:" + b.transport.localAddress().getPort(), new Text("hello")));
         await().until(() -> b.received.size() == 1);
     }
@@ -377,7 +377,7 @@
         }
 
         private void send(String target, String text) {
-            transport.carryOut(new PeerEffect.Send(new NodeName(target), new Text(text)));
+            transport.execute(new PeerEffect.Send(new NodeName(target), new Text(text)));
         }
 
         private long counter(String name) {
--- a/yuccaswitch-protocol/src/test/java/io/yuccaswitch/protocol/RequestMessageCodecTest.java
+++ b/yuccaswitch-protocol/src/test/java/io/yuccaswitch/protocol/RequestMessageCodecTest.java
@@ -40,7 +40,7 @@
                     .register(PeerMessageRange.REQUEST, 41, RequestMessage.Concluded.class)
                     .register(PeerMessageRange.REQUEST, 42, RequestMessage.Lookup.class)
                     .register(PeerMessageRange.REQUEST, 43, RequestMessage.LookupAnswer.class)
-                    .register(PeerMessageRange.REQUEST, 44, RequestMessage.KeepAnswer.class)
+                    .register(PeerMessageRange.REQUEST, 44, RequestMessage.ReplicateOutcome.class)
                     .build(),
             100_000);
 
@@ -71,7 +71,7 @@
                 new RequestMessage.Lookup(ID, CALLER),
                 new RequestMessage.LookupAnswer(ID, Optional.empty(), true),
                 new RequestMessage.LookupAnswer(ID, Optional.of(RecordedOutcome.of(ANSWERED)), false),
-                new RequestMessage.KeepAnswer(
+                new RequestMessage.ReplicateOutcome(
                         ID, CALLER, -5, RecordedOutcome.of(new Outcome.FailedAfterSend("lost", "m"))));
     }
 
--- a/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/GatewayCommand.java
+++ b/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/GatewayCommand.java
@@ -22,7 +22,7 @@
 
     GatewayCommand(Path checkout, Path folder, int number, String store, List<String> seeds) throws IOException {
         this.checkout = checkout;
-        addresses = LoopbackAddresses.next(ADDRESSES);
+        addresses = LoopbackAddresses.allocate(ADDRESSES);
         String name = "node-" + number;
         settings = folder.resolve(name + ".json");
         Files.writeString(
--- a/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakChecks.java
+++ b/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakChecks.java
@@ -1,10 +1,10 @@
 package io.yuccaswitch.soak;
 
-import io.yuccaswitch.adapter.standin.CallerStandIn.Listed;
+import io.yuccaswitch.adapter.standin.CallerStandIn.ItemResult;
 import io.yuccaswitch.adapter.standin.CallerStandIn.Reply;
 import io.yuccaswitch.adapter.standin.EngineStandIn;
-import io.yuccaswitch.adapter.standin.EngineStandIn.Ordered;
-import io.yuccaswitch.adapter.standin.EngineStandIn.Seen;
+import io.yuccaswitch.adapter.standin.EngineStandIn.AcceptedOrder;
+import io.yuccaswitch.adapter.standin.EngineStandIn.ReceivedRequest;
 import io.yuccaswitch.soak.SoakHistory.Plain;
 import io.yuccaswitch.soak.SoakHistory.Read;
 import io.yuccaswitch.soak.SoakHistory.Submission;
@@ -57,7 +57,7 @@
                 history.plain.stream().filter(Plain::once).map(Plain::id).collect(Collectors.toSet());
         Map<String, Long> counts = history.allRuns().stream()
                 .filter(run -> once.contains(run.id()))
-                .collect(Collectors.groupingBy(Seen::id, Collectors.counting()));
+                .collect(Collectors.groupingBy(ReceivedRequest::id, Collectors.counting()));
         return counts.entrySet().stream()
                 .filter(count -> count.getValue() > 1)
                 .map(count -> "request " + count.getKey() + " may run once and ran " + count.getValue() + " times")
@@ -65,10 +65,10 @@
     }
 
     static List<String> untrueRefusals(SoakHistory history) {
-        Set<String> ran = history.allRuns().stream().map(Seen::id).collect(Collectors.toSet());
+        Set<String> ran = history.allRuns().stream().map(ReceivedRequest::id).collect(Collectors.toSet());
         return history.plain.stream()
                 .filter(Plain::once)
-                .filter(plain -> plain.reply().filter(Reply::saysNotRun).isPresent() && ran.contains(plain.id()))
+                .filter(plain -> plain.reply().filter(Reply::isNotRun).isPresent() && ran.contains(plain.id()))
                 .map(plain -> "request " + plain.id() + " was said not to have run and ran")
                 .toList();
     }
@@ -110,7 +110,7 @@
 
     static List<String> wrongOutputs(SoakHistory history) {
         return listed(history).stream()
-                .filter(Listed::completed)
+                .filter(ItemResult::completed)
                 .filter(listed -> !listed.output().equals(OUTPUT))
                 .map(listed -> "item " + listed.item() + " has the output '" + listed.output() + "'")
                 .toList();
@@ -123,7 +123,7 @@
         Map<String, Long> minimum = new HashMap<>();
         history.submissions.forEach(submission -> minimum.put(submission.job(), submission.minimumVersion()));
         return listed(history).stream()
-                .filter(Listed::completed)
+                .filter(ItemResult::completed)
                 .filter(listed -> listed.versions().isEmpty()
                         || !produced.getOrDefault(listed.item(), Set.of()).containsAll(listed.versions())
                         || listed.versions().stream().anyMatch(version -> version < minimum.get(jobOf(listed.item()))))
@@ -134,15 +134,15 @@
 
     static List<String> wrongScores(SoakHistory history) {
         return listed(history).stream()
-                .filter(Listed::completed)
+                .filter(ItemResult::completed)
                 .filter(listed -> !listed.score().equals(EngineStandIn.scoreOf(SCORING + listed.item())))
                 .map(listed -> "item " + listed.item() + " bears the score '" + listed.score() + "'")
                 .toList();
     }
 
     static List<String> scoringOfNoOutput(SoakHistory history) {
-        Map<String, Long> firstRuns =
-                history.allRuns().stream().collect(Collectors.toMap(Seen::id, Seen::nanoseconds, Math::min));
+        Map<String, Long> firstRuns = history.allRuns().stream()
+                .collect(Collectors.toMap(ReceivedRequest::id, ReceivedRequest::nanoseconds, Math::min));
         return history.allRuns().stream()
                 .filter(run -> run.id().startsWith(SCORING))
                 .filter(run -> firstRuns.getOrDefault(run.id().substring(SCORING.length()), Long.MAX_VALUE)
@@ -172,7 +172,7 @@
         return found;
     }
 
-    private static Optional<String> judge(String engine, Ordered before, Ordered after) {
+    private static Optional<String> judge(String engine, AcceptedOrder before, AcceptedOrder after) {
         boolean sameHolder = before.holder().equals(after.holder());
         long between = after.nanoseconds() - before.nanoseconds();
         if (!sameHolder && (between < ORDER_SAFETY.toNanos() || before.fence() == after.fence())) {
@@ -192,10 +192,10 @@
     }
 
     /** Returns what was ever shown at the positions of each job. */
-    private static Map<String, Map<Integer, List<Listed>>> positions(SoakHistory history) {
-        Map<String, Map<Integer, List<Listed>>> positions = new TreeMap<>();
+    private static Map<String, Map<Integer, List<ItemResult>>> positions(SoakHistory history) {
+        Map<String, Map<Integer, List<ItemResult>>> positions = new TreeMap<>();
         for (Read read : history.reads) {
-            List<Listed> results = read.page().results();
+            List<ItemResult> results = read.page().results();
             for (int i = 0; i < results.size(); i++) {
                 positions
                         .computeIfAbsent(read.job(), _job -> new TreeMap<>())
@@ -206,7 +206,7 @@
         return positions;
     }
 
-    private static Set<Listed> listed(SoakHistory history) {
+    private static Set<ItemResult> listed(SoakHistory history) {
         return history.reads.stream()
                 .flatMap(read -> read.page().results().stream())
                 .collect(Collectors.toSet());
--- a/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakChecksTest.java
+++ b/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakChecksTest.java
@@ -2,11 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.yuccaswitch.adapter.standin.CallerStandIn.Listed;
+import io.yuccaswitch.adapter.standin.CallerStandIn.ItemResult;
 import io.yuccaswitch.adapter.standin.CallerStandIn.Page;
 import io.yuccaswitch.adapter.standin.CallerStandIn.Reply;
-import io.yuccaswitch.adapter.standin.EngineStandIn.Ordered;
-import io.yuccaswitch.adapter.standin.EngineStandIn.Seen;
+import io.yuccaswitch.adapter.standin.EngineStandIn.AcceptedOrder;
+import io.yuccaswitch.adapter.standin.EngineStandIn.ReceivedRequest;
 import io.yuccaswitch.soak.SoakHistory.Plain;
 import io.yuccaswitch.soak.SoakHistory.Read;
 import io.yuccaswitch.soak.SoakHistory.Submission;
@@ -87,7 +87,7 @@
 
     @Test
     void theScoreOfAnotherRequestIsFound() {
-        history.reads.add(read(0, new Listed("job-0", true, SoakChecks.OUTPUT, List.of(1L), "score-s-job-1")));
+        history.reads.add(read(0, new ItemResult("job-0", true, SoakChecks.OUTPUT, List.of(1L), "score-s-job-1")));
         assertThat(SoakChecks.wrongScores(history)).hasSize(1);
     }
 
@@ -129,23 +129,23 @@
         return Optional.of(new Reply(status, false, false, ""));
     }
 
-    private static Read read(int after, Listed... results) {
+    private static Read read(int after, ItemResult... results) {
         return new Read("job", "node-1", new Page(200, after, List.of(results)));
     }
 
-    private static Listed listed(String item, String output, long version) {
-        return new Listed(item, true, output, List.of(version), "score-s-" + item);
+    private static ItemResult listed(String item, String output, long version) {
+        return new ItemResult(item, true, output, List.of(version), "score-s-" + item);
     }
 
-    private static Seen scoring(String item, long nanoseconds) {
-        return new Seen("s-" + item, "/plain/score/x", "100", null, 1, nanoseconds, List.of(), List.of());
+    private static ReceivedRequest scoring(String item, long nanoseconds) {
+        return new ReceivedRequest("s-" + item, "/plain/score/x", "100", null, 1, nanoseconds, List.of(), List.of());
     }
 
-    private static Seen run(String id, long version) {
-        return new Seen(id, "/x", "100", null, version, 0, List.of(), List.of());
+    private static ReceivedRequest run(String id, long version) {
+        return new ReceivedRequest(id, "/x", "100", null, version, 0, List.of(), List.of());
     }
 
-    private static Ordered order(long millis, String holder, long fence) {
-        return new Ordered(millis * 1_000_000, holder, fence, 2);
+    private static AcceptedOrder order(long millis, String holder, long fence) {
+        return new AcceptedOrder(millis * 1_000_000, holder, fence, 2);
     }
 }
--- a/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakFaults.java
+++ b/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakFaults.java
@@ -98,8 +98,8 @@
             }
             case HANG_UP -> gateway.signal("HUP");
             case STORE_DOWN -> {
-                site.store.down(true);
-                due.add(new Due(until, () -> site.store.down(false)));
+                site.store.setUnavailable(true);
+                due.add(new Due(until, () -> site.store.setUnavailable(false)));
             }
             case STORE_ANSWERS_LOST -> {
                 int share = 2 + random.nextInt(4);
@@ -110,15 +110,15 @@
                 List<Predicate<Context>> silences =
                         List.of(_call -> true, call -> call.method().name().equals("GET"), call -> call.path()
                                 .endsWith("/batch-index"));
-                site.store.silentWhere(silences.get(random.nextInt(silences.size())));
-                due.add(new Due(until, () -> site.store.silentWhere(_call -> false)));
+                site.store.holdCallsWhere(silences.get(random.nextInt(silences.size())));
+                due.add(new Due(until, () -> site.store.holdCallsWhere(_call -> false)));
             }
             case STORE_FORGETS -> site.store.compact();
             case STORE_LINK -> fault(site.storeLinks.get(node), until);
             case ENGINE_LINK -> fault(site.engineLinks.get(engine()), until);
             case ENGINE_MISBEHAVES -> {
                 EngineStandIn.Fault[] faults = EngineStandIn.Fault.values();
-                site.engines.get(engine()).misbehave(faults[random.nextInt(faults.length)], 1 + random.nextInt(6));
+                site.engines.get(engine()).injectFault(faults[random.nextInt(faults.length)], 1 + random.nextInt(6));
             }
             case ENGINE_REPLACED -> site.replaceEngine(engine());
             case ENGINE_RESTARTED -> site.restartEngine(engine());
--- a/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakHistory.java
+++ b/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakHistory.java
@@ -2,8 +2,8 @@
 
 import io.yuccaswitch.adapter.standin.CallerStandIn.Page;
 import io.yuccaswitch.adapter.standin.CallerStandIn.Reply;
-import io.yuccaswitch.adapter.standin.EngineStandIn.Ordered;
-import io.yuccaswitch.adapter.standin.EngineStandIn.Seen;
+import io.yuccaswitch.adapter.standin.EngineStandIn.AcceptedOrder;
+import io.yuccaswitch.adapter.standin.EngineStandIn.ReceivedRequest;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
@@ -18,8 +18,8 @@
     final List<Submission> submissions = Collections.synchronizedList(new ArrayList<>());
     final List<Read> reads = Collections.synchronizedList(new ArrayList<>());
     final List<String> failures = Collections.synchronizedList(new ArrayList<>());
-    final Map<String, List<Seen>> runs = new TreeMap<>();
-    final Map<String, List<Ordered>> orders = new TreeMap<>();
+    final Map<String, List<ReceivedRequest>> runs = new TreeMap<>();
+    final Map<String, List<AcceptedOrder>> orders = new TreeMap<>();
 
     /** A request of a caller, each with an identifier of its own. */
     record Plain(String id, boolean once, Optional<Reply> reply) {}
@@ -29,7 +29,7 @@
 
         /** Returns whether the attempt leaves open whether the job was accepted. */
         boolean isOpen() {
-            return reply.isEmpty() || !reply.get().saysNotRun();
+            return reply.isEmpty() || !reply.get().isNotRun();
         }
 
         /** Returns whether the job was accepted. */
@@ -42,7 +42,7 @@
     record Read(String job, String node, Page page) {}
 
     /** Returns all runs of requests and items, whichever endpoint they reached. */
-    List<Seen> allRuns() {
+    List<ReceivedRequest> allRuns() {
         return runs.values().stream().flatMap(List::stream).toList();
     }
 }
--- a/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakRun.java
+++ b/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakRun.java
@@ -78,8 +78,8 @@
             judgeCrashes(site, history);
             crashes = site.crashes();
             for (EngineStandIn engine : site.allEngines()) {
-                String start = engine.id() + "@" + engine.born();
-                history.runs.put(start, engine.seen());
+                String start = engine.id() + "@" + engine.incarnation();
+                history.runs.put(start, engine.receivedRequests());
                 history.orders.put(start, engine.orders());
             }
         }
@@ -133,13 +133,13 @@
         EngineStandIn engine = site.engines.get(leaving);
         site.replaceEngine(leaving);
         Thread.sleep(LEAVING_TIME.toMillis());
-        int before = engine.seen().size();
+        int before = engine.receivedRequests().size();
         for (GatewayProcess gateway : site.gateways) {
             for (int i = 0; i < 10; i++) {
                 caller.plain(gateway.entry(), SiteDocuments.path("safe"), "late-" + System.nanoTime());
             }
         }
-        if (engine.seen().size() > before) {
+        if (engine.receivedRequests().size() > before) {
             history.failures.add(leaving + " got requests " + LEAVING_TIME.toSeconds() + " s after it said it leaves");
         }
     }
--- a/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakSite.java
+++ b/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakSite.java
@@ -102,7 +102,7 @@
     /** Starts an endpoint that crashes at a harmful request. */
     private EngineStandIn start(String id) {
         EngineStandIn engine = new EngineStandIn(id);
-        engine.endAt(CrashingService.HARMFUL, RUN_TIME, () -> crash(engine));
+        engine.crashOn(CrashingService.HARMFUL, RUN_TIME, () -> crash(engine));
         return engine;
     }
 
