--- a/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakFaults.java
+++ b/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakFaults.java
@@ -99,8 +99,8 @@
             }
             case HANG_UP -> gateway.signal("HUP");
             case STORE_DOWN -> {
-                site.store.down(true);
-                scheduled.add(new ScheduledAction(until, () -> site.store.down(false)));
+                site.store.setUnavailable(true);
+                scheduled.add(new ScheduledAction(until, () -> site.store.setUnavailable(false)));
             }
             case STORE_ANSWERS_LOST -> {
                 int share = 2 + random.nextInt(4);
@@ -111,8 +111,8 @@
                 List<Predicate<Context>> silentCalls =
                         List.of(_call -> true, call -> call.method().name().equals("GET"), call -> call.path()
                                 .endsWith("/batch-index"));
-                site.store.silentWhere(silentCalls.get(random.nextInt(silentCalls.size())));
-                scheduled.add(new ScheduledAction(until, () -> site.store.silentWhere(_call -> false)));
+                site.store.holdCallsWhere(silentCalls.get(random.nextInt(silentCalls.size())));
+                scheduled.add(new ScheduledAction(until, () -> site.store.holdCallsWhere(_call -> false)));
             }
             case STORE_FORGETS -> site.store.compact();
             case STORE_LINK -> injectLinkFault(site.storeLinks.get(node), until);
@@ -121,7 +121,7 @@
                 EngineStandIn.Fault[] faults = EngineStandIn.Fault.values();
                 site.engines
                         .get(randomEngine())
-                        .misbehave(faults[random.nextInt(faults.length)], 1 + random.nextInt(6));
+                        .injectFault(faults[random.nextInt(faults.length)], 1 + random.nextInt(6));
             }
             case ENGINE_REPLACED -> site.replaceEngine(randomEngine());
             case ENGINE_RESTARTED -> site.restartEngine(randomEngine());
--- a/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakRun.java
+++ b/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakRun.java
@@ -79,8 +79,8 @@
             checkCrashes(site, history);
             crashes = site.crashes();
             for (EngineStandIn engine : site.allEngines()) {
-                String incarnation = engine.id() + "@" + engine.born();
-                history.runs.put(incarnation, engine.seen());
+                String incarnation = engine.id() + "@" + engine.incarnation();
+                history.runs.put(incarnation, engine.receivedRequests());
                 history.orders.put(incarnation, engine.orders());
             }
         }
@@ -135,13 +135,13 @@
         EngineStandIn engine = site.engines.get(leaving);
         site.replaceEngine(leaving);
         Thread.sleep(LEAVING_BOUND.toMillis());
-        int before = engine.seen().size();
+        int before = engine.receivedRequests().size();
         for (GatewayProcess gateway : site.gateways) {
             for (int i = 0; i < 10; i++) {
                 caller.plain(gateway.entry(), SiteDocuments.path("safe"), "late-" + System.nanoTime());
             }
         }
-        if (engine.seen().size() > before) {
+        if (engine.receivedRequests().size() > before) {
             history.failures.add(leaving + " received requests " + LEAVING_BOUND.toSeconds()
                     + " s after it announced that it leaves");
         }
--- a/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakSite.java
+++ b/yuccaswitch-soak/src/test/java/io/yuccaswitch/soak/SoakSite.java
@@ -102,7 +102,7 @@
     /** Starts an endpoint that crashes while it runs a harmful request. */
     private EngineStandIn start(String id) {
         EngineStandIn engine = new EngineStandIn(id);
-        engine.endAt(CrashingService.HARMFUL, CRASH_DELAY, () -> recordCrash(engine));
+        engine.crashOn(CrashingService.HARMFUL, CRASH_DELAY, () -> recordCrash(engine));
         return engine;
     }
 
