--- a/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/RequestFaultsIT.java
+++ b/yuccaswitch-integration/src/test/java/io/yuccaswitch/integration/RequestFaultsIT.java
@@ -29,7 +29,11 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** Caller load on a site of real processes while its endpoints and nodes fail. */
+/**
+ * Caller load on a site of real processes while its endpoints and nodes fail. The tests share one site, and JUnit
+ * orders them by a hash of their names: the test of a refusing endpoint must not run right after that of a leaving one,
+ * as the nodes still treat that endpoint as leaving.
+ */
 class RequestFaultsIT {
 
     private static final double REQUESTS_PER_SECOND = 60;
